--- /dev/null
+++ b/tests/compatibility/test_stored_data.py
@@ -0,0 +1,194 @@
+"""Journals and control-state values written by an earlier version read the same, and are written the same.
+
+The files in tests/data were made by commit e067fe3. They are never made anew: what is on disks in service looks so.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any, cast
+
+import pytest
+
+from otterreach.controller.replica_state import ReplicaState
+from otterreach.jobstore.jobs import Job, JobItem
+from otterreach.jobstore.partition import Copy, Mark, part_in
+from otterreach.jobstore.placement import PARTITIONS
+from otterreach.runtime.journal import Journal, Record, pack, scan
+from otterreach.runtime.settings import Settings
+
+DATA = Path(__file__).parent.parent / "data"
+
+
+class MemoryLog:
+    """A journal in memory: the bytes that a file would have."""
+
+    def __init__(self) -> None:
+        self.data = b""
+
+    def append(self, kind: int, payload: bytes) -> None:
+        self.data += pack(kind, payload, len(self.data))
+
+    def abandon_rewrite(self) -> None:
+        """No rewrite is ever under way here."""
+
+
+class ControllerSettings:
+    """The settings that a ReplicaState reads."""
+
+    node, address, zone, bootstrap = "core-1", "10.0.1.1:7000", "zone-a", True
+
+
+def expected(name: str) -> Any:
+    return json.loads((DATA / name).read_text())
+
+
+def records_of(name: str) -> list[Record]:
+    data = (DATA / name).read_bytes()
+    records, end = scan(data)
+    assert end == len(data)
+    return records
+
+
+def replica_from(records: list[Record]) -> ReplicaState:
+    async def load() -> ReplicaState:
+        replica = ReplicaState(cast(Settings, ControllerSettings), cast(Journal, MemoryLog()))
+        replica.load(records)
+        return replica
+
+    return asyncio.run(load())
+
+
+def controller_state(replica: ReplicaState) -> dict[str, Any]:
+    assert replica.accepted is not None
+    accepted = replica.accepted
+    witnesses = [[w.id, w.node, w.address, w.zone] for w in accepted.witnesses]
+    return {
+        "id": replica.id,
+        "uninitialised": replica.uninitialised,
+        "promised": replica.promised,
+        "accepted": [accepted.number, accepted.primary, accepted.backups, witnesses],
+        "rev": replica.store.rev,
+        "digest": replica.store.digest,
+        "collected": replica.store.collected,
+        "tombstones": replica.store.tombstones,
+        "items": {item.key: [item.rev, item.value.decode()] for item in replica.store.items.values()},
+    }
+
+
+def expected_controller_state(state: dict[str, Any]) -> dict[str, Any]:
+    accepted = state["accepted"]["fields"]
+    witnesses = [[w["fields"][name] for name in ("id", "node", "address", "zone")] for w in accepted["witnesses"]]
+    return state | {"accepted": [accepted["number"], accepted["primary"], accepted["backups"], witnesses]}
+
+
+@pytest.mark.parametrize(
+    ("journal", "state"), [("control.journal", "state"), ("control_rewritten.journal", "rewritten_state")]
+)
+def test_a_control_journal_gives_the_same_state(journal: str, state: str) -> None:
+    replica = replica_from(records_of(journal))
+    assert controller_state(replica) == expected_controller_state(expected("control_state.json")[state])
+
+
+def test_the_control_journals_hold_every_kind_of_record() -> None:
+    kinds = {kind for name in ("control.journal", "control_rewritten.journal") for kind, _ in records_of(name)}
+    assert sorted(kinds) == expected("control_state.json")["kinds"] == [1, 2, 3, 4, 5, 6, 7, 8]
+
+
+def test_a_control_journal_is_rewritten_with_the_same_bytes() -> None:
+    replica = replica_from(records_of("control.journal"))
+    log = MemoryLog()
+    for records in replica.live_records():
+        for kind, payload in records:
+            log.append(kind, payload)
+    assert log.data == (DATA / "control_rewritten.journal").read_bytes()
+
+
+def now() -> float:
+    return float(expected("jobs_state.json")["now"])
+
+
+def partitions_from(records: list[Record]) -> dict[int, Copy]:
+    at = now()
+    copies = {n: Copy(n, MemoryLog(), lambda: at) for n in range(PARTITIONS)}
+    for kind, payload in records:
+        if kind != Mark.DISK:
+            copies[part_in(kind, payload)].replay(kind, payload)
+    for copy in copies.values():
+        copy.replayed()
+    return {n: copy for n, copy in copies.items() if copy.epoch}
+
+
+def item_state(item: JobItem) -> dict[str, Any]:
+    return {
+        "path": item.path,
+        "headers": item.headers,
+        "body": item.body.decode(),
+        "group": item.group,
+        "tokens": item.tokens,
+        "scorer": [item.scorer_id, item.scorer_host, item.scorer_path, item.scorer_body.decode()],
+        "order": list(item.order),
+        "state": item.state.value,
+        "index": item.index,
+    }
+
+
+def job_state(job: Job) -> dict[str, Any]:
+    return {
+        "host": job.host,
+        "route": job.route,
+        "head": job.head,
+        "state": job.state.value,
+        "results": [result.decode() for result in job.results],
+        "readable": job.seen,
+        "committed": job.settled,
+        "ended": job.ended,
+        "at": job.at,
+        "index": job.index,
+        "end_index": job.end_index,
+        "items": {item.id: item_state(item) for item in job.items.values()},
+    }
+
+
+def partition_state(copy: Copy) -> dict[str, Any]:
+    return {
+        "epoch": copy.epoch,
+        "in_sync": sorted(copy.in_sync),
+        "index": copy.index,
+        "chain": copy.chain,
+        "complete": copy.whole,
+        "uninitialised": copy.uninitialised,
+        "size": copy.jobs.size,
+        "digests": copy.jobs.digests(),
+        "jobs": {job.id: job_state(job) for job in copy.jobs.jobs.values()},
+    }
+
+
+def test_a_job_journal_gives_the_same_state() -> None:
+    table = expected("jobs_state.json")
+    records = records_of("jobs.journal")
+    assert [payload.decode() for kind, payload in records if kind == Mark.DISK] == [table["disk"]]
+    found = {str(n): partition_state(copy) for n, copy in partitions_from(records).items()}
+    assert found == table["partitions"]
+
+
+def test_the_job_journal_holds_every_kind_of_record() -> None:
+    assert sorted({kind for kind, _ in records_of("jobs.journal")}) == [1, 2, 3, 4, 5, 6, 7]
+
+
+def test_a_job_journal_is_rewritten_with_the_same_bytes() -> None:
+    table = expected("jobs_state.json")["live"]
+    for n, copy in partitions_from(records_of("jobs.journal")).items():
+        assert [[kind, payload.hex()] for kind, payload in copy.live()] == table[str(n)]
+
+
+def control_items() -> Iterator[tuple[str, str]]:
+    yield from expected("control_items.json").items()
+
+
+def test_the_values_cover_every_kind_of_item() -> None:
+    kinds = {key.partition("/")[0] for key, _ in control_items()}
+    assert kinds == {"config", "server", "member", "part", "version", "retire", "duty", "core", "change", "collected"}
