--- a/otterreach/simulation/loop.py
+++ b/otterreach/simulation/loop.py
@@ -5,6 +5,7 @@
 
 import asyncio
 import heapq
+import inspect
 from collections.abc import Callable, Coroutine
 from contextvars import Context, ContextVar, copy_context
 from typing import Any, TypeVar
@@ -148,8 +149,16 @@
         finally:
             self.over = True
             self.set_exception_handler(lambda loop, context: None)
+            self._close_unstarted_coroutines()
             self.close()
 
+    def _close_unstarted_coroutines(self) -> None:
+        """A task that never got its first turn would otherwise warn, when it is collected, that nobody awaited it."""
+        for task in asyncio.all_tasks(self):
+            coroutine = task.get_coro()
+            if inspect.iscoroutine(coroutine) and inspect.getcoroutinestate(coroutine) == inspect.CORO_CREATED:
+                coroutine.close()
+
     # What the selector loop has and this one does without.
 
     def _process_events(self, event_list: Any) -> None:
--- a/scripts/test.py
+++ b/scripts/test.py
@@ -1,9 +1,14 @@
-"""Linter, formatter, types and tests: python3 -m scripts.test [--venv DIR] [options of pytest]."""
+"""Linter, formatter, types and tests: python3 -m scripts.test [--venv DIR] [options of pytest].
+
+The tests run in one process for each core; whoever is free takes over tests of one that is not.
+"""
 
 from __future__ import annotations
 
 from scripts.environment import development_environment, run
 
+PARALLEL = ("--numprocesses", "auto", "--dist", "worksteal")
+
 
 def main() -> None:
     """Runs each check; ends at the first that fails."""
@@ -11,7 +16,7 @@
     run([python, "-m", "ruff", "check", "."])
     run([python, "-m", "ruff", "format", "--check", "."])
     run([python, "-m", "mypy"])
-    run([python, "-m", "pytest", *arguments])
+    run([python, "-m", "pytest", *PARALLEL, *arguments])
 
 
 if __name__ == "__main__":
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import ast
+import functools
 import re
 import unittest
 from collections.abc import Iterator
@@ -37,6 +38,7 @@
     return found
 
 
+@functools.cache
 def events() -> dict[str, set[str]]:
     """Every event that is logged, with the packages that do."""
     found: dict[str, set[str]] = {}
