--- a/otterreach/balancer/interface.py
+++ b/otterreach/balancer/interface.py
@@ -269,7 +269,7 @@
     load: tuple[float, ...] = ()
 
 
-class Sighting(NamedTuple):
+class LastHeartbeat(NamedTuple):
     """What one sidecar last learned of an endpoint, for another."""
 
     endpoint: int
@@ -281,7 +281,7 @@
 class PeerMessage(NamedTuple):
     sender: int
     strain: float = 0.0  # waits of late: 0 as in an idle fleet, 1 all targets missed
-    sightings: tuple[Sighting, ...] = ()
+    sightings: tuple[LastHeartbeat, ...] = ()
 
 
 Event = Union[Roster, Request, FirstByte, Outcome, ClientGone, Timer, ProbeResult, PeerMessage]
@@ -344,7 +344,7 @@
 class Tell(NamedTuple):
     peer: int  # -1: every peer
     strain: float = 0.0
-    sightings: tuple[Sighting, ...] = ()  # at most MAX_SIGHTINGS: what a message holds
+    sightings: tuple[LastHeartbeat, ...] = ()  # at most MAX_SIGHTINGS: what a message holds
 
 
 class Probe(NamedTuple):
--- a/otterreach/balancer/logic.py
+++ b/otterreach/balancer/logic.py
@@ -67,7 +67,7 @@
         self.told_at = self.now
         peers = [(s.self_index + self.random.randrange(1, s.fleet_size)) % s.fleet_size for _ in range(PEERS)]
         fresh = nlargest(api.MAX_SIGHTINGS, self.ready, key=lambda e: e.slow_at)
-        seen = [api.Sighting(e.id, e.slow, e.queue, self.now - e.slow_at) for e in fresh if e.slow_at]
+        seen = [api.LastHeartbeat(e.id, e.slow, e.queue, self.now - e.slow_at) for e in fresh if e.slow_at]
         self.actions.append(api.Tell(peers[0], self._strain(s.zone), tuple(seen)))
         self.actions.extend(api.Tell(peer, self._strain(s.zone)) for peer in peers[1:])  # a byte each
 
--- a/otterreach/balancer/wire.py
+++ b/otterreach/balancer/wire.py
@@ -190,7 +190,9 @@
     if not data or (len(data) - 1) % _SIGHTING.size:
         return api.PeerMessage(sender)
     rows = _SIGHTING.iter_unpack(data[1:])
-    seen = tuple([api.Sighting(n, _SLOW[slow], _QUEUE[queue], age * _AGE_NS) for n, slow, queue, age in rows])
+    seen = tuple(
+        [api.LastHeartbeat(n, _SLOW[slow], _QUEUE[queue], age * _AGE_NS) for n, slow, queue, age in rows]
+    )
     return api.PeerMessage(sender, data[0] / 255, seen)
 
 
@@ -198,7 +200,7 @@
     return max(0, min(255, round(value)))
 
 
-def _encode_peer(strain: float, sightings: tuple[api.Sighting, ...]) -> bytes:
+def _encode_peer(strain: float, sightings: tuple[api.LastHeartbeat, ...]) -> bytes:
     rows = [
         _SIGHTING.pack(
             s.endpoint,
--- a/otterreach/cli/data.py
+++ b/otterreach/cli/data.py
@@ -6,39 +6,44 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 from otterreach.cli.codes import ExitCode
-from otterreach.controller import messages as controller_messages  # noqa: F401  registers what the records hold
-from otterreach.controller import replica_state
-from otterreach.controller.tombstones import collected_rev
-from otterreach.jobstore.jobs import Job, Kind
-from otterreach.jobstore.partition import Copy, Mark, part_in
+from otterreach.controller.journal_records import JournalKind, StateReplay, decode_configuration
+from otterreach.controller.messages import AppendItems, InstallSnapshot, SnapshotChunk, SnapshotCommit
+from otterreach.controller.tombstones import revision_to_collect
+from otterreach.jobstore.job import Job
+from otterreach.jobstore.job_entries import EntryKind
+from otterreach.jobstore.journal_records import RecordKind, decode_entry, partition_of_record
+from otterreach.jobstore.partition_replica import PartitionReplica
 from otterreach.jobstore.placement import PARTITIONS
-from otterreach.runtime.codec import MessageError, decode
+from otterreach.runtime.codec import MessageError, decode_as
 from otterreach.runtime.journal import HEADER, MAX_RECORD, JournalDamaged, pack, scan
 from otterreach.runtime.store import Item, ReplicatedStore
 
 CONTROL, JOBS = "control", "jobs"
-CONTROL_KINDS = {
-    replica_state.IDENTITY: "identity",
-    replica_state.PROMISE: "promise",
-    replica_state.CONFIGURATION: "epoch",
-    replica_state.ITEMS: "items",
-    replica_state.SNAPSHOT: "state",
-    replica_state.STAGING: "staging",
-    replica_state.PIECE: "piece",
-    replica_state.COMMIT: "commit",
+# How kinds of records are shown.
+CONTROL_KINDS: dict[int, str] = {
+    JournalKind.IDENTITY: "identity",
+    JournalKind.PROMISE: "promise",
+    JournalKind.CONFIGURATION: "epoch",
+    JournalKind.ITEMS: "items",
+    JournalKind.SNAPSHOT: "state",
+    JournalKind.STAGING: "staging",
+    JournalKind.CHUNK: "piece",
+    JournalKind.COMMIT: "commit",
 }
-JOB_KINDS = {
-    Mark.DISK: "disk",
-    Mark.EPOCH: "epoch",
-    Mark.RECORD: "record",
-    Mark.BEGIN: "begin",
-    Mark.LOAD: "load",
-    Mark.END: "end",
-    Mark.DROPPED: "dropped",
+JOB_KINDS: dict[int, str] = {
+    RecordKind.DISK: "disk",
+    RecordKind.EPOCH: "epoch",
+    RecordKind.RECORD: "record",
+    RecordKind.BEGIN: "begin",
+    RecordKind.LOAD: "load",
+    RecordKind.END: "end",
+    RecordKind.DROPPED: "dropped",
 }
 SHOWN_ITEMS = 8
+REVISION_BITS = 24  # of a revision: the count within its epoch
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,93 +106,113 @@
 
 def line(of: str, entry: Entry) -> str:
     """A record in words."""
-    name, told = _control(entry) if of == CONTROL else _jobs(entry)
-    return f"at={entry.at} kind={name} bytes={len(entry.payload)} synced={entry.synced} {told}".rstrip()
+    if of == CONTROL:
+        name = CONTROL_KINDS.get(entry.kind, str(entry.kind))
+        content = _control_content(entry)
+    else:
+        name = JOB_KINDS.get(entry.kind, str(entry.kind))
+        content = _job_content(entry)
+    return f"at={entry.at} kind={name} bytes={len(entry.payload)} synced={entry.synced} {content}".rstrip()
 
 
 def _items(items: list[Item]) -> str:
-    shown = [f"{item.key}@{item.rev >> 24}.{item.rev & 0xFFFFFF}" + "-" * item.gone for item in items[:SHOWN_ITEMS]]
+    shown = [item_name(item) + "-" * item.is_tombstone for item in items[:SHOWN_ITEMS]]
     more = len(items) - len(shown)
     return f"items={','.join(shown)}" + (f",+{more}" if more else "")
 
 
-def _control(entry: Entry) -> tuple[str, str]:
-    name = CONTROL_KINDS.get(entry.kind, str(entry.kind))
+def item_name(item: Item) -> str:
+    """The key of an item with its revision: the epoch, and the count within it."""
+    return f"{item.key}@{item.revision >> REVISION_BITS}.{item.revision & (1 << REVISION_BITS) - 1}"
+
+
+def _control_content(entry: Entry) -> str:
     try:
-        if entry.kind == replica_state.CONFIGURATION:
-            configuration = decode(22, entry.payload).configuration[0]
-            witnesses = ",".join(w.node for w in configuration.witnesses)
-            return (
-                name,
-                f"number={configuration.number} primary={configuration.primary} "
-                f"backups={','.join(configuration.backups)} "
-                f"witnesses={witnesses}",
-            )
-        if entry.kind in (replica_state.ITEMS, replica_state.SNAPSHOT):
-            told = decode(25 if entry.kind == replica_state.ITEMS else 24, entry.payload)
-            return name, f"number={told.number} {_items(told.items)}"
-        if entry.kind == replica_state.PIECE:
-            piece = decode(38, entry.payload)
-            return name, f"number={piece.number} ranges={len(piece.ranges)} {_items(piece.items)}"
-        if entry.kind == replica_state.COMMIT:
-            return name, f"number={decode(39, entry.payload).number}"
-    except (MessageError, IndexError) as error:
-        return name, f"unreadable={error}"
-    return name, f"value={entry.payload.decode(errors='replace')}"
+        if entry.kind == JournalKind.CONFIGURATION:
+            return _configuration_content(entry.payload)
+        if entry.kind == JournalKind.ITEMS:
+            changes = decode_as(AppendItems, entry.payload)
+            return f"number={changes.number} {_items(changes.items)}"
+        if entry.kind == JournalKind.SNAPSHOT:
+            snapshot = decode_as(InstallSnapshot, entry.payload)
+            return f"number={snapshot.number} {_items(snapshot.items)}"
+        if entry.kind == JournalKind.CHUNK:
+            chunk = decode_as(SnapshotChunk, entry.payload)
+            return f"number={chunk.number} ranges={len(chunk.ranges)} {_items(chunk.items)}"
+        if entry.kind == JournalKind.COMMIT:
+            return f"number={decode_as(SnapshotCommit, entry.payload).number}"
+    except (MessageError, ValueError) as error:
+        return f"unreadable={error}"
+    return f"value={entry.payload.decode(errors='replace')}"
+
+
+def _configuration_content(payload: bytes) -> str:
+    configuration = decode_configuration(payload)
+    witnesses = ",".join(witness.node for witness in configuration.witnesses)
+    backups = ",".join(configuration.backups)
+    return f"number={configuration.number} primary={configuration.primary} backups={backups} witnesses={witnesses}"
 
 
 def state_in(data: bytes) -> ReplicatedStore:
     """The control state as a controller's journal has it. What was not acknowledged may be in it, too."""
-    store, staged = ReplicatedStore(), ReplicatedStore()
+    replay = StateReplay()
     for entry in walk(data):
-        if entry.kind == replica_state.SNAPSHOT:
-            store = ReplicatedStore()
-            store.apply(decode(24, entry.payload).items)
-        elif entry.kind == replica_state.ITEMS:
-            store.apply(decode(25, entry.payload).items)
-        elif entry.kind == replica_state.STAGING:
-            staged = store.copy()
-        elif entry.kind == replica_state.PIECE:
-            piece = decode(38, entry.payload)
-            staged.overwrite_ranges(piece.ranges, piece.items)
-        elif entry.kind == replica_state.COMMIT:
-            store, staged = staged, ReplicatedStore()
-    store.collect(collected_rev(store))
-    return store
+        replay.apply(entry.kind, entry.payload)
+    replay.store.collect(revision_to_collect(replay.store))
+    return replay.store
+
+
+def item_value(data: bytes, key: str) -> Any:
+    """The newest value of one item in a controller's journal, as JSON has it; None if there is none."""
+    item = state_in(data).items.get(key)
+    return None if item is None or item.is_tombstone else json.loads(item.value)
 
 
 def _job_of(kind: int, body: bytes) -> str:
-    if kind in (Kind.SUBMIT, Kind.RESULT):
+    if kind in (EntryKind.SUBMIT, EntryKind.RESULT):
         length = int.from_bytes(body[:4], "little")
         return body[4 : 4 + length].decode(errors="replace")
     return body.decode(errors="replace")
 
 
-def _jobs(entry: Entry) -> tuple[str, str]:
-    name = JOB_KINDS.get(entry.kind, str(entry.kind))
-    if entry.kind in (Mark.DISK, Mark.EPOCH, Mark.BEGIN):
-        return name, f"value={entry.payload.decode(errors='replace')}"
-    told = f"part={part_in(entry.kind, entry.payload)}"
-    if entry.kind in (Mark.RECORD, Mark.LOAD):
-        kind, body = entry.payload[2], entry.payload[3:]
-        told += f" {Kind(kind).name.lower()}={_job_of(kind, body)}"
-    return name, told
+def _job_content(entry: Entry) -> str:
+    if entry.kind in (RecordKind.DISK, RecordKind.EPOCH, RecordKind.BEGIN):
+        return f"value={entry.payload.decode(errors='replace')}"
+    content = f"part={partition_of_record(entry.kind, entry.payload)}"
+    if entry.kind in (RecordKind.RECORD, RecordKind.LOAD):
+        logged = decode_entry(entry.payload)
+        content += f" {EntryKind(logged.kind).name.lower()}={_job_of(logged.kind, logged.body)}"
+    return content
 
 
-class _NoJournal:
+class _ReadOnlyLog:
     def append(self, kind: int, payload: bytes) -> None:
         raise AssertionError("a file that is read is not written")
 
 
-def jobs_in(data: bytes) -> list[tuple[int, Job]]:
-    """(partition, batch job) of all copies in a job store node's journal."""
-    copies = [Copy(part, _NoJournal(), lambda: 0.0) for part in range(PARTITIONS)]
-    for entry in walk(data):
-        if entry.kind != Mark.DISK and (part := part_in(entry.kind, entry.payload)) < PARTITIONS:
-            copies[part].replay(entry.kind, entry.payload)
-    return [(copy.part, job) for copy in copies for job in copy.jobs.jobs.values()]
+@dataclass(frozen=True, slots=True)
+class JobInFile:
+    """A batch job in a job store node's journal."""
 
+    partition: int
+    job: Job
 
-def job_line(part: int, job: Job) -> str:
-    head = json.dumps({k: job.head[k] for k in ("step", "model", "minVersion", "desired") if k in job.head})
-    return f"{job.id}  part {part}  {job.state.value}  {len(job.results)} of {len(job.items)} listed  {head}"
+
+def jobs_in(data: bytes) -> list[JobInFile]:
+    """The batch jobs of all replicas in a job store node's journal."""
+    replicas = [PartitionReplica(partition, _ReadOnlyLog(), lambda: 0.0) for partition in range(PARTITIONS)]
+    for entry in walk(data):
+        if entry.kind == RecordKind.DISK:
+            continue
+        partition = partition_of_record(entry.kind, entry.payload)
+        if partition < PARTITIONS:
+            replicas[partition].replay(entry.kind, entry.payload)
+    return [JobInFile(replica.partition, job) for replica in replicas for job in replica.jobs.jobs.values()]
+
+
+def job_line(found: JobInFile) -> str:
+    """A batch job in words."""
+    job = found.job
+    head = json.dumps({key: job.head[key] for key in ("step", "model", "minVersion", "desired") if key in job.head})
+    listed = f"{len(job.results)} of {len(job.items)} listed"
+    return f"{job.id}  part {found.partition}  {job.state.value}  {listed}  {head}"
--- a/otterreach/cli/local_commands.py
+++ b/otterreach/cli/local_commands.py
@@ -90,7 +90,7 @@
         return _verdict(file)
     found = file.read_bytes()
     if item:
-        value = data.state_in(found).get(item)
+        value = data.item_value(found, item)
         print("null" if value is None else json.dumps(value, indent=1))
         return 0 if value is not None else int(ExitCode.NOT_THERE)
     of = data.kind_of_file(file, found)
--- a/otterreach/cli/state.py
+++ b/otterreach/cli/state.py
@@ -5,19 +5,29 @@
 import asyncio
 import json
 from collections.abc import Callable, Iterator, Sequence
-from typing import Any
 
 from otterreach.controller import messages  # noqa: F401  of what may come over the connection
-from otterreach.jobstore.messages import ReadJob, Results
-from otterreach.jobstore.placement import PARTITIONS, part_of
+from otterreach.jobstore.messages import ReadJob
+from otterreach.jobstore.placement import PARTITIONS, partition_of
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.relay import Changes, Follow, StillThere
+from otterreach.runtime.configuration import ConfigurationRecord
+from otterreach.runtime.identity import node_of
+from otterreach.runtime.records import (
+    CoreRecord,
+    MemberRecord,
+    OrderLeaseRecord,
+    PartitionRecord,
+    RetirementRecord,
+    ServerRecord,
+    VersionRecord,
+)
+from otterreach.runtime.relay import Changes, Follow, FreshnessProbe
 from otterreach.runtime.rpc import Endpoint, Link
 from otterreach.runtime.store import Item, ReplicatedStore
 
 NAME = "cli"
-CALL_S = 2.0
-ASK_S = 0.5  # between two questions whether the controller is still there
+CALL_TIMEOUT_S = 2.0
+PROBE_INTERVAL_S = 0.5  # between two questions whether the controller is still there
 Row = tuple[str, ...]
 
 
@@ -33,16 +43,17 @@
 
 
 async def _fetch_from(endpoint: Endpoint, address: str, store: ReplicatedStore) -> Failure | None:
-    """The state comes in pieces, until nothing differs or nothing new comes."""
-    told: list[int] | None = None
+    """The state comes in chunks, until nothing differs or nothing new comes."""
+    former_ranges: list[int] | None = None
     while True:
-        reply = await endpoint.call(address, Follow(NAME, store.digests), CALL_S)
-        if not isinstance(reply, Changes):
-            return reply if isinstance(reply, Failure) else Failure(Code.BAD_MESSAGE, type(reply).__name__)
-        store.replace_ranges(reply.ranges, reply.items, reply.collected)
-        if not reply.ranges or reply.ranges == told or store.equals(reply.digest, reply.collected):
+        reply = await endpoint.call(address, Follow(NAME, store.digests), CALL_TIMEOUT_S)
+        if isinstance(reply, Failure):
+            return reply
+        store.replace_ranges(reply.ranges, reply.items, reply.collected_up_to)
+        complete = not reply.ranges or store.matches(reply.digest, reply.collected_up_to)
+        if complete or reply.ranges == former_ranges:
             return None
-        told = reply.ranges
+        former_ranges = reply.ranges
 
 
 async def read(controllers: Sequence[str]) -> ReplicatedStore | Failure:
@@ -73,13 +84,13 @@
             return found
         while (link := endpoint.linked(found)) is not None:
             changed.clear()
-            link.send(StillThere(int(asyncio.get_running_loop().time() * 1000)))
+            link.send(FreshnessProbe(int(asyncio.get_running_loop().time() * 1000)))
             try:
-                async with asyncio.timeout(CALL_S):
+                async with asyncio.timeout(CALL_TIMEOUT_S):
                     await changed.wait()
             except TimeoutError:
                 return Failure(Code.TIMED_OUT, f"{found} says nothing any more")
-            await asyncio.sleep(ASK_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
         return Failure(Code.CLOSED, f"{found} has closed the connection")
     finally:
         await endpoint.close()
@@ -92,67 +103,74 @@
         found = await fetch(endpoint, controllers, store)
         if isinstance(found, Failure):
             return found
-        part = part_of(ident)
-        record = store.get(f"part/{part}") or {"primary": ""}
-        owner = record["primary"].partition("#")[0]
-        member = store.get(f"member/{owner}")
+        partition = partition_of(ident)
+        record = store.record(PartitionRecord, str(partition))
+        owner = node_of(record.primary) if record else ""
+        member = store.record(MemberRecord, owner)
         if member is None:
-            return Failure(Code.NOT_SYNCED, f"partition {part} has no owner")
-        return await _count(endpoint, member["address"], ident, part, owner)
+            return Failure(Code.NOT_SYNCED, f"partition {partition} has no owner")
+        return await _count(endpoint, member.address, ident, partition, owner)
     finally:
         await endpoint.close()
 
 
-async def _count(endpoint: Endpoint, address: str, ident: str, part: int, owner: str) -> Row | Failure:
-    past = total = 0
+async def _count(endpoint: Endpoint, address: str, ident: str, partition: int, owner: str) -> Row | Failure:
+    offset = 0
     while True:
-        reply = await endpoint.call(address, ReadJob(ident, past, 0), CALL_S)
-        if not isinstance(reply, Results):
-            return reply if isinstance(reply, Failure) else Failure(Code.BAD_MESSAGE, type(reply).__name__)
-        total = reply.total
-        if reply.next_cursor <= past:
-            return ident, str(part), owner, str(past), str(total)
-        past = reply.next_cursor
+        reply = await endpoint.call(address, ReadJob(ident, offset, 0), CALL_TIMEOUT_S)
+        if isinstance(reply, Failure):
+            return reply
+        if reply.next_cursor <= offset:
+            return ident, str(partition), owner, str(offset), str(reply.total)
+        offset = reply.next_cursor
 
 
 # What is shown --------------------------------------------------------------------------------------
 
 
 def servers(store: ReplicatedStore) -> Iterator[Row]:
+    """The model servers."""
     yield "id", "service", "address", "zone", "cap", "state", "versions", "ordered by"
-    duties = store.named("duty")
-    for ident, s in store.named("server").items():
-        versions = ",".join(f"{m['name']}={m['gen']}" for m in s.get("models", ()))
-        state = s["state"] + (" silent" if s.get("silent") else "")
-        holder = duties.get(ident, {}).get("holder", "")
-        yield ident, s["backend"], s["addr"], s["az"], str(s["cap"]), state, versions, holder
+    leases = store.records(OrderLeaseRecord)
+    for ident, server in store.records(ServerRecord).items():
+        versions = ",".join(f"{model.name}={model.version}" for model in server.models)
+        state = server.state + (" silent" if server.silent else "")
+        lease = leases.get(ident)
+        holder = lease.holder if lease else ""
+        yield ident, server.service, server.address, server.zone, str(server.capacity), state, versions, holder
 
 
 def members(store: ReplicatedStore) -> Iterator[Row]:
+    """The machines of the system."""
     yield "node", "role", "address", "zone", "disk", "retiring"
-    retiring = store.named("retire")
-    for node, m in store.named("member").items():
-        yield node, m["role"], m["address"], m["zone"], m["disk"] or "-", "yes" if node in retiring else ""
+    retiring = store.records(RetirementRecord)
+    for node, member in store.records(MemberRecord).items():
+        is_retiring = "yes" if node in retiring else ""
+        yield node, member.role, member.address, member.zone, member.disk or "-", is_retiring
 
 
 def owners(store: ReplicatedStore) -> Iterator[Row]:
+    """Who keeps each partition."""
     yield "part", "epoch", "primary", "backups", "joining"
-    for n in range(PARTITIONS):
-        p = store.get(f"part/{n}")
-        if p:
-            yield str(n), str(p["epoch"]), p["primary"], ",".join(p["backups"]), ",".join(p["joining"])
+    for number in range(PARTITIONS):
+        record = store.record(PartitionRecord, str(number))
+        if record:
+            backups = ",".join(record.backups)
+            learners = ",".join(record.learners)
+            yield str(number), str(record.epoch), record.primary, backups, learners
 
 
 def epochs(store: ReplicatedStore) -> Iterator[Row]:
+    """The controllers and what they hold."""
     yield "what", "value"
-    core: dict[str, Any] = store.get("core") or {}
-    yield "epoch", str(core.get("number", "-"))
-    yield "primary", core.get("primary", "-")
-    yield "controllers", ",".join(core.get("registrars", ()))
-    config = store.get("config")
-    yield "configuration", str(config["gen"]) if config else "-"
-    for model, version in store.named("version").items():
-        yield f"version of {model}", str(version["gen"])
+    core = store.record(CoreRecord)
+    yield "epoch", str(core.epoch) if core else "-"
+    yield "primary", core.primary if core else "-"
+    yield "controllers", ",".join(core.controllers) if core else ""
+    configuration = store.record(ConfigurationRecord)
+    yield "configuration", str(configuration.version) if configuration else "-"
+    for model, named in store.records(VersionRecord).items():
+        yield f"version of {model}", str(named.version)
 
 
 def columns(rows: Iterator[Row]) -> str:
@@ -163,5 +181,5 @@
 
 
 def item_line(item: Item) -> str:
-    value = "gone" if item.gone else json.dumps(json.loads(item.value), sort_keys=True)
-    return f"{item.rev >> 24}.{item.rev & 0xFFFFFF} {item.key} {value[:300]}"
+    value = "gone" if item.is_tombstone else json.dumps(json.loads(item.value), sort_keys=True)
+    return f"{item.revision >> 24}.{item.revision & 0xFFFFFF} {item.key} {value[:300]}"
--- a/otterreach/cli/state_commands.py
+++ b/otterreach/cli/state_commands.py
@@ -67,8 +67,8 @@
     found = read_file(data)
     if isinstance(found, Failure):
         return fail(found)
-    for part, job in jobs_in(found):
-        print(job_line(part, job))
+    for job in jobs_in(found):
+        print(job_line(job))
     return 0
 
 
--- a/otterreach/controller/api/configuration.py
+++ b/otterreach/controller/api/configuration.py
@@ -7,22 +7,24 @@
     METHOD_NOT_ALLOWED,
     NOT_FOUND,
     OK,
-    UNCLEAR,
+    UNAVAILABLE,
     ControlState,
-    encode_item,
-    refusal,
+    rejection,
     when_committed,
     write,
 )
 from otterreach.controller.change_history import EMPTY_HISTORY, ChangeHistory
-from otterreach.controller.config_schema import Config
-from otterreach.controller.messages import Operate, Operated
+from otterreach.controller.config_schema import Document
+from otterreach.controller.messages import ApiCall, ApiResponse
 from otterreach.runtime.codes import Failure
+from otterreach.runtime.configuration import ConfigurationRecord
 from otterreach.runtime.log import log
+from otterreach.runtime.records import FormerChangeList, ItemChange, delete, key_of, put
 from otterreach.runtime.store import ReplicatedStore
 
-MAX_CHANGES_UNDER_WAY = 32  # more than these get 503 at once: each may have a body of many megabytes
-FORMER_HISTORY = "taken"  # the item that kept a list of the last changes before there was one item for each
+MAX_CHANGES_IN_PROGRESS = 32  # more than these get 503 at once: each may have a body of many megabytes
+CONFIGURATION_KEY = key_of(ConfigurationRecord)
+FORMER_CHANGES_KEY = key_of(FormerChangeList)
 
 
 class ConfigurationResource:
@@ -30,60 +32,66 @@
 
     def __init__(self, control: ControlState, published: ReplicatedStore) -> None:
         self.control = control
-        self.published = published  # what all copies have
-        self._changes_under_way = 0
+        self.published = published  # what all replicas have
+        self._changes_in_progress = 0
         self._followed: ReplicatedStore | None = None  # the state that `_followed_history` goes with
         self._followed_history = EMPTY_HISTORY
 
-    async def handle(self, call: Operate) -> Operated:
+    async def handle(self, call: ApiCall) -> ApiResponse:
+        """Answer a call, at the primary."""
         if call.method == "GET":
             return await self._read()
         if call.method not in ("PUT", "PATCH"):
             return METHOD_NOT_ALLOWED
-        if self._changes_under_way >= MAX_CHANGES_UNDER_WAY:
-            return UNCLEAR
-        self._changes_under_way += 1
+        if self._changes_in_progress >= MAX_CHANGES_IN_PROGRESS:
+            return UNAVAILABLE
+        self._changes_in_progress += 1
         try:
             return await self._change(call)
         finally:
-            self._changes_under_way -= 1
+            self._changes_in_progress -= 1
 
-    async def _read(self) -> Operated:
+    async def _read(self) -> ApiResponse:
         if not await self.control.confirm():
-            return UNCLEAR
-        item = self.published.items.get("config")
-        if item is None or item.gone:
+            return UNAVAILABLE
+        item = self.published.items.get(CONFIGURATION_KEY)
+        if item is None or item.is_tombstone:
             return NOT_FOUND
-        return Operated(200, item.value)
+        return ApiResponse(200, item.value)
 
-    async def _change(self, call: Operate) -> Operated:
+    async def _change(self, call: ApiCall) -> ApiResponse:
         if_match = config.parse_if_match(call.match)
         if isinstance(if_match, Failure):
-            return refusal(if_match)
+            return rejection(if_match)
         # From here to `write` nothing is waited for: no other change comes in between.
         state = self.control.state
         history = self._history_of(state)
-        found = config.check_change(call.method, call.body, state.get("config"), if_match, history)
-        if isinstance(found, Failure):
-            log("config_refused", code=int(found.code), reason=found.reason)
-            return await when_committed(self.control, refusal(found))
-        if found is config.ALREADY:
+        current = state.record(ConfigurationRecord)
+        document = current.document if current else None
+        result = config.check_change(call.method, call.body, document, if_match, history)
+        if isinstance(result, Failure):
+            log("config_rejected", code=int(result.code), reason=result.reason)
+            return await when_committed(self.control, rejection(result))
+        if result is config.ALREADY:
             return await when_committed(self.control, OK)
-        assert isinstance(found, dict)
-        return await self._accept(found, history.item(config.change_of(call.method, call.body, if_match)))
+        assert isinstance(result, dict)
+        return await self._accept(result, history.item_for(config.change_of(call.method, call.body, if_match)))
 
     def _history_of(self, state: ReplicatedStore) -> ChangeHistory:
         """Read anew only when the whole state was replaced: reading thousands of changes takes its time."""
         if self._followed is not state:
-            self._followed, self._followed_history = state, ChangeHistory.follow(state)
+            self._followed = state
+            self._followed_history = ChangeHistory.follow(state)
         return self._followed_history
 
-    async def _accept(self, new: Config, history_item: tuple[str, bytes]) -> Operated:
-        changes = [("config", encode_item(new)), history_item]
-        if self.control.state.get(FORMER_HISTORY) is not None:
-            changes.append((FORMER_HISTORY, b""))
+    async def _accept(self, document: Document, history_item: ItemChange) -> ApiResponse:
+        record = ConfigurationRecord(document)
+        changes = [put(record), history_item]
+        former_changes = self.control.state.items.get(FORMER_CHANGES_KEY)
+        if former_changes is not None and not former_changes.is_tombstone:
+            changes.append(delete(FormerChangeList))
         epoch = self.control.number
         if not await write(self.control, changes):
-            return UNCLEAR
-        log("config_taken", gen=new["gen"], epoch=epoch)
+            return UNAVAILABLE
+        log("config_accepted", version=record.version, epoch=epoch)
         return OK
--- a/otterreach/controller/api/resource.py
+++ b/otterreach/controller/api/resource.py
@@ -5,11 +5,12 @@
 import asyncio
 import json
 from collections.abc import Iterable
-from typing import Any, Protocol
+from typing import Protocol
 
 from otterreach.controller import config
-from otterreach.controller.messages import Operate, Operated
+from otterreach.controller.messages import ApiCall, ApiResponse
 from otterreach.runtime.codes import Failure
+from otterreach.runtime.records import ItemChange
 from otterreach.runtime.store import ReplicatedStore
 
 
@@ -24,33 +25,33 @@
     def number(self) -> int:
         """The epoch."""
 
-    def revise(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
-        """Change items; True once all copies have them, False if that is not sure."""
+    def propose(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
+        """Change items; True once all replicas have the changes, False if that is not sure."""
 
     async def confirm(self) -> bool:
         """Whether this is the primary now."""
 
     async def committed(self) -> bool:
-        """Whether this is the primary now, and all of `state` as it was when this was called is at all copies."""
+        """Whether this is the primary now, and all replicas have `state` as it was at the call."""
 
 
 class Resource(Protocol):
     """Handles the calls of one resource, at the primary."""
 
-    async def handle(self, call: Operate) -> Operated:
+    async def handle(self, call: ApiCall) -> ApiResponse:
         """The answer. The caller may stop waiting for it at any moment."""
 
 
-OK = Operated(200)
-UNCLEAR = Operated(503)  # accepted or not: the caller sends it again, to another machine
-METHOD_NOT_ALLOWED = Operated(405)
-NOT_FOUND = Operated(404)
+OK = ApiResponse(200)
+UNAVAILABLE = ApiResponse(503)  # accepted or not: the caller sends it again, to another machine
+METHOD_NOT_ALLOWED = ApiResponse(405)
+NOT_FOUND = ApiResponse(404)
 
 
-def refusal(failure: Failure) -> Operated:
+def rejection(failure: Failure) -> ApiResponse:
     """The status that goes with a failure, with its code and reason as the body."""
     body = json.dumps({"code": int(failure.code), "reason": failure.reason}).encode()
-    return Operated(config.status_of(failure), body)
+    return ApiResponse(config.status_of(failure), body)
 
 
 def last_segment(path: str) -> str:
@@ -58,16 +59,11 @@
     return path.rpartition("/")[2]
 
 
-async def write(control: ControlState, changes: Iterable[tuple[str, bytes]]) -> bool:
-    """Change items. A caller that stops waiting does not end the write."""
-    return await asyncio.shield(control.revise(changes))
+async def write(control: ControlState, changes: Iterable[ItemChange]) -> bool:
+    """Change items. A caller that stops waiting does not cancel the write."""
+    return await asyncio.shield(control.propose(changes))
 
 
-async def when_committed(control: ControlState, answer: Operated) -> Operated:
+async def when_committed(control: ControlState, answer: ApiResponse) -> ApiResponse:
     """`answer`, which rests on the present state, once that state can't be lost any more."""
-    return answer if await control.committed() else UNCLEAR
-
-
-def encode_item(value: Any) -> bytes:
-    """The value of an item of the control state."""
-    return json.dumps(value).encode()
+    return answer if await control.committed() else UNAVAILABLE
--- a/otterreach/controller/api/router.py
+++ b/otterreach/controller/api/router.py
@@ -1,6 +1,6 @@
-"""Finds the resource of a call, here or at the primary controller, and keeps the answer within the caller's patience.
+"""Finds the resource of a call, here or at the primary controller, and answers before the caller gives up.
 
-Any controller takes a call. What only the primary may decide is passed on to it once, and its answer handed back. A
+Any controller takes a call. What only the primary may decide is forwarded to it once, and its answer returned. A
 caller moves on after a second of silence, so a call that takes longer gets 503 before that: what it wrote may still be
 accepted, and the same call sent again is answered by it.
 """
@@ -9,34 +9,39 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
 
 from otterreach.controller.api.configuration import ConfigurationResource
-from otterreach.controller.api.resource import NOT_FOUND, UNCLEAR, Resource, last_segment
+from otterreach.controller.api.resource import NOT_FOUND, UNAVAILABLE, Resource, last_segment
 from otterreach.controller.api.retirement import RetirementResource
-from otterreach.controller.api.servers import ServerResource, read_server, updated
+from otterreach.controller.api.servers import ServerResource, merge_heartbeat, read_heartbeat
 from otterreach.controller.api.versions import VersionResource
-from otterreach.controller.messages import Operate, Operated
-from otterreach.controller.planner import Stores
-from otterreach.controller.replication import Control
+from otterreach.controller.messages import ApiCall, ApiResponse
+from otterreach.controller.planner import StoreMembers
+from otterreach.controller.replication import ControlReplication
 from otterreach.controller.survival import limits_of
-from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.codes import Failure
 from otterreach.runtime.http import Reply
+from otterreach.runtime.records import ServerRecord
 from otterreach.runtime.relay import Follower
 from otterreach.runtime.rpc import Link
 from otterreach.runtime.settings import Settings
 from otterreach.sidecar import http1
 
-ANSWER_S = 0.8  # the primary answers within this
-FORWARD_EXTRA_S = 0.05  # so much longer a controller that passed a call on waits for the primary
-PRIMARY_CHECK_S = 0.05  # between two looks whether the primary that a call was passed on to is still heard
+ANSWER_TIMEOUT_S = 0.8  # the primary answers within this
+FORWARD_EXTRA_S = 0.05  # so much longer a controller that forwarded a call waits for the primary
+PRIMARY_CHECK_S = 0.05  # between two looks whether the primary that a call was forwarded to is still heard
 BODY_BYTES_PER_S = 2_000_000  # callers are more patient with large bodies
-COPY_AGE_S = 1.0  # a controller answers from its own copy of the control state only while that is not older
+MAX_STATE_AGE_S = 1.0  # a controller answers from its own replica only while that is not older
 
+CONFIGURATION = "config"
+SERVERS = "servers"
+VERSIONS = "version-put"
+RETIREMENTS = "retire"
 
-def answer_within_s(call: Operate) -> float:
+
+def answer_within_s(call: ApiCall) -> float:
     """How long the primary may take for a call."""
-    return ANSWER_S + len(call.body) / BODY_BYTES_PER_S
+    return ANSWER_TIMEOUT_S + len(call.body) / BODY_BYTES_PER_S
 
 
 class ApiRouter:
@@ -45,81 +50,89 @@
     def __init__(
         self,
         settings: Settings,
-        control: Control,
+        control: ControlReplication,
         follower: Follower,
-        stores: Callable[[], Stores | None],
-        server_heard: Callable[[str], None],
+        stores: Callable[[], StoreMembers | None],
+        record_server_heartbeat: Callable[[str], None],
     ) -> None:
-        self.control, self.follower, self.server_heard = control, follower, server_heard
+        """:param stores: the job store nodes that are alive; None while that is not known."""
+        self.control = control
+        self.follower = follower
+        self.record_server_heartbeat = record_server_heartbeat
         published = follower.store
         self.resources: dict[str, Resource] = {
-            "config": ConfigurationResource(control, published),
-            "servers": ServerResource(control),
-            "version-put": VersionResource(control),
-            "retire": RetirementResource(control, published, stores, limits_of(settings)),
+            CONFIGURATION: ConfigurationResource(control, published),
+            SERVERS: ServerResource(control),
+            VERSIONS: VersionResource(control),
+            RETIREMENTS: RetirementResource(control, published, stores, limits_of(settings)),
         }
-        control.endpoint.on(Operate, self._forwarded)
+        control.endpoint.on(ApiCall, self.handle_forwarded)
 
     async def handle(self, request: http1.Request) -> Reply:
         """A call as it came in over HTTP."""
-        call = Operate(
+        call = ApiCall(
             request.method.decode("latin-1"),
             request.target.partition(b"?")[0].decode("latin-1"),
             request.headers.get(b"if-match", b"").decode("latin-1"),
             request.body,
         )
-        kind = _kind_of(call)
-        if kind not in self.resources:
+        name = _resource_name(call)
+        if name not in self.resources:
             return Reply(404)
-        if kind == "servers":
-            self.server_heard(last_segment(call.path))
+        if name == SERVERS:
+            self.record_server_heartbeat(last_segment(call.path))
             if self._is_known_heartbeat(call):
                 return Reply(200, b"{}")
-        answer = await (self._decide(call) if self.control.is_primary else self._pass_on(call))
+        answer = await (self._decide(call) if self.control.is_primary else self._forward(call))
         return Reply(answer.status, answer.body)
 
-    def _is_known_heartbeat(self, call: Operate) -> bool:
-        """A heartbeat that tells nothing new is noted here; only changes go to the primary. A controller that is cut
-        off acknowledges none, so that the server turns to one that others hear."""
-        if call.method != "PUT" or self.follower.age_s() > COPY_AGE_S:
+    def _is_known_heartbeat(self, call: ApiCall) -> bool:
+        """Whether a heartbeat tells nothing new: only changes go to the primary.
+
+        A controller that is disconnected acknowledges none, so that the server turns to one that others hear.
+        """
+        if call.method != "PUT" or self.follower.age_s() > MAX_STATE_AGE_S:
+            return False
+        heartbeat = read_heartbeat(call.body)
+        known = self.follower.store.record(ServerRecord, last_segment(call.path))
+        if known is None or isinstance(heartbeat, Failure):
             return False
-        heartbeat = read_server(call.body)
-        known: dict[str, Any] | None = self.follower.store.get(f"server/{last_segment(call.path)}")
-        return known is not None and not isinstance(heartbeat, Failure) and updated(known, heartbeat) is None
+        return merge_heartbeat(known, heartbeat) is None
 
-    async def _decide(self, call: Operate) -> Operated:
+    async def _decide(self, call: ApiCall) -> ApiResponse:
         """The answer of this controller, as the primary."""
-        resource = self.resources.get(_kind_of(call))
+        resource = self.resources.get(_resource_name(call))
         if resource is None:
             return NOT_FOUND
         try:
             async with asyncio.timeout(answer_within_s(call)):
                 return await resource.handle(call)
         except TimeoutError:
-            return UNCLEAR
+            return UNAVAILABLE
 
-    async def _pass_on(self, call: Operate) -> Operated:
-        """The primary's answer; UNCLEAR as soon as the primary is not heard any more."""
+    async def _forward(self, call: ApiCall) -> ApiResponse:
+        """The primary's answer; UNAVAILABLE as soon as the primary is not heard any more."""
         address = self.control.heard_primary_address
         if not address:
-            return UNCLEAR
+            return UNAVAILABLE
         timeout_s = answer_within_s(call) + FORWARD_EXTRA_S
         asked = self.control.endpoint.spawn(self.control.endpoint.call(address, call, timeout_s))
         while not asked.done():
             await asyncio.wait([asked], timeout=PRIMARY_CHECK_S)
             if not asked.done() and self.control.heard_primary_address != address:
-                return UNCLEAR
-        answer: Operated | Failure = asked.result()
-        return UNCLEAR if isinstance(answer, Failure) else answer
+                return UNAVAILABLE
+        answer = asked.result()
+        return UNAVAILABLE if isinstance(answer, Failure) else answer
 
-    async def _forwarded(self, link: Link, call: Operate) -> Operated | Failure:
-        """A call that another controller passed on."""
+    async def handle_forwarded(self, link: Link, call: ApiCall) -> ApiResponse | Failure:
+        """A call that another controller forwarded."""
         if not self.control.is_primary:
-            return Failure(Code.NOT_PRIMARY, self.control.primary_address)
-        if _kind_of(call) == "servers":
-            self.server_heard(last_segment(call.path))
+            return self.control.not_primary()
+        if _resource_name(call) == SERVERS:
+            self.record_server_heartbeat(last_segment(call.path))
         return await self._decide(call)
 
 
-def _kind_of(call: Operate) -> str:
+def _resource_name(call: ApiCall) -> str:
+    """The first segment of the path."""
     return call.path.strip("/").partition("/")[0]
--- a/otterreach/controller/api/servers.py
+++ b/otterreach/controller/api/servers.py
@@ -7,63 +7,75 @@
 from __future__ import annotations
 
 import json
-from typing import Any
+from dataclasses import replace
 
 from otterreach.controller.api.resource import (
     METHOD_NOT_ALLOWED,
     OK,
-    UNCLEAR,
+    UNAVAILABLE,
     ControlState,
-    encode_item,
     last_segment,
-    refusal,
+    rejection,
     when_committed,
     write,
 )
-from otterreach.controller.messages import Operate, Operated
+from otterreach.controller.messages import ApiCall, ApiResponse
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.log import log
-
-Server = dict[str, Any]  # the value of an item server/ID
-COMPARED = ("backend", "addr", "az", "cap", "state", "models")  # a heartbeat that changes none of these is no news
+from otterreach.runtime.records import (
+    ItemChange,
+    ModelVersion,
+    ServerRecord,
+    ServerState,
+    delete,
+    key_of,
+    put,
+)
 
 
-def read_server(body: bytes) -> Server | Failure:
-    """What is kept of a heartbeat."""
+def read_heartbeat(body: bytes) -> ServerRecord | Failure:
+    """What is kept of a heartbeat; CONFIG_FIELD if it can't be read."""
     try:
         raw = json.loads(body)
-        return {
-            "backend": str(raw["backend"]),
-            "addr": str(raw["addr"]),
-            "az": str(raw.get("az", "")),
-            "cap": int(raw.get("cap", 1)),
-            "state": "up" if raw["state"] == "up" else "draining",
-            "models": [{"name": str(m["name"]), "gen": int(m["gen"])} for m in raw.get("models") or []],
-            "warm_ms": int(raw.get("warmLeftMs", 0)),
-            "calls": int(raw.get("calls", 0)),
-        }
+        return ServerRecord(
+            service=str(raw["backend"]),
+            address=str(raw["addr"]),
+            zone=str(raw.get("az", "")),
+            capacity=int(raw.get("cap", 1)),
+            state=ServerState.UP if raw["state"] == ServerState.UP else ServerState.DRAINING,
+            models=tuple(ModelVersion(str(model["name"]), int(model["gen"])) for model in raw.get("models") or []),
+            warmup_left_ms=int(raw.get("warmLeftMs", 0)),
+            calls=int(raw.get("calls", 0)),
+        )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         return Failure(Code.CONFIG_FIELD, f"registration: {error!r}")
 
 
-def updated(known: Server | None, heartbeat: Server) -> Server | None:
-    """What is to be kept after a heartbeat, or None if it is late or tells nothing new."""
+def merge_heartbeat(known: ServerRecord | None, heartbeat: ServerRecord) -> ServerRecord | None:
+    """The record after a heartbeat, or None if the heartbeat is late or tells nothing new."""
     if known is None:
         return heartbeat
-    if heartbeat["calls"] < known["calls"] or _would_come_back(known, heartbeat):
+    if heartbeat.calls < known.calls or _would_come_back(known, heartbeat):
         return None
-    merged = heartbeat | {"models": _newest_models(known["models"], heartbeat["models"])}
-    return None if all(known[name] == merged[name] for name in COMPARED) else merged
+    merged = replace(heartbeat, models=_newest_models(known, heartbeat))
+    return None if _tells_the_same(known, merged) else merged
 
 
-def _would_come_back(known: Server, heartbeat: Server) -> bool:
-    return bool(known["state"] == "draining" and heartbeat["state"] == "up")
+def _would_come_back(known: ServerRecord, heartbeat: ServerRecord) -> bool:
+    return known.state == ServerState.DRAINING and heartbeat.state == ServerState.UP
 
 
-def _newest_models(known: list[dict[str, Any]], told: list[dict[str, Any]]) -> list[dict[str, Any]]:
+def _newest_models(known: ServerRecord, heartbeat: ServerRecord) -> tuple[ModelVersion, ...]:
     """A load may be known here before the server tells of it; within one incarnation versions only rise."""
-    newest = {model["name"]: model["gen"] for model in known}
-    return [{"name": m["name"], "gen": max(m["gen"], newest.get(m["name"], m["gen"]))} for m in told]
+    return tuple(
+        ModelVersion(model.name, max(model.version, known.version_of(model.name) or model.version))
+        for model in heartbeat.models
+    )
+
+
+def _tells_the_same(known: ServerRecord, heartbeat: ServerRecord) -> bool:
+    """Whether only the count of calls, the warm-up or the silence differs: that is not worth a write."""
+    return known == replace(heartbeat, warmup_left_ms=known.warmup_left_ms, calls=known.calls, silent=known.silent)
 
 
 class ServerResource:
@@ -72,43 +84,45 @@
     def __init__(self, control: ControlState) -> None:
         self.control = control
 
-    async def handle(self, call: Operate) -> Operated:
-        ident = last_segment(call.path)
+    async def handle(self, call: ApiCall) -> ApiResponse:
+        """Answer a call, at the primary."""
+        server = last_segment(call.path)
         if call.method == "DELETE":
-            return await self._remove(ident)
+            return await self._remove(server)
         if call.method != "PUT":
             return METHOD_NOT_ALLOWED
-        heartbeat = read_server(call.body)
+        heartbeat = read_heartbeat(call.body)
         if isinstance(heartbeat, Failure):
-            return refusal(heartbeat)
-        return await self._register(ident, heartbeat)
+            return rejection(heartbeat)
+        return await self._register(server, heartbeat)
 
-    async def _remove(self, ident: str) -> Operated:
-        """Also of one that isn't known: a heartbeat that comes late must not register it."""
-        item = self.control.state.items.get(f"server/{ident}")
-        if item is not None and item.gone:
+    async def _remove(self, server: str) -> ApiResponse:
+        """Also one that isn't known: a heartbeat that comes late must not register it."""
+        item = self.control.state.items.get(key_of(ServerRecord, server))
+        if item is not None and item.is_tombstone:
             return await when_committed(self.control, OK)
-        done = await write(self.control, [(f"server/{ident}", b"")])
-        log("server_gone", server=ident, done=done)
-        return OK if done else UNCLEAR
-
-    async def _register(self, ident: str, heartbeat: Server) -> Operated:
-        key, state = f"server/{ident}", self.control.state
-        item, known = state.items.get(key), state.get(key)
-        is_gone = item is not None and item.gone
-        value = None if is_gone else updated(known, heartbeat)
-        if value is None:
+        done = await write(self.control, [delete(ServerRecord, server)])
+        log("server_gone", server=server, done=done)
+        return OK if done else UNAVAILABLE
+
+    async def _register(self, server: str, heartbeat: ServerRecord) -> ApiResponse:
+        state = self.control.state
+        item = state.items.get(key_of(ServerRecord, server))
+        known = state.record(ServerRecord, server)
+        is_gone = item is not None and item.is_tombstone
+        record = None if is_gone else merge_heartbeat(known, heartbeat)
+        if record is None:
             return await when_committed(self.control, OK)
-        done = await write(self.control, [*self._former_at(value["addr"], ident), (key, encode_item(value))])
-        if known is None or known["state"] != value["state"]:
-            log("server", server=ident, state=value["state"], backend=value["backend"], done=done)
-        return OK if done else UNCLEAR
+        done = await write(self.control, [*self._former_at(record.address, server), put(record, server)])
+        if known is None or known.state != record.state:
+            log("server", server=server, state=record.state, service=record.service, done=done)
+        return OK if done else UNAVAILABLE
 
-    def _former_at(self, address: str, ident: str) -> list[tuple[str, bytes]]:
+    def _former_at(self, address: str, server: str) -> list[ItemChange]:
         """Other servers at this address are gone, whether they said so or not."""
-        servers = self.control.state.named("server")
+        servers = self.control.state.records(ServerRecord)
         return [
-            (f"server/{other}", b"")
-            for other, server in servers.items()
-            if server["addr"] == address and other != ident
+            delete(ServerRecord, other)
+            for other, record in servers.items()
+            if record.address == address and other != server
         ]
--- a/otterreach/controller/api/versions.py
+++ b/otterreach/controller/api/versions.py
@@ -8,16 +8,16 @@
 from otterreach.controller.api.resource import (
     METHOD_NOT_ALLOWED,
     OK,
-    UNCLEAR,
+    UNAVAILABLE,
     ControlState,
-    encode_item,
-    refusal,
+    rejection,
     when_committed,
     write,
 )
-from otterreach.controller.messages import Operate, Operated
+from otterreach.controller.messages import ApiCall, ApiResponse
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.log import log
+from otterreach.runtime.records import VersionRecord, put
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,11 +25,11 @@
     """A version of a model's weights."""
 
     model: str
-    gen: int
+    version: int
 
 
 def read_version(body: bytes) -> NamedVersion | Failure:
-    """The body of the call."""
+    """The body of the call; CONFIG_FIELD if it can't be read."""
     try:
         raw = json.loads(body)
         return NamedVersion(str(raw["model"]), int(raw["gen"]))
@@ -43,16 +43,16 @@
     def __init__(self, control: ControlState) -> None:
         self.control = control
 
-    async def handle(self, call: Operate) -> Operated:
+    async def handle(self, call: ApiCall) -> ApiResponse:
+        """Answer a call, at the primary."""
         if call.method != "POST":
             return METHOD_NOT_ALLOWED
-        version = read_version(call.body)
-        if isinstance(version, Failure):
-            return refusal(version)
-        key = f"version/{version.model}"
-        newest = self.control.state.get(key)
-        if newest and newest["gen"] >= version.gen:
+        named = read_version(call.body)
+        if isinstance(named, Failure):
+            return rejection(named)
+        newest = self.control.state.record(VersionRecord, named.model)
+        if newest and newest.version >= named.version:
             return await when_committed(self.control, OK)
-        done = await write(self.control, [(key, encode_item({"gen": version.gen}))])
-        log("version", model=version.model, gen=version.gen, done=done)
-        return OK if done else UNCLEAR
+        done = await write(self.control, [put(VersionRecord(named.version), named.model)])
+        log("version", model=named.model, version=named.version, done=done)
+        return OK if done else UNAVAILABLE
--- a/otterreach/controller/change_history.py
+++ b/otterreach/controller/change_history.py
@@ -9,25 +9,15 @@
 from __future__ import annotations
 
 import hashlib
-import json
-from dataclasses import dataclass
-from typing import Any
 
+from otterreach.runtime.configuration import ConfigurationRecord
+from otterreach.runtime.records import AcceptedChange, ItemChange, put
 from otterreach.runtime.store import Item, ReplicatedStore
 
-KIND = "change"  # of the items; only controllers need them
 CHANGES_REMEMBERED = 4096  # three days of 1,300 changes
 DIGEST_BYTES = 16
 
 
-@dataclass(frozen=True, slots=True)
-class AcceptedChange:
-    """A change by the version that it was accepted on, and the digest of its call."""
-
-    base: int
-    digest: str
-
-
 def digest_of(method: str, base: int, body: bytes) -> str:
     """Names one call: its method, the version that it builds on, and its exact body."""
     digest = hashlib.blake2b(f"{method} {base}\n".encode(), digest_size=DIGEST_BYTES)
@@ -36,7 +26,7 @@
 
 
 class ChangeHistory:
-    """The newest accepted changes."""
+    """The newest accepted changes, by their slots in the ring."""
 
     def __init__(self, slots: dict[int, AcceptedChange], complete_from: int) -> None:
         self._slots = slots
@@ -47,15 +37,17 @@
     @classmethod
     def follow(cls, state: ReplicatedStore) -> ChangeHistory:
         """The history that goes with the configuration in `state`, read once and then kept up with it."""
-        slots = {int(slot): _decode(value) for slot, value in state.named(KIND).items()}
-        config = state.get("config")
-        version = config["gen"] if config else 0
+        slots = {int(slot): change for slot, change in state.records(AcceptedChange).items()}
+        configuration = state.record(ConfigurationRecord)
+        version = configuration.version if configuration else 0
         history = cls(slots, min((change.base for change in slots.values()), default=version))
-        state.watch(KIND, history._take)
+        state.watch(AcceptedChange, history.apply)
         return history
 
-    def _take(self, item: Item) -> None:
-        slot, change = int(item.key.partition("/")[2]), _decode(json.loads(item.value))
+    def apply(self, item: Item) -> None:
+        """A change has been accepted: it takes the place of the oldest."""
+        slot = int(item.name)
+        change = AcceptedChange.decode(item.value)
         former = self._slots.get(slot)
         self._slots[slot] = change
         self._digests[change.base] = change.digest
@@ -72,15 +64,10 @@
         """Whether a change on this version may have been accepted longer ago than is remembered."""
         return base < self._complete_from
 
-    def item(self, change: AcceptedChange) -> tuple[str, bytes]:
-        """Key and value of the item to be written for a change that is accepted now."""
+    def item_for(self, change: AcceptedChange) -> ItemChange:
+        """The item to be written for a change that is accepted now."""
         slot = (self._newest_slot + 1) % CHANGES_REMEMBERED
-        value = {"base": change.base, "digest": change.digest}
-        return f"{KIND}/{slot}", json.dumps(value, separators=(",", ":")).encode()
-
-
-def _decode(value: dict[str, Any]) -> AcceptedChange:
-    return AcceptedChange(value["base"], value["digest"])
+        return put(change, str(slot))
 
 
 EMPTY_HISTORY = ChangeHistory({}, 0)
--- a/otterreach/controller/config.py
+++ b/otterreach/controller/config.py
@@ -1,4 +1,4 @@
-"""Changes of the operator's configuration: which are accepted, which are refused, and which are repeats.
+"""Changes of the operator's configuration: which are accepted, which are rejected, and which are repeats.
 
 Every function here is pure: it decides on one state of the control state, and nothing is changed by it.
 """
@@ -10,16 +10,17 @@
 from enum import Enum
 from typing import Any
 
-from otterreach.controller.change_history import EMPTY_HISTORY, AcceptedChange, ChangeHistory, digest_of
-from otterreach.controller.config_patch import NO_CONFIG, apply_patch
-from otterreach.controller.config_schema import Config, read_body, validate
+from otterreach.controller.change_history import EMPTY_HISTORY, ChangeHistory, digest_of
+from otterreach.controller.config_patch import EMPTY_DOCUMENT, apply_patch
+from otterreach.controller.config_schema import Document, read_body, validate
 from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.records import AcceptedChange
 
 _IF_MATCH = re.compile(r'\s*(?:W/)?("?)([0-9]{1,18})\1\s*')
 
 
 class Verdict(Enum):
-    """What a change is, if it is neither a new configuration nor refused."""
+    """What a change is, if it is neither a new configuration nor rejected."""
 
     ALREADY = "already"  # exactly this change was accepted before: the answer is 200, and nothing changes
 
@@ -39,16 +40,16 @@
 
 
 def check_change(
-    method: str, body: bytes, current: Config | None, if_match: int, history: ChangeHistory
-) -> Config | Verdict | Failure:
-    """The configuration that a PUT or PATCH makes of the current one, ALREADY, or why it is refused."""
+    method: str, body: bytes, current: Document | None, if_match: int, history: ChangeHistory
+) -> Document | Verdict | Failure:
+    """The configuration that a PUT or PATCH makes of the current one, ALREADY, or why it is rejected."""
     check = check_whole if method == "PUT" else check_patch
     return check(body, current, if_match, history)
 
 
 def check_whole(
-    body: bytes, current: Config | None, if_match: int, history: ChangeHistory = EMPTY_HISTORY
-) -> Config | Verdict | Failure:
+    body: bytes, current: Document | None, if_match: int, history: ChangeHistory = EMPTY_HISTORY
+) -> Document | Verdict | Failure:
     """A PUT's body as the next configuration. ALREADY: it is the current one, or was accepted before."""
     if history.has(change_of("PUT", body, if_match)):
         return ALREADY
@@ -57,17 +58,19 @@
         return raw
     if current is not None and _same_value(raw, current):
         return ALREADY
-    if (fault := validate(raw)) is not None:
-        return fault
-    fault = _check_order(raw["gen"], current, if_match, history)
-    return raw if fault is None else fault
+    failure = validate(raw)
+    if failure is None:
+        failure = _check_order(raw["gen"], current, if_match, history)
+    return raw if failure is None else failure
 
 
 def check_patch(
-    body: bytes, current: Config | None, if_match: int, history: ChangeHistory = EMPTY_HISTORY
-) -> Config | Verdict | Failure:
-    """A PATCH's body applied to the current configuration. ALREADY: it was accepted before. That it would change
-    nothing is no proof of it: another operator's change may have done the same and more."""
+    body: bytes, current: Document | None, if_match: int, history: ChangeHistory = EMPTY_HISTORY
+) -> Document | Verdict | Failure:
+    """A PATCH's body applied to the current configuration. ALREADY: it was accepted before.
+
+    That it would change nothing is no proof of that: another operator's change may have done the same and more.
+    """
     if history.has(change_of("PATCH", body, if_match)):
         return ALREADY
     patch = read_body(body)
@@ -77,17 +80,17 @@
     if type(gen) is not int:
         return Failure(Code.CONFIG_FIELD, "gen: a whole number is needed")
     # Before it is applied: on another version than it was made for, a proper patch may look invalid.
-    if (fault := _check_order(gen, current, if_match, history)) is not None:
-        return fault
-    changed = apply_patch(patch, NO_CONFIG if current is None else current)
+    if (failure := _check_order(gen, current, if_match, history)) is not None:
+        return failure
+    changed = apply_patch(patch, EMPTY_DOCUMENT if current is None else current)
     if isinstance(changed, Failure):
         return changed
-    fault = validate(changed)
-    return changed if fault is None else fault
+    failure = validate(changed)
+    return changed if failure is None else failure
 
 
-def _check_order(gen: int, current: Config | None, if_match: int, history: ChangeHistory) -> Failure | None:
-    """Stale before old: a write race that was lost is told as one."""
+def _check_order(gen: int, current: Document | None, if_match: int, history: ChangeHistory) -> Failure | None:
+    """A stale base is reported before an old number, so that a lost write race is reported as one."""
     version = current["gen"] if current else 0
     if history.is_forgotten(if_match):
         return Failure(Code.CONFIG_FORGOTTEN, f"If-Match: {if_match} is older than the changes that are remembered")
@@ -98,7 +101,7 @@
     return None
 
 
-def _same_value(one: Config, other: Config) -> bool:
+def _same_value(one: Document, other: Document) -> bool:
     """1, 1.0 and true differ; blanks and the order of keys don't."""
     return one.get("gen") == other["gen"] and _canonical(one) == _canonical(other)
 
@@ -111,7 +114,7 @@
 
 
 def status_of(failure: Failure) -> int:
-    """The HTTP status of a refusal at the operator's API; 503 sends the caller on to another machine."""
+    """The HTTP status of a rejection at the operator's API; 503 sends the caller on to another machine."""
     if failure.code in _STATUSES:
         return _STATUSES[failure.code]
     return 400 if Code.CONFIG_UNREADABLE <= failure.code <= Code.CONFIG_NAMES else 503
--- a/otterreach/controller/config_patch.py
+++ b/otterreach/controller/config_patch.py
@@ -4,15 +4,19 @@
 
 from typing import Any
 
-from otterreach.controller.config_schema import Config, first_duplicate
+from otterreach.controller.config_schema import Document, first_duplicate
 from otterreach.runtime.codes import Code, Failure
 
-NO_CONFIG: Config = {"gen": 0, "routes": [], "backends": []}  # what the first PATCH builds on
+EMPTY_DOCUMENT: Document = {"gen": 0, "routes": [], "backends": []}  # what the first PATCH builds on
 
 
-def apply_patch(patch: Config, base: Config) -> Config | Failure:
-    """Removals, then upserts: a replaced item keeps its place, a new one goes to the end. `base` stays as it is."""
-    upsert, remove = patch.get("upsert") or {}, patch.get("remove") or {}
+def apply_patch(patch: Document, base: Document) -> Document | Failure:
+    """Removals, then upserts: a replaced item keeps its position, a new one goes to the end. `base` is not changed.
+
+    :returns: the changed document, which still has to be validated; CONFIG_FIELD or CONFIG_NAMES for an unusable patch
+    """
+    upsert = patch.get("upsert") or {}
+    remove = patch.get("remove") or {}
     for key, value in (("upsert", upsert), ("remove", remove)):
         if not isinstance(value, dict):
             return Failure(Code.CONFIG_FIELD, f"{key}: an object is needed")
--- a/otterreach/controller/config_schema.py
+++ b/otterreach/controller/config_schema.py
@@ -12,30 +12,34 @@
 from typing import Any
 
 from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.configuration import ROLLOUT
 
-Config = dict[str, Any]  # as it came, unknown fields included
-ROLLOUT = "rollout"
+Document = dict[str, Any]  # a configuration as it came, unknown fields included
 
 
 def _alias(name: str) -> Any:
-    """A field by its name on the wire."""
+    """An optional field by its name on the wire."""
     return field(default=None, metadata={"alias": name})
 
 
 @dataclass(slots=True)
-class Share:
+class ShareSchema:
+    """One part of a split."""
+
     backend: str
     weight: float
 
 
 @dataclass(slots=True)
-class Route:
+class RouteSchema:
+    """A route; times in the unit of their names."""
+
     name: str
     host: str
     prefix: str
     kind: str
     backend: str | None = None
-    split: list[Share] | None = None
+    split: list[ShareSchema] | None = None
     timeout_ms: float | None = _alias("timeoutMs")
     target_ms: float | None = _alias("targetMs")
     due_ms: float | None = _alias("dueMs")
@@ -45,14 +49,18 @@
 
 
 @dataclass(slots=True)
-class Backend:
+class BackendSchema:
+    """A service: a group of servers."""
+
     name: str
     probe: str | None = None
     max_conns: int | None = _alias("maxConns")
 
 
 @dataclass(slots=True)
-class Caps:
+class CapsSchema:
+    """Limits for clients."""
+
     header_bytes: float | None = _alias("headerBytes")
     body_bytes: float | None = _alias("bodyBytes")
     header_ms: float | None = _alias("headerMs")
@@ -60,11 +68,13 @@
 
 
 @dataclass(slots=True)
-class Configuration:
+class ConfigurationSchema:
+    """The fields of a configuration whose types are checked."""
+
     gen: int
-    routes: list[Route]
-    backends: list[Backend]
-    caps: Caps | None = None
+    routes: list[RouteSchema]
+    backends: list[BackendSchema]
+    caps: CapsSchema | None = None
 
 
 def _integer(value: Any) -> int:
@@ -86,7 +96,7 @@
 
 
 @functools.cache
-def _decoder() -> Callable[[Any], Configuration]:
+def _decoder() -> Callable[[Any], ConfigurationSchema]:
     from mashumaro.codecs.basic import BasicDecoder  # imported late: a start that reads no configuration is lighter
     from mashumaro.dialect import Dialect
 
@@ -97,7 +107,7 @@
             str: {"deserialize": _text},
         }
 
-    return BasicDecoder(Configuration, default_dialect=Strict).decode
+    return BasicDecoder(ConfigurationSchema, default_dialect=Strict).decode
 
 
 def _field_path(error: BaseException | None) -> str:
@@ -113,7 +123,7 @@
     return path or "configuration"
 
 
-def _typed(raw: Config) -> Configuration | Failure:
+def _typed(raw: Document) -> ConfigurationSchema | Failure:
     for kind in ("routes", "backends"):
         rows = raw.get(kind)
         if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
@@ -135,8 +145,8 @@
     return value
 
 
-def read_body(body: bytes) -> Config | Failure:
-    """A JSON object, in UTF-8 and with finite numbers only."""
+def read_body(body: bytes) -> Document | Failure:
+    """The JSON object of a body, in UTF-8 and with finite numbers only; CONFIG_UNREADABLE if it is anything else."""
     try:
         raw = json.loads(body.decode("utf-8"), parse_constant=_refuse_constant, parse_float=_finite)
     except (ValueError, RecursionError) as error:
@@ -146,7 +156,7 @@
     return raw
 
 
-def _check_route(route: Route, services: Collection[str]) -> Failure | None:
+def _check_route(route: RouteSchema, services: Collection[str]) -> Failure | None:
     shares = route.split
     if route.backend is None and shares is None:
         return Failure(Code.CONFIG_FIELD, f"routes.backend: missing in {route.name}")
@@ -175,22 +185,24 @@
     return None
 
 
-def validate(raw: Config) -> Failure | None:
-    """What is wrong with a whole configuration by itself, without regard to the current one."""
-    whole = _typed(raw)
-    if isinstance(whole, Failure):
-        return whole
-    if whole.gen <= 0:
-        return Failure(Code.CONFIG_OLD_NUMBER, f"gen: {whole.gen} is not above 0")
-    for kind, names in (("routes", [r.name for r in whole.routes]), ("backends", [b.name for b in whole.backends])):
+def validate(raw: Document) -> Failure | None:
+    """What is wrong with a complete configuration by itself, without regard to the current one; None if nothing is."""
+    configuration = _typed(raw)
+    if isinstance(configuration, Failure):
+        return configuration
+    if configuration.gen <= 0:
+        return Failure(Code.CONFIG_OLD_NUMBER, f"gen: {configuration.gen} is not above 0")
+    routes = configuration.routes
+    backends = configuration.backends
+    for kind, names in (("routes", [r.name for r in routes]), ("backends", [b.name for b in backends])):
         if (name := first_duplicate(names)) is not None:
             return Failure(Code.CONFIG_NAMES, f"{kind}.name: {name!r} stands twice")
-    services = {backend.name for backend in whole.backends}
-    places: dict[tuple[str, str], str] = {}
-    for route in whole.routes:
-        if (fault := _check_route(route, services)) is not None:
-            return fault
-        other = places.setdefault((route.host.lower(), route.prefix), route.name)
+    services = {backend.name for backend in backends}
+    by_match: dict[tuple[str, str], str] = {}  # host and prefix -> the route's name
+    for route in routes:
+        if (failure := _check_route(route, services)) is not None:
+            return failure
+        other = by_match.setdefault((route.host.lower(), route.prefix), route.name)
         if other != route.name:
             return Failure(Code.CONFIG_SAME_PLACE, f"routes.prefix: {other} and {route.name} have the same place")
     return None
--- a/otterreach/controller/epochs.py
+++ b/otterreach/controller/epochs.py
@@ -11,7 +11,7 @@
 @message(0)
 @dataclass(slots=True)
 class ControllerInfo:
-    """A controller by the id on its disk: one whose disk was wiped is another controller."""
+    """A controller, by the id on its disk: one whose disk was wiped is another controller."""
 
     id: str
     node: str
@@ -36,10 +36,11 @@
 
     def witness(self, ident: str) -> ControllerInfo | None:
         """The witness with this id."""
-        return next((w for w in self.witnesses if w.id == ident), None)
+        return next((witness for witness in self.witnesses if witness.id == ident), None)
 
 
 def is_majority(ids: Iterable[str], configuration: EpochConfiguration) -> bool:
     """Whether these are more than half of the configuration's witnesses."""
     known = set(ids)
-    return sum(w.id in known for w in configuration.witnesses) * 2 > len(configuration.witnesses)
+    count = sum(witness.id in known for witness in configuration.witnesses)
+    return count * 2 > len(configuration.witnesses)
--- /dev/null
+++ b/otterreach/controller/graceful_shutdown.py
@@ -0,0 +1,101 @@
+"""How a controller shuts down gracefully: it transfers its leadership and its replica first, in bounded time."""
+
+from __future__ import annotations
+
+import asyncio
+
+from otterreach.controller.election import Election
+from otterreach.controller.formation import MembershipChange
+from otterreach.controller.local_replica import LocalReplica
+from otterreach.controller.membership import Membership
+from otterreach.controller.messages import BackupShutdown, TransferLeadership
+from otterreach.controller.primary import Primary
+from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.log import log
+from otterreach.runtime.rpc import Done, Endpoint, Link
+
+SHUTDOWN_TIMEOUT_S = 1.0  # the end is put off for no longer
+CALL_TIMEOUT_S = 0.8
+RETRY_S = 0.05
+
+
+class GracefulShutdown:
+    """The side that shuts down, and the answers of those that stay."""
+
+    def __init__(
+        self, replica: LocalReplica, endpoint: Endpoint, election: Election, primary: Primary, membership: Membership
+    ) -> None:
+        self.replica = replica
+        self.endpoint = endpoint
+        self.election = election
+        self.primary = primary
+        self.membership = membership
+        endpoint.on(TransferLeadership, self.handle_transfer_leadership)
+        endpoint.on(BackupShutdown, self.handle_backup_shutdown)
+
+    # At the one that shuts down ------------------------------------------------------------------
+
+    async def run(self) -> None:
+        """Transfer leadership and replica, within SHUTDOWN_TIMEOUT_S."""
+        self.election.barred = True
+        began = self.replica.loop.time()
+        done = False
+        try:
+            async with asyncio.timeout(SHUTDOWN_TIMEOUT_S):
+                while not (done := not self.replica.is_member) and not await self._transfer():
+                    await asyncio.sleep(RETRY_S)
+                done = True
+        except TimeoutError:
+            pass
+        seconds = round(self.replica.loop.time() - began, 3)
+        log("controller_shutdown", node=self.replica.settings.node, done=done, seconds=seconds)
+
+    async def _transfer(self) -> bool:
+        if self.replica.is_primary:
+            return await self._transfer_leadership()
+        return await self._be_replaced()
+
+    async def _transfer_leadership(self) -> bool:
+        """To the first backup that accepts it, once all writes are answered."""
+        await self.primary.finish_writes()
+        configuration = self.replica.accepted
+        assert configuration is not None
+        request = TransferLeadership(configuration.number, self.replica.id)
+        for ident in configuration.backups:
+            backup = configuration.witness(ident)
+            if backup is None:
+                continue
+            reply = await self.endpoint.call(backup.address, request, CALL_TIMEOUT_S)
+            if isinstance(reply, Done):
+                return True
+        return False
+
+    async def _be_replaced(self) -> bool:
+        """The primary makes another a backup in this one's place."""
+        address = self.replica.heard_primary_address
+        if not address:
+            return False
+        request = BackupShutdown(self.replica.number, self.replica.id)
+        return isinstance(await self.endpoint.call(address, request, CALL_TIMEOUT_S), Done)
+
+    # At those that stay --------------------------------------------------------------------------
+
+    async def handle_transfer_leadership(self, link: Link, request: TransferLeadership) -> Done | Failure:
+        """Lead the next epoch in place of the primary that asks."""
+        if self.replica.number != request.number or self.election.barred or not self.election.may_stand():
+            return Failure(Code.STALE_EPOCH, f"at {self.replica.number}")
+        self.membership.note_shutdown(request.leaving)
+        change = MembershipChange(avoid=self.membership.shutting_down, transfer=True)
+        return Done() if await self.election.run(change) else Failure(Code.NOT_SYNCED, "not elected")
+
+    async def handle_backup_shutdown(self, link: Link, request: BackupShutdown) -> Done | Failure:
+        """Form a configuration that needs no replica at the backup that asks."""
+        if not self.replica.is_primary:
+            return self.replica.not_primary()
+        self.membership.note_shutdown(request.leaving)
+        configuration = self.replica.accepted
+        if configuration and request.leaving in configuration.backups:
+            await self.election.run(MembershipChange(avoid=self.membership.shutting_down))
+        configuration = self.replica.accepted
+        replaced = self.replica.is_primary and configuration and request.leaving not in configuration.members
+        return Done() if replaced else Failure(Code.NOT_SYNCED, "nobody else to hold the replica")
--- a/otterreach/controller/replica_state.py
+++ b/otterreach/controller/local_replica.py
@@ -10,24 +10,21 @@
 from enum import Enum
 
 from otterreach.controller.epochs import ControllerInfo, EpochConfiguration
-from otterreach.controller.messages import Accept, AppendItems, InstallSnapshot, SnapshotCommit, SnapshotPiece
-from otterreach.controller.tombstones import collected_rev
+from otterreach.controller.journal_records import JournalKind, StateReplay, decode_configuration
+from otterreach.controller.messages import Accept, AppendItems, InstallSnapshot, SnapshotChunk, SnapshotCommit
+from otterreach.controller.tombstones import revision_to_collect
 from otterreach.runtime import identity
-from otterreach.runtime.codec import decode, encode
+from otterreach.runtime.codec import encode
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.journal import Journal, Slice
-from otterreach.runtime.journal import Record as JournalRecord
+from otterreach.runtime.journal import Journal, Record, Slice
 from otterreach.runtime.log import log
 from otterreach.runtime.settings import Settings
 from otterreach.runtime.store import ReplicatedStore
 
-# Kinds of journal records.
-IDENTITY, PROMISE, CONFIGURATION, ITEMS, SNAPSHOT = 1, 2, 3, 4, 5
-STAGING, PIECE, COMMIT = 6, 7, 8  # of a copy that is built beside the present one, and takes its place
-STAGING_IDLE_S = 10.0  # a transfer that stopped for so long no longer holds up a rewrite of the journal
+STAGING_IDLE_S = 10.0  # a transfer that stopped for so long no longer delays a rewrite of the journal
 SLICE_BYTES = 32 * 1024  # of the state, encoded in one turn of the loop
-PRIMARY_ADDRESS_VALID_S = 2.0  # how long the primary's address is taken for true after it was last heard
-PRIMARY_SILENT_S = 0.5  # silent for longer: no call is passed on to it
+PRIMARY_ADDRESS_VALID_S = 2.0  # how long the primary's address is taken to be true after it was last heard
+PRIMARY_SILENT_S = 0.5  # silent for longer: no call is forwarded to it
 
 
 class Mode(Enum):
@@ -40,19 +37,20 @@
     FAILED = "failed"  # the disk
 
 
-class ReplicaState:
+class LocalReplica:
     """The state of one controller. `become` is the one function that changes its mode."""
 
     def __init__(self, settings: Settings, journal: Journal) -> None:
-        self.settings, self.journal = settings, journal
+        self.settings = settings
+        self.journal = journal
         self.loop = asyncio.get_running_loop()
         self.mode = Mode.NEW
         self.id = ""
         self.uninitialised = False  # may take part in the very first configuration
         self.promised = 0
         self.accepted: EpochConfiguration | None = None
-        self.store = ReplicatedStore()  # at the primary also what is not yet at all replicas
-        self.staged: ReplicatedStore | None = None  # a copy that is not whole yet
+        self.store = ReplicatedStore()  # at the primary also what not all replicas have yet
+        self.staged: ReplicatedStore | None = None  # a snapshot that is not complete yet
         self.staged_session = ""
         self._staged_at = 0.0
         self.primary_heard_at = self.loop.time()
@@ -62,72 +60,55 @@
         self.on_mode_change: list[Callable[[Mode, Mode], None]] = []
         self.on_step_down: list[Callable[[], None]] = []
 
-    # On disk -------------------------------------------------------------------------------------
+    # The journal ---------------------------------------------------------------------------------
 
-    def load(self, records: Iterable[JournalRecord]) -> None:
+    def load(self, records: Iterable[Record]) -> None:
         """The state as the journal has it; a first start draws an id, which lasts after the next `sync`."""
+        replay = StateReplay()
         for kind, payload in records:
-            self._load_record(kind, payload)
+            self._load_record(kind, payload, replay)
+        self.store = replay.store
+        self.staged = replay.staged
         self.collect_tombstones()
         if not self.id:
-            self.id, self.uninitialised = identity.draw(), self.settings.bootstrap
-            self.journal.append(IDENTITY, self._identity_payload())
+            self.id = identity.draw_disk_id()
+            self.uninitialised = self.settings.bootstrap
+            self.journal.append(JournalKind.IDENTITY, self._identity_payload())
         self.become(Mode.FOLLOWING if self.accepted else Mode.NEW, "start")
 
-    def _load_record(self, kind: int, payload: bytes) -> None:
-        if kind == IDENTITY:
+    def _load_record(self, kind: int, payload: bytes, replay: StateReplay) -> None:
+        if kind == JournalKind.IDENTITY:
             ident, _, uninitialised = payload.decode().partition(" ")
-            self.id, self.uninitialised = ident, uninitialised == "1"
-        elif kind == PROMISE:
+            self.id = ident
+            self.uninitialised = uninitialised == "1"
+        elif kind == JournalKind.PROMISE:
             self.promised = max(self.promised, int(payload))
-        elif kind == CONFIGURATION:
-            configuration: EpochConfiguration = decode(22, payload).configuration[0]
-            self.accepted = configuration
-            self.promised = max(self.promised, configuration.number)
-        elif kind == ITEMS:
-            self.store.apply(decode(25, payload).items)
-        elif kind == SNAPSHOT:
-            snapshot = decode(24, payload)
-            self.store = ReplicatedStore()
-            self.store.apply(snapshot.items)
-            self.promised = max(self.promised, snapshot.number)
-
-        elif kind == STAGING:
-            self.staged = self.store.copy()
-        elif kind == PIECE and self.staged is not None:
-            piece = decode(38, payload)
-            self.staged.overwrite_ranges(piece.ranges, piece.items)
-        elif kind == COMMIT and self.staged is not None:
-            self._put_staged_in_place(decode(39, payload).number)
-
-    # A copy that is being built ------------------------------------------------------------------
+        elif kind == JournalKind.CONFIGURATION:
+            self.accepted = decode_configuration(payload)
+            self.promised = max(self.promised, self.accepted.number)
+        else:
+            self.promised = max(self.promised, replay.apply(kind, payload))
 
-    def begin_staging(self) -> None:
-        """Build a new copy, from the present one. A rewrite of the journal has to wait for it: its slices would mix."""
-        self.journal.abandon_rewrite()
-        self.journal.append(STAGING, b"")
-        self.staged, self._staged_at = self.store.copy(), self.loop.time()
-
-    def stage(self, piece: SnapshotPiece) -> None:
-        """More of it; it lasts after the next `sync`."""
-        assert self.staged is not None
-        self.journal.append(PIECE, encode(piece))
-        self.staged.overwrite_ranges(piece.ranges, piece.items)
-        self._staged_at = self.loop.time()
+    def _identity_payload(self) -> bytes:
+        return f"{self.id} {int(self.uninitialised)}".encode()
 
-    def commit_staged(self, commit: SnapshotCommit) -> None:
-        """It is whole: it replaces the present copy; that lasts after the next `sync`."""
-        self.journal.append(COMMIT, encode(commit))
-        self._put_staged_in_place(commit.number)
-        self.collect_tombstones()
+    def live_records(self) -> Iterator[Slice]:
+        """What the journal has to hold, in slices that each give the state at the time when they are asked for."""
+        yield [(JournalKind.IDENTITY, self._identity_payload())]
+        yield [(JournalKind.SNAPSHOT, encode(InstallSnapshot(min(self.promised, self.number), self.id, [])))]
+        for keys in self.store.key_batches(SLICE_BYTES):
+            items = [self.store.items[key] for key in keys if key in self.store.items]
+            yield [(JournalKind.ITEMS, encode(AppendItems(self.number, items)))]
+        if self.accepted:
+            yield [(JournalKind.CONFIGURATION, encode(Accept([self.accepted])))]
+        yield [(JournalKind.PROMISE, str(self.promised).encode())]
 
-    def _put_staged_in_place(self, number: int) -> None:
-        assert self.staged is not None
-        self.store, self.staged = self.staged, None
-        self.promised = max(self.promised, number)
+    def live_bytes(self) -> int:
+        """About how long a journal is that holds just the present state."""
+        return self.store.bytes
 
     def may_rewrite(self) -> bool:
-        """Whether the journal may be rewritten: not while a copy is being built. One that isn't is dropped."""
+        """Whether the journal may be rewritten: not while a snapshot is being built. An abandoned one is dropped."""
         if self.staged is None:
             return True
         if self.loop.time() - self._staged_at < STAGING_IDLE_S:
@@ -135,27 +116,9 @@
         self.staged = None
         return True
 
-    def _identity_payload(self) -> bytes:
-        return f"{self.id} {int(self.uninitialised)}".encode()
-
-    def live_records(self) -> Iterator[Slice]:
-        """What the journal has to hold, in slices that each tell what is so when they are asked for."""
-        yield [(IDENTITY, self._identity_payload())]
-        yield [(SNAPSHOT, encode(InstallSnapshot(min(self.promised, self.number), self.id, [])))]
-        for keys in self.store.batches(SLICE_BYTES):
-            items = [self.store.items[key] for key in keys if key in self.store.items]
-            yield [(ITEMS, encode(AppendItems(self.number, items)))]
-        if self.accepted:
-            yield [(CONFIGURATION, encode(Accept([self.accepted])))]
-        yield [(PROMISE, str(self.promised).encode())]
-
     def collect_tombstones(self) -> None:
-        """Drop those that the state itself says are to be dropped: it is whole, so nothing else is missing."""
-        self.store.collect(collected_rev(self.store))
-
-    def live_bytes(self) -> int:
-        """About how long a journal is that holds just the present state."""
-        return self.store.bytes
+        """Drop those that the state itself says are to be dropped: it is complete, so nothing else is missing."""
+        self.store.collect(revision_to_collect(self.store))
 
     async def sync(self) -> bool:
         """Whether all that was appended is on disk. A disk that fails ends this controller's part."""
@@ -174,6 +137,34 @@
         """What callers are answered after `sync` returned False."""
         return self.journal.failed or Failure(Code.DISK_FAILED, "disk")
 
+    # A snapshot that is being built --------------------------------------------------------------
+
+    def begin_staging(self) -> None:
+        """Build a new state from the present one. A rewrite of the journal has to wait for it: its slices would mix."""
+        self.journal.abandon_rewrite()
+        self.journal.append(JournalKind.STAGING, b"")
+        self.staged = self.store.copy()
+        self._staged_at = self.loop.time()
+
+    def stage(self, chunk: SnapshotChunk) -> None:
+        """More of it; it lasts after the next `sync`."""
+        assert self.staged is not None
+        self.journal.append(JournalKind.CHUNK, encode(chunk))
+        self.staged.overwrite_ranges(chunk.ranges, chunk.items)
+        self._staged_at = self.loop.time()
+
+    def commit_staged(self, commit: SnapshotCommit) -> None:
+        """It is complete and replaces the present state; that lasts after the next `sync`."""
+        self.journal.append(JournalKind.COMMIT, encode(commit))
+        self._replace_by_staged(commit.number)
+        self.collect_tombstones()
+
+    def _replace_by_staged(self, number: int) -> None:
+        assert self.staged is not None
+        self.store = self.staged
+        self.staged = None
+        self.promised = max(self.promised, number)
+
     # Epochs --------------------------------------------------------------------------------------
 
     @property
@@ -183,56 +174,69 @@
 
     @property
     def is_primary(self) -> bool:
+        """Whether this controller leads its epoch, to its knowledge."""
         return self.mode is Mode.PRIMARY
 
+    @property
+    def is_member(self) -> bool:
+        """Whether the accepted configuration names this controller as primary or backup."""
+        return self.accepted is not None and self.id in self.accepted.members
+
     @property
     def info(self) -> ControllerInfo:
         """This controller as others know it."""
-        s = self.settings
-        return ControllerInfo(self.id, s.node, s.address, s.zone)
+        return ControllerInfo(self.id, self.settings.node, self.settings.address, self.settings.zone)
 
     @property
     def primary_address(self) -> str:
-        """Where the primary is, as far as is known here."""
+        """The primary's address, to this controller's knowledge; empty if it hasn't been heard for long."""
         return self._primary_heard_within(PRIMARY_ADDRESS_VALID_S)
 
     @property
     def heard_primary_address(self) -> str:
-        """Where the primary is that was heard a moment ago; empty if none was."""
+        """The address of a primary that was heard a moment ago; empty if none was."""
         return self._primary_heard_within(PRIMARY_SILENT_S)
 
     def _primary_heard_within(self, seconds: float) -> str:
         if self.is_primary:
             return self.settings.address
         if self.accepted and self.loop.time() - self.primary_heard_at < seconds:
-            found = self.accepted.witness(self.accepted.primary)
-            return found.address if found else ""
+            primary = self.accepted.witness(self.accepted.primary)
+            return primary.address if primary else ""
         return ""
 
+    def not_primary(self) -> Failure:
+        """The answer to a call that only the primary takes: where the primary is, to this controller's knowledge."""
+        return Failure(Code.NOT_PRIMARY, self.primary_address)
+
     def hear_primary(self, ident: str) -> None:
         """This primary, or candidate, was heard just now."""
-        self.primary_heard_at, self.primary_heard = self.loop.time(), ident
+        self.primary_heard_at = self.loop.time()
+        self.primary_heard = ident
 
     def promise(self, number: int) -> None:
         """Take no part in anything lower; it lasts after the next `sync`."""
         self.promised = number
-        self.journal.append(PROMISE, str(number).encode())
+        self.journal.append(JournalKind.PROMISE, str(number).encode())
 
     def adopt_configuration(self, configuration: EpochConfiguration) -> None:
         """Accept it; it lasts after the next `sync`."""
-        self.promised, self.accepted, self.uninitialised = configuration.number, configuration, False
+        self.promised = configuration.number
+        self.accepted = configuration
+        self.uninitialised = False
         if self.newer and self.newer.number <= configuration.number:
             self.newer = None
-        self.journal.append(CONFIGURATION, encode(Accept([configuration])))
+        self.journal.append(JournalKind.CONFIGURATION, encode(Accept([configuration])))
         if configuration.primary != self.id:
-            inside = configuration.witness(self.id) is not None
-            self.become(Mode.FOLLOWING if inside else Mode.NEW, f"epoch {configuration.number}")
+            is_witness = configuration.witness(self.id) is not None
+            self.become(Mode.FOLLOWING if is_witness else Mode.NEW, f"epoch {configuration.number}")
 
     # Mode ----------------------------------------------------------------------------------------
 
-    def become(self, mode: Mode, why: str) -> None:
+    def become(self, mode: Mode, reason: str) -> None:
         """The one function that changes the mode."""
-        old, self.mode = self.mode, mode
+        old = self.mode
+        self.mode = mode
         if old is mode:
             return
         log(
@@ -240,7 +244,7 @@
             node=self.settings.node,
             old=old.value,
             new=mode.value,
-            why=why,
+            reason=reason,
             number=self.number,
             promised=self.promised,
         )
@@ -249,9 +253,9 @@
         for observer in self.on_mode_change:
             observer(old, mode)
 
-    def step_down(self, why: str) -> None:
-        """Lead no more, and stand no more; writes under way end without a clear answer."""
+    def step_down(self, reason: str) -> None:
+        """Lead no more, and stand for election no more; writes in progress end without a clear answer."""
         if self.mode in (Mode.PRIMARY, Mode.CANDIDATE):
-            self.become(Mode.FOLLOWING, why)
+            self.become(Mode.FOLLOWING, reason)
         for observer in self.on_step_down:
             observer()
--- /dev/null
+++ b/otterreach/controller/member_registry.py
@@ -0,0 +1,94 @@
+"""The registry of members: machines announce themselves, shut down, and are forgotten after a long silence."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from otterreach.controller.failure_detector import FailureDetector
+from otterreach.controller.replication import ControlReplication
+from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.identity import member_id
+from otterreach.runtime.log import log
+from otterreach.runtime.node import MemberAnnouncement, MemberShutdown
+from otterreach.runtime.records import MemberRecord, MemberRole, PartitionRecord, delete, put
+from otterreach.runtime.rpc import Done, Endpoint, Link
+
+PROXY_FORGOTTEN_S = 8.0  # of silence, for a member that keeps nothing
+MEMBER_FORGOTTEN_S = 60.0
+
+
+class MemberRegistry:
+    """The items `member/NODE` of the control state. Run by the primary."""
+
+    def __init__(
+        self,
+        endpoint: Endpoint,
+        control: ControlReplication,
+        detector: FailureDetector,
+        on_shutdown: Callable[[MemberShutdown], None],
+    ) -> None:
+        self.control = control
+        self.detector = detector
+        self.on_shutdown = on_shutdown
+        endpoint.on(MemberAnnouncement, self.handle_announcement)
+        endpoint.on(MemberShutdown, self.handle_shutdown)
+
+    def records(self) -> dict[str, MemberRecord]:
+        """All members by their node names."""
+        return self.control.state.records(MemberRecord)
+
+    def member_ids(self) -> list[str]:
+        """The ids of all members."""
+        return [record.id(node) for node, record in self.records().items()]
+
+    def live_proxies(self) -> set[str]:
+        """The node names of the proxies that are alive."""
+        return {
+            node
+            for node, record in self.records().items()
+            if record.role == MemberRole.PROXY and self.detector.heard_recently(record.id(node))
+        }
+
+    async def handle_announcement(self, link: Link, announcement: MemberAnnouncement) -> Done | Failure:
+        """Register a member. Others at its address are no longer there."""
+        if not self.control.is_primary:
+            return self.control.not_primary()
+        node = announcement.node
+        record = MemberRecord(
+            announcement.role, announcement.address, announcement.zone, announcement.region, announcement.disk
+        )
+        if self.control.state.record(MemberRecord, node) == record:
+            return await self.control.done_when_committed()
+        former = [
+            delete(MemberRecord, other)
+            for other, known in self.records().items()
+            if known.address == record.address and other != node
+        ]
+        if not await self.control.propose([*former, put(record, node)]):
+            return Failure(Code.NOT_SYNCED, "not noted")
+        log("member", member=record.id(node), role=record.role, address=record.address)
+        return Done()
+
+    async def handle_shutdown(self, link: Link, shutdown: MemberShutdown) -> Done | Failure:
+        """A member ends: count it as dead at once."""
+        if not self.control.is_primary:
+            return self.control.not_primary()
+        member = member_id(shutdown.node, shutdown.disk)
+        self.detector.record_shutdown(member)
+        self.on_shutdown(shutdown)
+        log("member_shutdown", member=member)
+        return Done()
+
+    def forget_silent_members(self) -> None:
+        """Delete members that have long been silent and keep nothing. One that comes back announces itself anew."""
+        partitions = self.control.state.records(PartitionRecord)
+        in_use = {member for partition in partitions.values() for member in partition.replicas}
+        changes = []
+        for node, record in self.records().items():
+            member = record.id(node)
+            patience_s = PROXY_FORGOTTEN_S if record.role == MemberRole.PROXY else MEMBER_FORGOTTEN_S
+            if member not in in_use and self.detector.silence_s(member) > patience_s:
+                changes.append(delete(MemberRecord, node))
+                log("member_gone", member=member, role=record.role)
+        if changes:
+            self.control.propose(changes)
--- a/otterreach/controller/membership.py
+++ b/otterreach/controller/membership.py
@@ -1,115 +1,148 @@
-"""Who is in the configuration: the primary replaces lost backups, takes joiners in and drops silent witnesses; a
-controller outside asks to be taken in."""
+"""Who is in the configuration: the primary replaces lost backups, adds joiners and removes silent witnesses; a
+controller outside asks to join."""
 
 from __future__ import annotations
 
-from otterreach.controller.election import CALL_S, Election, MembershipChange
+from otterreach.controller.election import CALL_TIMEOUT_S, Election
 from otterreach.controller.epochs import ControllerInfo, EpochConfiguration
+from otterreach.controller.formation import Formation, MembershipChange
+from otterreach.controller.local_replica import LocalReplica, Mode
 from otterreach.controller.messages import JoinRequest
 from otterreach.controller.primary import Primary
-from otterreach.controller.replica_state import Mode, ReplicaState
 from otterreach.controller.snapshot import Preparation
 from otterreach.controller.survival import choose_replicas, choose_voters, may_remove_voter
-from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.codes import Failure
 from otterreach.runtime.log import log
 from otterreach.runtime.relay import Follower
 from otterreach.runtime.rpc import Done, Endpoint, Link
 
-BACKUP_LOST_S = 0.5  # a backup silent for so long is replaced
-WITNESS_LOST_S = 3.0  # a witness silent for so long may make room
-LEAVING_S = 10.0  # one that said that it ends gets no copy for so long
-IMPROVE_S = 2.0  # between two tries to make the backups bear every allowed loss
-JOIN_S = 0.3  # between two requests to join, and of silence before the first
+BACKUP_TIMEOUT_S = 0.5  # a backup silent for so long is replaced
+WITNESS_TIMEOUT_S = 3.0  # a witness silent for so long may be removed; for a joiner after half of it
+SHUTDOWN_VALID_S = 10.0  # a controller that announced its shutdown gets no replica for so long
+IMPROVE_INTERVAL_S = 2.0  # between two attempts to make the backups survive every allowed loss
+JOIN_INTERVAL_S = 0.3  # between two requests to join, and of silence before the first
+LONG_SILENT_S = 1.0  # silent for longer: last in the order of preference for voters
 
 
 class Membership:
     """Reconciles the configuration with who is there; asks to join where this controller is outside."""
 
     def __init__(
-        self, replica: ReplicaState, endpoint: Endpoint, follower: Follower, election: Election, primary: Primary
+        self,
+        replica: LocalReplica,
+        endpoint: Endpoint,
+        follower: Follower,
+        election: Election,
+        formation: Formation,
+        primary: Primary,
     ) -> None:
-        self.replica, self.endpoint, self.follower = replica, endpoint, follower
-        self.election, self.primary = election, primary
+        self.replica = replica
+        self.endpoint = endpoint
+        self.follower = follower
+        self.election = election
+        self.formation = formation
+        self.primary = primary
         self.settings = replica.settings
-        self.preparation = Preparation(replica, election.snapshots)
+        self.preparation = Preparation(replica, formation.snapshots)
         self.joiners: dict[str, ControllerInfo] = {}
-        self._leaving: dict[str, float] = {}  # who said that it ends, and when
-        self._improved_at = -IMPROVE_S
+        self._shutdown_at: dict[str, float] = {}  # by id: when a controller announced its shutdown
+        self._improved_at = -IMPROVE_INTERVAL_S
         self.asked_to_join_at = replica.loop.time()
-        endpoint.on(JoinRequest, self.join)
+        endpoint.on(JoinRequest, self.handle_join)
 
     # At the primary ------------------------------------------------------------------------------
 
-    async def join(self, link: Link, ask: JoinRequest) -> Done | Failure:
-        """Take the controller in at the next reconciliation."""
+    async def handle_join(self, link: Link, request: JoinRequest) -> Done | Failure:
+        """Add the controller at the next reconciliation."""
         configuration = self.replica.accepted
         if not self.replica.is_primary or configuration is None:
-            return Failure(Code.NOT_PRIMARY, self.replica.primary_address)
-        controller = ask.controller[0]
+            return self.replica.not_primary()
+        (controller,) = request.controller
         if configuration.witness(controller.id) is None:
             self.joiners[controller.id] = controller
         return Done()
 
-    def note_leaving(self, ident: str) -> None:
-        """This controller is about to end: no copy goes to it for a while."""
-        self._leaving[ident] = self.replica.loop.time()
+    def note_shutdown(self, ident: str) -> None:
+        """This controller is about to end: it gets no replica for a while."""
+        self._shutdown_at[ident] = self.replica.loop.time()
 
     @property
-    def leaving(self) -> frozenset[str]:
-        """Those that said a moment ago that they end."""
+    def shutting_down(self) -> frozenset[str]:
+        """The ids of those that announced their shutdown a moment ago."""
         now = self.replica.loop.time()
-        return frozenset(ident for ident, at in self._leaving.items() if now - at < LEAVING_S)
+        return frozenset(ident for ident, at in self._shutdown_at.items() if now - at < SHUTDOWN_VALID_S)
 
     async def reconcile_members(self) -> None:
-        """Replace backups that are lost, take joiners in, let go of what is silent."""
+        """Replace backups that are lost, add joiners, remove silent witnesses."""
         configuration = self.replica.accepted
         assert configuration is not None
         silence = self.primary.contacts.silence()
-        lost = [b for b in configuration.backups if silence.get(b, 0.0) > BACKUP_LOST_S]
+        lost = [backup for backup in configuration.backups if silence.get(backup, 0.0) > BACKUP_TIMEOUT_S]
         if not lost and not self.primary.contacts.has_majority():
             return  # all members are here: nobody else may lead, and no change can come into force
         change = self._wanted_change(configuration, silence)
         better = self._better_backups(configuration, silence)
         if not (change.add or change.drop or lost or better):
             return
-        if self.preparation.is_ready([*change.add, *self._living_learners(configuration, silence)]):
-            drop = len(change.drop)
-            log("reform", node=self.settings.node, add=len(change.add), drop=drop, lost=len(lost), better=len(better))
+        if self.preparation.is_ready([*change.add, *self._live_non_members(configuration, silence)]):
+            log(
+                "membership_change",
+                node=self.settings.node,
+                add=len(change.add),
+                drop=len(change.drop),
+                lost=len(lost),
+                better=len(better),
+            )
             await self.election.run(change)
 
-    def _living_learners(self, configuration: EpochConfiguration, silence: dict[str, float]) -> list[ControllerInfo]:
+    def _live_non_members(self, configuration: EpochConfiguration, silence: dict[str, float]) -> list[ControllerInfo]:
         """Witnesses that could become backups."""
-        outside = [w for w in configuration.witnesses if w.id not in configuration.members]
-        return [w for w in outside if silence.get(w.id, 0.0) <= BACKUP_LOST_S and w.id not in self.leaving]
+        shutting_down = self.shutting_down
+        return [
+            witness
+            for witness in configuration.witnesses
+            if witness.id not in configuration.members
+            and silence.get(witness.id, 0.0) <= BACKUP_TIMEOUT_S
+            and witness.id not in shutting_down
+        ]
 
     def _wanted_change(self, configuration: EpochConfiguration, silence: dict[str, float]) -> MembershipChange:
-        """Joiners in; out those whose place a joiner takes, who upset the balance of zones, or who were silent for
-        long while the others still bear each allowed loss."""
-        joiners = [j for j in self.joiners.values() if configuration.witness(j.id) is None]
+        """Joiners are added.
+
+        Removed are those that a joiner replaces, who upset the balance of zones, or who were silent for long while the
+        others still survive each allowed loss.
+        """
+        joiners = [joiner for joiner in self.joiners.values() if configuration.witness(joiner.id) is None]
         self.joiners.clear()
-        taken = {j.address for j in joiners} | {j.node for j in joiners}
-        stay = [w for w in configuration.witnesses if w.address not in taken and w.node not in taken]
-        places = self.election.places([*configuration.witnesses, *joiners])
-        order = sorted([*stay, *joiners], key=lambda w: (w.id not in configuration.members, silence.get(w.id, 0.0) > 1))
-        voters = choose_voters([w.id for w in order], places, self.election.limits)
-        patience = WITNESS_LOST_S / 2 if joiners else WITNESS_LOST_S
-        gone = sorted((v for v in voters if silence.get(v, 0.0) > patience), key=lambda v: -silence[v])
-        for ident in gone:
-            if may_remove_voter(ident, voters, places, self.election.limits):
+        replaced = {joiner.address for joiner in joiners} | {joiner.node for joiner in joiners}
+        stay = [w for w in configuration.witnesses if w.address not in replaced and w.node not in replaced]
+        domains = self.formation.domains([*configuration.witnesses, *joiners])
+        candidates = sorted(
+            [*stay, *joiners],
+            key=lambda w: (w.id not in configuration.members, silence.get(w.id, 0.0) > LONG_SILENT_S),
+        )
+        voters = choose_voters([candidate.id for candidate in candidates], domains, self.formation.limits)
+        patience_s = WITNESS_TIMEOUT_S / 2 if joiners else WITNESS_TIMEOUT_S
+        silent = [voter for voter in voters if silence.get(voter, 0.0) > patience_s]
+        for ident in sorted(silent, key=lambda voter: -silence[voter]):
+            if may_remove_voter(ident, voters, domains, self.formation.limits):
                 voters.remove(ident)
-        add = tuple(j for j in joiners if j.id in voters)
-        drop = frozenset(w.id for w in configuration.witnesses if w.id not in voters)
-        return MembershipChange(drop, add, self.leaving)
+        return MembershipChange(
+            drop=frozenset(w.id for w in configuration.witnesses if w.id not in voters),
+            add=tuple(joiner for joiner in joiners if joiner.id in voters),
+            avoid=self.shutting_down,
+        )
 
     def _better_backups(self, configuration: EpochConfiguration, silence: dict[str, float]) -> list[str]:
-        """Whom to make backups because the present ones do not bear every allowed loss; looked for now and then."""
+        """Whom to make backups because the present ones don't survive every allowed loss; looked for now and then."""
         now = self.replica.loop.time()
-        if now - self._improved_at < IMPROVE_S:
+        if now - self._improved_at < IMPROVE_INTERVAL_S:
             return []
         self._improved_at = now
-        places = self.election.places(configuration.witnesses)
-        living = [i for i, age in silence.items() if age <= BACKUP_LOST_S and i not in self.leaving]
-        return choose_replicas(configuration.members, living, places, self.election.limits)
+        domains = self.formation.domains(configuration.witnesses)
+        shutting_down = self.shutting_down
+        live = [ident for ident, age in silence.items() if age <= BACKUP_TIMEOUT_S and ident not in shutting_down]
+        return choose_replicas(configuration.members, live, domains, self.formation.limits)
 
     # Outside -------------------------------------------------------------------------------------
 
@@ -118,19 +151,20 @@
         replica = self.replica
         if replica.mode is Mode.NEW:
             return True
-        silence = replica.loop.time() - replica.primary_heard_at
-        return replica.mode is Mode.FOLLOWING and silence > JOIN_S and not self.election.may_stand()
+        silence_s = replica.loop.time() - replica.primary_heard_at
+        return replica.mode is Mode.FOLLOWING and silence_s > JOIN_INTERVAL_S and not self.election.may_stand()
 
     def ask_to_join_when_due(self, now: float) -> None:
-        """Ask in the background, not more often than each JOIN_S."""
-        if self.is_outside() and now - self.asked_to_join_at > JOIN_S:
+        """Ask in the background, not more often than each JOIN_INTERVAL_S."""
+        if self.is_outside() and now - self.asked_to_join_at > JOIN_INTERVAL_S:
             self.asked_to_join_at = now
             self.endpoint.spawn(self._ask_to_join())
 
     async def _ask_to_join(self) -> None:
-        known = dict.fromkeys([self.follower.primary, *self.follower.controllers, *self.settings.seeds])
-        for address in known:
+        addresses = dict.fromkeys([self.follower.primary, *self.follower.controllers, *self.settings.seeds])
+        request = JoinRequest([self.replica.info])
+        for address in addresses:
             if address and address != self.settings.address:
-                reply = await self.endpoint.call(address, JoinRequest([self.replica.info]), CALL_S)
+                reply = await self.endpoint.call(address, request, CALL_TIMEOUT_S)
                 if not isinstance(reply, Failure):
                     return
--- a/otterreach/controller/replication.py
+++ b/otterreach/controller/replication.py
@@ -12,27 +12,32 @@
 
 from otterreach.controller.acceptor import Acceptor
 from otterreach.controller.election import Election
+from otterreach.controller.election_timer import ElectionTimer
 from otterreach.controller.epochs import EpochConfiguration
-from otterreach.controller.leaving import Leaving
+from otterreach.controller.formation import Formation
+from otterreach.controller.graceful_shutdown import GracefulShutdown
+from otterreach.controller.local_replica import LocalReplica, Mode
 from otterreach.controller.membership import Membership
 from otterreach.controller.primary import Primary
-from otterreach.controller.replica_state import Mode, ReplicaState
 from otterreach.controller.snapshot import SnapshotReceiver
 from otterreach.controller.tombstones import TombstoneClock
+from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.compaction import Compaction, Limits
-from otterreach.runtime.journal import Journal
-from otterreach.runtime.journal import Record as JournalRecord
+from otterreach.runtime.journal import Journal, Record
 from otterreach.runtime.relay import Follower
-from otterreach.runtime.rpc import Endpoint
+from otterreach.runtime.rpc import Done, Endpoint
 from otterreach.runtime.settings import Settings
 from otterreach.runtime.store import Item, ReplicatedStore
 
 TICK_S = 0.05
-REWRITE = Limits(4 * 1024 * 1024, 4.0)
+REWRITE_LIMITS = Limits(4 * 1024 * 1024, 4.0)
 
 
-class Control:
-    """One controller's part in it. `changed` is told when it becomes primary (True) and when it no longer is."""
+class ControlReplication:
+    """One controller's part in the replication.
+
+    It has no more methods than its users need of it: each is a line that names the part that does the work.
+    """
 
     def __init__(
         self,
@@ -41,20 +46,27 @@
         journal: Journal,
         follower: Follower,
         random: Random,
-        changed: Callable[[bool], None] = lambda primary: None,
+        leadership_changed: Callable[[bool], None] = lambda is_primary: None,
     ) -> None:
-        self.settings, self.endpoint, self.follower, self.changed = settings, endpoint, follower, changed
-        self.replica = ReplicaState(settings, journal)
+        """:param leadership_changed: called when this controller becomes primary (True) and when it no longer is."""
+        self.settings = settings
+        self.endpoint = endpoint
+        self.follower = follower
+        self.leadership_changed = leadership_changed
+        self.replica = LocalReplica(settings, journal)
+        # The order of the observers is the order in which they are called.
         self.replica.on_mode_change.append(self._set_root)
         self.acceptor = Acceptor(self.replica, endpoint, follower)
         self.snapshots = SnapshotReceiver(self.replica, endpoint)
-        self.election = Election(self.replica, endpoint, random, self.become_primary)
+        self.formation = Formation(self.replica, endpoint)
+        self.election = Election(self.replica, endpoint, self.formation, self.become_primary)
+        self.election_timer = ElectionTimer(self.replica, random)
         self.primary = Primary(self.replica, endpoint, follower, self.election)
-        self.membership = Membership(self.replica, endpoint, follower, self.election, self.primary)
-        self.leaving = Leaving(self.replica, endpoint, self.election, self.primary, self.membership)
-        self.replica.on_mode_change.append(self._tell_changed)
+        self.membership = Membership(self.replica, endpoint, follower, self.election, self.formation, self.primary)
+        self.shutdown = GracefulShutdown(self.replica, endpoint, self.election, self.primary, self.membership)
+        self.replica.on_mode_change.append(self._mode_changed)
         self.tombstone_clock = TombstoneClock(lambda: self.replica.store)
-        self.compaction = Compaction(journal, self.replica.live_records, self.replica.live_bytes, REWRITE)
+        self.compaction = Compaction(journal, self.replica.live_records, self.replica.live_bytes, REWRITE_LIMITS)
 
     # What others see of it -----------------------------------------------------------------------
 
@@ -65,6 +77,7 @@
 
     @property
     def mode(self) -> Mode:
+        """The part that this controller takes in its epoch."""
         return self.replica.mode
 
     @property
@@ -84,38 +97,47 @@
 
     @property
     def state(self) -> ReplicatedStore:
-        """The control state as it is on this disk; at the primary also what is not yet at all members."""
+        """The control state as it is on this disk; at the primary also what not all members have yet."""
         return self.replica.store
 
     @property
     def is_primary(self) -> bool:
+        """Whether this controller leads, to its knowledge."""
         return self.replica.is_primary
 
     @property
     def primary_address(self) -> str:
-        """Where the primary is, as far as is known here."""
+        """The primary's address, to this controller's knowledge; empty if it hasn't been heard for long."""
         return self.replica.primary_address
 
     @property
     def heard_primary_address(self) -> str:
-        """Where the primary is that was heard a moment ago; empty if none was."""
+        """The address of a primary that was heard a moment ago; empty if none was."""
         return self.replica.heard_primary_address
 
+    def not_primary(self) -> Failure:
+        """The answer to a call that only the primary takes."""
+        return self.replica.not_primary()
+
     async def confirm(self) -> bool:
         """Whether this is the primary now. Before a read."""
         return await self.primary.confirm()
 
     async def committed(self) -> bool:
-        """Whether this is the primary now, and all of `state` as it was at the call is at all members."""
+        """Whether this is the primary now, and all members have the state as it was at the call."""
         return await self.primary.committed()
 
-    def revise(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
-        """Change items (empty value: gone). True once all members have it; False: it may be in force or not."""
-        return self.primary.revise(changes)
+    async def done_when_committed(self) -> Done | Failure:
+        """The answer to a call that has nothing left to change, once what it rests on can't be lost any more."""
+        return Done() if await self.committed() else Failure(Code.NOT_SYNCED, "not at all replicas")
+
+    def propose(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
+        """Change items; an empty value deletes one. True once all members have the changes; False: perhaps not."""
+        return self.primary.propose(changes)
 
     # Its work ------------------------------------------------------------------------------------
 
-    def load(self, records: Iterable[JournalRecord]) -> None:
+    def load(self, records: Iterable[Record]) -> None:
         """The state as the journal has it. `start` makes it last."""
         self.replica.load(records)
 
@@ -126,27 +148,23 @@
     def _set_root(self, old: Mode, new: Mode) -> None:
         self.follower.is_root = new is Mode.PRIMARY
 
-    def _tell_changed(self, old: Mode, new: Mode) -> None:
+    def _mode_changed(self, old: Mode, new: Mode) -> None:
         if new is Mode.PRIMARY:
             self.tombstone_clock.begin_period(self.replica.loop.time())
         if old is Mode.PRIMARY or new is Mode.PRIMARY:
-            self.changed(new is Mode.PRIMARY)
+            self.leadership_changed(new is Mode.PRIMARY)
 
     async def start(self) -> None:
         """Make the start last, then take part, for ever."""
         if await self.replica.sync():
-            await asyncio.gather(self._watch(), self.primary.send_heartbeats())
+            await asyncio.gather(self._run(), self.primary.run())
 
     async def leave(self) -> None:
-        """Give leadership and copy on before the end, within a bounded time."""
-        await self.leaving.leave()
-
-    def _collect_tombstones(self, now: float) -> None:
-        changes = self.tombstone_clock.due_change(now)
-        if changes:
-            self.revise(changes)
+        """Transfer leadership and replica before the end, within a bounded time."""
+        await self.shutdown.run()
 
-    async def _watch(self) -> None:
+    async def _run(self) -> None:
+        """The decision loop: bootstrap, reconcile members as primary, stand for election, ask to join, compact."""
         loop = self.replica.loop
         self.membership.asked_to_join_at = loop.time()
         while self.mode is not Mode.FAILED:
@@ -157,10 +175,21 @@
             if self.is_primary and not self.election.in_progress:
                 await self.membership.reconcile_members()
                 self._collect_tombstones(now)
-            elif self.election.is_due():
-                await self.election.stand()
+            elif self._election_is_due():
+                elected = await self.election.run()
+                self.election_timer.restart(elected)
             self.membership.ask_to_join_when_due(now)
             if self.compaction.due and self.replica.may_rewrite():
                 self.compaction.start_if_due()
             if self.replica.journal.failed is not None:
                 self.replica.fail_disk()
+
+    def _election_is_due(self) -> bool:
+        """Whether the primary has been silent for so long that this controller stands."""
+        waits = self.mode is Mode.FOLLOWING and not self.election.barred
+        return waits and self.election_timer.has_expired() and self.election.may_stand()
+
+    def _collect_tombstones(self, now: float) -> None:
+        changes = self.tombstone_clock.due_change(now)
+        if changes:
+            self.propose(changes)
--- a/otterreach/controller/survival.py
+++ b/otterreach/controller/survival.py
@@ -28,8 +28,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where a machine stands."""
+class FailureDomain:
+    """What a machine fails together with."""
 
     zone: str
     region: str
@@ -40,50 +40,56 @@
     return SurviveLimits(settings.survive_nodes, settings.survive_zones, settings.survive_regions)
 
 
-def place_of(zone: str, regions: Mapping[str, str]) -> Place:
-    """The place of a machine by its zone; `regions` is the settings' table of the zones' regions."""
-    return Place(zone, regions.get(zone, ""))
+def failure_domain_of(zone: str, regions: Mapping[str, str]) -> FailureDomain:
+    """The failure domain of a machine by its zone; `regions` is the settings' table of the zones' regions."""
+    return FailureDomain(zone, regions.get(zone, ""))
 
 
 # Replicas ----------------------------------------------------------------------------------------
 
 
-def unmet_by_replicas(places: Collection[Place], limits: SurviveLimits) -> list[str]:
+def unmet_by_replicas(domains: Collection[FailureDomain], limits: SurviveLimits) -> list[str]:
     """The kinds of allowed losses (nodes, zones, regions) of which one may take every replica."""
     counts = {
-        "nodes": (len(places), limits.nodes),
-        "zones": (len({p.zone for p in places}), limits.zones),
-        "regions": (len({p.region for p in places}), limits.regions),
+        "nodes": (len(domains), limits.nodes),
+        "zones": (len({domain.zone for domain in domains}), limits.zones),
+        "regions": (len({domain.region for domain in domains}), limits.regions),
     }
-    return [kind for kind, (there, lost) in counts.items() if there <= lost]
+    return [kind for kind, (present, lost) in counts.items() if present <= lost]
 
 
 def choose_replicas(
-    having: Sequence[str], candidates: Sequence[str], places: Mapping[str, Place], limits: SurviveLimits
+    present: Sequence[str], candidates: Sequence[str], domains: Mapping[str, FailureDomain], limits: SurviveLimits
 ) -> list[str]:
-    """The fewest candidates to add to `having` so that the replicas survive every allowed loss.
+    """The fewest candidates to add to `present` so that the replicas survive every allowed loss.
 
-    Candidates stand in the order of preference. Where they can't give it, the best that they can give:
-    `unmet_by_replicas` tells what is missing."""
+    Where that is out of reach, the best that there is: `unmet_by_replicas` tells what is missing.
+
+    :param candidates: in the order of preference
+    """
     chosen: list[str] = []
     while True:
-        replicas = [*having, *chosen]
-        unmet = unmet_by_replicas([places[m] for m in replicas], limits)
-        free = [c for c in candidates if c not in replicas]
-        best = _most_useful(free, [places[m] for m in replicas], places, unmet)
+        replicas = [*present, *chosen]
+        unmet = unmet_by_replicas([domains[member] for member in replicas], limits)
+        free = [candidate for candidate in candidates if candidate not in replicas]
+        best = _most_useful(free, [domains[member] for member in replicas], domains, unmet)
         if best is None:
             return chosen
         chosen.append(best)
 
 
 def _most_useful(
-    free: Sequence[str], there: Sequence[Place], places: Mapping[str, Place], unmet: Collection[str]
+    free: Sequence[str],
+    present: Sequence[FailureDomain],
+    domains: Mapping[str, FailureDomain],
+    unmet: Collection[str],
 ) -> str | None:
-    """The candidate that mends the widest unmet kind of loss; None if nothing is unmet, or nobody helps."""
-    regions, zones = {p.region for p in there}, {p.zone for p in there}
+    """The candidate that helps against the widest unmet kind of loss; None if nothing is unmet, or nobody helps."""
+    regions = {domain.region for domain in present}
+    zones = {domain.zone for domain in present}
     useful = {
-        "regions": [c for c in free if places[c].region not in regions],
-        "zones": [c for c in free if places[c].zone not in zones],
+        "regions": [candidate for candidate in free if domains[candidate].region not in regions],
+        "zones": [candidate for candidate in free if domains[candidate].zone not in zones],
         "nodes": list(free),
     }
     for kind, helpers in useful.items():
@@ -95,14 +101,14 @@
 # Voters ------------------------------------------------------------------------------------------
 
 
-def unmet_by_voters(places: Collection[Place], limits: SurviveLimits) -> list[str]:
+def unmet_by_voters(domains: Collection[FailureDomain], limits: SurviveLimits) -> list[str]:
     """The kinds of allowed losses of which one may take the majority."""
     lost = {
         "nodes": limits.nodes,
-        "zones": _largest(Counter(p.zone for p in places), limits.zones),
-        "regions": _largest(Counter(p.region for p in places), limits.regions),
+        "zones": _largest(Counter(domain.zone for domain in domains), limits.zones),
+        "regions": _largest(Counter(domain.region for domain in domains), limits.regions),
     }
-    return [kind for kind, count in lost.items() if (len(places) - count) * 2 <= len(places)]
+    return [kind for kind, count in lost.items() if (len(domains) - count) * 2 <= len(domains)]
 
 
 def _largest(counts: Counter[str], groups: int) -> int:
@@ -110,40 +116,46 @@
     return sum(count for _, count in counts.most_common(groups))
 
 
-def choose_voters(candidates: Sequence[str], places: Mapping[str, Place], limits: SurviveLimits) -> list[str]:
+def choose_voters(candidates: Sequence[str], domains: Mapping[str, FailureDomain], limits: SurviveLimits) -> list[str]:
     """The most candidates that keep a majority after every allowed loss, in the order of preference.
 
     Zones or regions with more machines than others get at most as many voters as keeps the balance. Where no choice
-    keeps a majority after each loss, the one with which most kinds of losses do."""
-    if not limits.zones and not limits.regions or not unmet_by_voters([places[c] for c in candidates], limits):
+    keeps a majority after each loss, the one with which it does after most kinds of losses.
+    """
+    unmet = unmet_by_voters([domains[candidate] for candidate in candidates], limits)
+    if not limits.zones and not limits.regions or not unmet:
         return list(candidates)
     options: list[list[str]] = []
     for zone_cap in range(1, len(candidates) + 1):
         for region_cap in range(zone_cap, len(candidates) + 1):
-            options.append(_capped(candidates, places, zone_cap, region_cap))
+            options.append(_capped(candidates, domains, zone_cap, region_cap))
 
-    def worth(option: list[str]) -> tuple[int, int]:
-        return -len(unmet_by_voters([places[c] for c in option], limits)), len(option)
+    def preference(option: list[str]) -> tuple[int, int]:
+        return -len(unmet_by_voters([domains[voter] for voter in option], limits)), len(option)
 
-    return max(options, key=worth, default=[])
+    return max(options, key=preference, default=[])
 
 
-def _capped(candidates: Iterable[str], places: Mapping[str, Place], zone_cap: int, region_cap: int) -> list[str]:
+def _capped(
+    candidates: Iterable[str], domains: Mapping[str, FailureDomain], zone_cap: int, region_cap: int
+) -> list[str]:
     """The first candidates, no more than so many in a zone and in a region."""
     zones: Counter[str] = Counter()
     regions: Counter[str] = Counter()
     chosen = []
     for candidate in candidates:
-        place = places[candidate]
-        if zones[place.zone] < zone_cap and regions[place.region] < region_cap:
-            zones[place.zone] += 1
-            regions[place.region] += 1
+        domain = domains[candidate]
+        if zones[domain.zone] < zone_cap and regions[domain.region] < region_cap:
+            zones[domain.zone] += 1
+            regions[domain.region] += 1
             chosen.append(candidate)
     return chosen
 
 
-def may_remove_voter(leaving: str, voters: Sequence[str], places: Mapping[str, Place], limits: SurviveLimits) -> bool:
+def may_remove_voter(
+    removed: str, voters: Sequence[str], domains: Mapping[str, FailureDomain], limits: SurviveLimits
+) -> bool:
     """Whether the others keep a majority after each loss after which all do now, and after the loss of `nodes`."""
-    before = unmet_by_voters([places[v] for v in voters], limits)
-    after = unmet_by_voters([places[v] for v in voters if v != leaving], limits)
+    before = unmet_by_voters([domains[voter] for voter in voters], limits)
+    after = unmet_by_voters([domains[voter] for voter in voters if voter != removed], limits)
     return "nodes" not in after and set(after) <= set(before)
--- a/otterreach/jobstore/__main__.py
+++ b/otterreach/jobstore/__main__.py
@@ -1,7 +1,4 @@
-"""The job store node: keeps batch jobs and their results.
-
-Settings come from the file that OTTERREACH_NODE_FILE names.
-"""
+"""python3 -m otterreach.jobstore: a job store node, configured by the settings file."""
 
 from __future__ import annotations
 
@@ -9,18 +6,19 @@
 import sys
 from random import Random, SystemRandom
 
-from otterreach.jobstore.disk_room import wait_for_room
-from otterreach.jobstore.leaving import give_on
+from otterreach.jobstore.disk_probe import wait_until_writable
+from otterreach.jobstore.graceful_shutdown import transfer_replicas
 from otterreach.jobstore.node import JobStoreNode
 from otterreach.runtime.codes import Code
 from otterreach.runtime.journal import open_journal
 from otterreach.runtime.log import log
 from otterreach.runtime.node import Node, on_signals, run_role
+from otterreach.runtime.records import MemberRole
 from otterreach.runtime.rpc import Endpoint
 from otterreach.runtime.settings import Settings
 
 JOURNAL = "jobs.journal"
-STOP_S = 0.8  # what is being written has so long to get to disk
+STOP_TIMEOUT_S = 0.8  # what is being written has so long to get to disk
 
 
 async def first_of(*events: asyncio.Event) -> None:
@@ -32,27 +30,27 @@
 
 
 async def serve(settings: Settings) -> None:
-    """Until SIGTERM. Ends with the code of DISK_FAILED if the disk refuses a write."""
+    """Run a job store node until SIGTERM. Ends with the code of DISK_FAILED if the disk refuses a write."""
     assert settings.datadir is not None
     random = Random(SystemRandom().getrandbits(64))
-    await wait_for_room(settings.datadir)
+    await wait_until_writable(settings.datadir)
     journal, records = open_journal(settings.datadir / JOURNAL)
     endpoint = Endpoint()
     node = Node(settings, endpoint, random)
     store_node = JobStoreNode(node, journal, random, records)
     del records
-    leaving = asyncio.Event()
-    on_signals(leaving.set, node.reload)
+    terminate = asyncio.Event()
+    on_signals(terminate.set, node.reload)
     await store_node.start()
-    if not node.stopping.is_set():  # else its disk takes nothing, and nobody is to hear of it
-        await node.start("store")
+    if not node.stopping.is_set():  # else its disk takes no writes, and it announces itself to nobody
+        await node.start(MemberRole.JOB_STORE)
         endpoint.spawn(node.watch_settings())
-    await first_of(leaving, node.stopping)
-    if leaving.is_set() and not node.stopping.is_set():
-        await give_on(node)
+    await first_of(terminate, node.stopping)
+    if terminate.is_set() and not node.stopping.is_set():
+        await transfer_replicas(node)
     try:
-        async with asyncio.timeout(STOP_S):
-            await node.farewell()
+        async with asyncio.timeout(STOP_TIMEOUT_S):
+            await node.announce_shutdown()
             await store_node.stop()
     except TimeoutError:
         log("stop_late", level="WARNING")
@@ -63,6 +61,7 @@
 
 
 def main() -> None:
+    """The program."""
     run_role(serve)
 
 
--- a/otterreach/jobstore/backup.py
+++ b/otterreach/jobstore/backup.py
@@ -1,102 +1,123 @@
 """The backup's side of a partition: what a primary of a newer or the same epoch may write here and ask.
 
-Every message names the epoch and the member it is meant for; what is older or meant for another disk is refused.
+Every message names the epoch and the member it is meant for; what is older or meant for another disk is rejected.
 """
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from collections.abc import Callable, Sequence
 
-from otterreach.jobstore.messages import CopyPosition, JobAppend, PartDigests, PartEpochs, PartInstall, PartPing
-from otterreach.jobstore.partition import Copy, CopyState
+from otterreach.jobstore.journal_records import LogPosition
+from otterreach.jobstore.messages import (
+    AppendEntries,
+    PartitionDigests,
+    PartitionEpochs,
+    PartitionInstall,
+    PartitionPing,
+    ReplicaPosition,
+)
+from otterreach.jobstore.partition_replica import PartitionReplica, ReplicaState
 from otterreach.jobstore.placement import PARTITIONS
+from otterreach.jobstore.replication_context import ReplicationContext
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done, Link
 
-if TYPE_CHECKING:
-    from otterreach.jobstore.replication import Replication
-
 
 class BackupHandlers:
-    """Handlers of the messages of other primaries."""
+    """Handles the messages of other primaries."""
 
-    def __init__(self, replication: Replication) -> None:
-        self.replication = replication
-        for kind, handler in (
-            (JobAppend, self._on_append),
-            (PartInstall, self._on_install),
-            (PartPing, self._on_ping),
-            (PartDigests, self._on_digests),
-        ):
-            replication.node.endpoint.on(kind, handler)
+    def __init__(
+        self,
+        context: ReplicationContext,
+        replicas: Sequence[PartitionReplica],
+        end_leadership: Callable[[PartitionReplica], None],
+    ) -> None:
+        """:param end_leadership: ends this machine's leadership of a partition, if it has one"""
+        self.context = context
+        self.replicas = replicas
+        self.end_leadership = end_leadership
+        endpoint = context.node.endpoint
+        endpoint.on(AppendEntries, self.handle_append)
+        endpoint.on(PartitionInstall, self.handle_install)
+        endpoint.on(PartitionPing, self.handle_ping)
+        endpoint.on(PartitionDigests, self.handle_digests)
 
-    def _admit(self, part: int, epoch: int, member: str) -> Copy | Failure:
-        """The copy that a primary may speak to; it is in the epoch then, on disk with the next sync."""
-        if member != self.replication.member or not 0 <= part < PARTITIONS:
-            return Failure(Code.NOT_MEMBER, self.replication.member)
-        copy = self.replication.copies[part]
-        if epoch < copy.epoch:
-            return Failure(Code.STALE_EPOCH, str(copy.epoch))
-        if epoch == copy.epoch and copy.is_primary:
+    def _admit(self, partition: int, epoch: int, member: str) -> PartitionReplica | Failure:
+        """The replica that a primary may write to; it is in the epoch then, on disk with the next sync."""
+        if member != self.context.member or not 0 <= partition < PARTITIONS:
+            return Failure(Code.NOT_MEMBER, self.context.member)
+        replica = self.replicas[partition]
+        if epoch < replica.epoch:
+            return Failure(Code.STALE_EPOCH, str(replica.epoch))
+        if epoch == replica.epoch and replica.is_primary:
             return Failure(Code.STALE_EPOCH, "primary here")
-        if epoch > copy.epoch:
-            self.replication.end_leadership(copy)
-            copy.promise(epoch)
-        if copy.state in (CopyState.ABSENT, CopyState.FENCED):
-            copy.become(CopyState.BACKUP if copy.whole else CopyState.LEARNER, "called by the primary")
-        return copy
+        if epoch > replica.epoch:
+            self.end_leadership(replica)
+            replica.promise(epoch)
+        if replica.state in (ReplicaState.ABSENT, ReplicaState.FENCED):
+            state = ReplicaState.BACKUP if replica.is_complete else ReplicaState.LEARNER
+            replica.become(state, "called by the primary")
+        return replica
 
-    async def _on_append(self, link: Link, ask: JobAppend) -> CopyPosition | Failure:
-        copy = self._admit(ask.part, ask.epoch, ask.member)
-        if isinstance(copy, Failure):
-            return copy
-        if not ask.records:
-            copy.session, copy.staged = ask.session, None
-        elif ask.session != copy.session:
+    async def handle_append(self, link: Link, request: AppendEntries) -> ReplicaPosition | Failure:
+        """Append entries behind the position that the primary names, if the log is there."""
+        replica = self._admit(request.partition, request.epoch, request.member)
+        if isinstance(replica, Failure):
+            return replica
+        if not request.records:
+            replica.session = request.session
+            replica.staged = None
+        elif request.session != replica.session:
             return Failure(Code.NOT_SYNCED, "another session")
-        elif (ask.index, ask.chain) == copy.position:
-            for entry in ask.records:
-                copy.append(entry)
-        return await self._position_on_disk(copy, ask.epoch)
+        elif LogPosition(request.index, request.chain) == replica.position:
+            for entry in request.records:
+                replica.append(entry)
+        return await self._position_on_disk(replica, request.epoch)
 
-    async def _on_install(self, link: Link, ask: PartInstall) -> CopyPosition | Failure:
-        copy = self._admit(ask.part, ask.epoch, ask.member)
-        if isinstance(copy, Failure):
-            return copy
-        if ask.session != copy.session:
+    async def handle_install(self, link: Link, request: PartitionInstall) -> ReplicaPosition | Failure:
+        """Load a chunk of a complete replica; the last one puts it in place."""
+        replica = self._admit(request.partition, request.epoch, request.member)
+        if isinstance(replica, Failure):
+            return replica
+        if request.session != replica.session:
             return Failure(Code.NOT_SYNCED, "another session")
-        staged = copy.staged
-        if ask.piece == 0 and (staged is None or staged.token != ask.install):
-            staged = copy.stage(ask.install, (ask.index, ask.chain))
-        if staged is None or staged.token != ask.install or ask.piece not in (staged.next, staged.next - 1):
-            return Failure(Code.NOT_SYNCED, "pieces out of order")
-        if ask.piece == staged.next - 1:  # sent again: its answer was lost
-            return await self._position_on_disk(copy, ask.epoch)
-        staged.next += 1
-        copy.load(ask.records)
-        if ask.last:
-            copy.swap()
-            if copy.placement is None or self.replication.member in copy.placement.backups:
-                copy.become(CopyState.BACKUP, "installed")
-        return await self._position_on_disk(copy, ask.epoch)
+        staged = replica.staged
+        if request.chunk == 0 and (staged is None or staged.token != request.install):
+            staged = replica.stage(request.install, LogPosition(request.index, request.chain))
+        if staged is None or staged.token != request.install:
+            return Failure(Code.NOT_SYNCED, "another installation")
+        if request.chunk not in (staged.next_chunk, staged.next_chunk - 1):
+            return Failure(Code.NOT_SYNCED, "chunks out of order")
+        if request.chunk == staged.next_chunk - 1:  # sent again: its answer was lost
+            return await self._position_on_disk(replica, request.epoch)
+        staged.next_chunk += 1
+        replica.load(request.records)
+        if request.last:
+            replica.install_staged()
+            if replica.placement is None or self.context.member in replica.placement.backups:
+                replica.become(ReplicaState.BACKUP, "installed")
+        return await self._position_on_disk(replica, request.epoch)
 
-    async def _position_on_disk(self, copy: Copy, epoch: int) -> CopyPosition | Failure:
-        position = copy.position
-        if not await self.replication.disk.sync():
+    async def _position_on_disk(self, replica: PartitionReplica, epoch: int) -> ReplicaPosition | Failure:
+        position = replica.position
+        if not await self.context.disk.sync():
             return Failure(Code.DISK_FAILED, "disk")
-        if copy.epoch != epoch:
-            return Failure(Code.STALE_EPOCH, str(copy.epoch))
-        return CopyPosition(epoch, *position)
+        if replica.epoch != epoch:
+            return Failure(Code.STALE_EPOCH, str(replica.epoch))
+        return ReplicaPosition(epoch, position.index, position.chain)
 
-    async def _on_ping(self, link: Link, ask: PartPing) -> PartEpochs | Failure:
-        if ask.member != self.replication.member:
-            return Failure(Code.NOT_MEMBER, self.replication.member)
-        return PartEpochs([self.replication.copies[part % PARTITIONS].epoch for part in ask.parts])
+    async def handle_ping(self, link: Link, ping: PartitionPing) -> PartitionEpochs | Failure:
+        """Tell the epochs of some partitions."""
+        if ping.member != self.context.member:
+            return Failure(Code.NOT_MEMBER, self.context.member)
+        return PartitionEpochs([self.replicas[partition % PARTITIONS].epoch for partition in ping.partitions])
 
-    async def _on_digests(self, link: Link, ask: PartDigests) -> Done | Failure:
-        copy = self._admit(ask.part, ask.epoch, ask.member)
-        if isinstance(copy, Failure):
-            return copy
-        if copy.position == (ask.index, ask.chain) and copy.jobs.digests() != ask.digests:
+    async def handle_digests(self, link: Link, request: PartitionDigests) -> Done | Failure:
+        """Compare the jobs at a position."""
+        replica = self._admit(request.partition, request.epoch, request.member)
+        if isinstance(replica, Failure):
+            return replica
+        same_position = replica.position == LogPosition(request.index, request.chain)
+        if same_position and replica.jobs.digests() != request.digests:
             return Failure(Code.NOT_SYNCED, "differs")
         return Done()
--- a/otterreach/jobstore/disk_room.py
+++ b/otterreach/jobstore/disk_probe.py
@@ -1,4 +1,4 @@
-"""Before a start: whether the disk takes writes. On a full one a process waits for room, and takes no part."""
+"""Before a start: whether the disk takes writes. On a full one a process waits for free space, and takes no part."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 from otterreach.runtime.log import log
 
-PROBE = "probe"
+PROBE_FILE = "probe"
 PROBE_BYTES = 4096
-AGAIN_S = 0.5
-LONGEST_S = 30.0  # then the start goes on, and fails as it has to
+RETRY_S = 0.5
+MAX_WAIT_S = 30.0  # then the start goes on, and fails as it has to
 
 
 def takes_writes(folder: Path) -> bool:
     """Write and sync a small file, and remove it."""
-    path = folder / PROBE
+    path = folder / PROBE_FILE
     try:
         folder.mkdir(parents=True, exist_ok=True)
         file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
@@ -31,15 +31,15 @@
     return written == PROBE_BYTES
 
 
-async def wait_for_room(folder: Path) -> None:
-    """Until the disk takes writes, or for LONGEST_S."""
+async def wait_until_writable(folder: Path) -> None:
+    """Until the disk takes writes, or for MAX_WAIT_S."""
     loop = asyncio.get_running_loop()
     began = loop.time()
-    told = False
+    logged = False
     while not await loop.run_in_executor(None, takes_writes, folder):
-        if not told:
-            log("disk_takes_nothing", level="ERROR", folder=folder)
-        told = True
-        if loop.time() - began > LONGEST_S:
+        if not logged:
+            log("disk_unwritable", level="ERROR", folder=folder)
+        logged = True
+        if loop.time() - began > MAX_WAIT_S:
             return
-        await asyncio.sleep(AGAIN_S)
+        await asyncio.sleep(RETRY_S)
--- /dev/null
+++ b/otterreach/jobstore/dispatcher.py
@@ -0,0 +1,309 @@
+"""What runs where: items of open batch jobs are assigned to proxies, and come back when a proxy is lost.
+
+Only in memory: an item may run more than once, and a new primary asks the proxies what they run.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import heapq
+from bisect import insort
+from collections.abc import Callable, Iterable
+from random import Random
+from typing import Protocol
+
+from otterreach.jobstore.job import ItemState, Job, JobItem, JobState
+from otterreach.jobstore.job_routes import JobDeadlines
+from otterreach.jobstore.messages import AssignItems, CancelJob, ProxyPing, WorkItem
+from otterreach.jobstore.partition_replica import PartitionReplica
+from otterreach.jobstore.placement import choose_runners, partition_of
+from otterreach.jobstore.proxy_sessions import AssignedItem, ProxySession, ProxySessions, SessionState
+from otterreach.runtime.rpc import Link
+
+FORGOTTEN_S = 2.0  # a proxy that doesn't name a job so long after it got items of it has lost them
+SETTLE_S = 0.4  # how long a new primary lets proxies tell what they run
+SURPLUS_DELAY_S = 60.0  # items that no trainer waits for count as due so much later
+MAX_LOAD = 1.5  # items at a proxy, for each of its slots
+NO_SURPLUS = 1 << 60  # an order above all
+
+QueuedItem = tuple[tuple[int, int], str]  # order, id of the item
+
+
+def surplus_from(job: Job) -> int:
+    """The order of the first group beyond those that the trainer waits for."""
+    desired = job.desired_groups
+    starts = sorted({item.order[0] for item in job.items.values()})
+    return starts[desired] if desired is not None and 0 < desired < len(starts) else NO_SURPLUS
+
+
+class DispatchHost(Protocol):
+    """What the dispatcher needs of the job store node."""
+
+    def may_run(self, partition: int) -> bool:
+        """Whether this machine is surely the primary of the partition now."""
+
+    def deadlines(self, job: Job) -> JobDeadlines:
+        """When results of a batch job are due."""
+
+    def epoch(self, partition: int) -> int:
+        """The epoch that the partition is in here."""
+
+    def item_slots(self) -> int:
+        """The slots of all servers that items may run at."""
+
+
+class Dispatcher:
+    """Assigns the items of the partitions that are served here."""
+
+    def __init__(self, host: DispatchHost, random: Random) -> None:
+        self.host = host
+        self.random = random
+        self.loop = asyncio.get_running_loop()
+        self.now: Callable[[], float] = self.loop.time
+        self.sessions = ProxySessions(self.now, self._return_items)
+        self.open_jobs: dict[str, Job] = {}  # of partitions served here
+        self.pending: dict[str, list[QueuedItem]] = {}  # by job, in order
+        self.surplus_from: dict[str, int] = {}  # by job: from this order on, groups that its trainer doesn't wait for
+        self.settled_at: dict[int, float] = {}  # by partition served here: by then proxies have told what they run
+        self.stopped = False
+        self._scheduled = False
+
+    # Partitions and jobs -------------------------------------------------------------------------
+
+    def became_leader(self, replica: PartitionReplica) -> None:
+        """All open jobs of the partition are here now. Of one that is new here nothing is known of what runs."""
+        if replica.partition not in self.settled_at:
+            self.settled_at[replica.partition] = self.now() + SETTLE_S
+        for job in replica.jobs.jobs.values():
+            if job.state is JobState.OPEN and job.id not in self.open_jobs:
+                self.job_opened(job)
+            elif job.state is JobState.ENDED and job.id in self.open_jobs:
+                self.job_cancelled(job)
+
+    def stepped_down(self, replica: PartitionReplica) -> None:
+        """Another machine has the partition."""
+        self.settled_at.pop(replica.partition, None)
+        for job in [job for job in self.open_jobs.values() if partition_of(job.id) == replica.partition]:
+            self.job_closed(job)
+
+    def job_opened(self, job: Job) -> None:
+        """Its items may be run."""
+        self.open_jobs[job.id] = job
+        queue = []
+        for item in job.items.values():
+            if item.state is not ItemState.LISTED:
+                item.state = ItemState.PENDING
+                queue.append((item.order, item.id))
+        self.pending[job.id] = sorted(queue)
+        self.surplus_from[job.id] = surplus_from(job)
+        self.schedule()
+
+    def job_closed(self, job: Job) -> None:
+        """Nothing of it is to be run from here."""
+        self.open_jobs.pop(job.id, None)
+        self.pending.pop(job.id, None)
+        self.surplus_from.pop(job.id, None)
+        for session in self.sessions.of_job(job):
+            session.remove_job(job.id)
+        self.schedule()
+
+    def job_cancelled(self, job: Job) -> None:
+        """It has been ended: the proxies that have items of it are notified."""
+        for session in self.sessions.of_job(job):
+            if not session.link.closed:
+                session.link.send(CancelJob(job.id))
+        self.job_closed(job)
+
+    # Items ---------------------------------------------------------------------------------------
+
+    def item_listed(self, job: Job, item: JobItem) -> None:
+        """A result of it has been accepted."""
+        self.sessions.remove_item(job, item)
+        self._remove_pending(job, item)
+        self.schedule()
+
+    def item_failed(self, job: Job, item: JobItem) -> None:
+        """What came of it can't be listed: it has to run again."""
+        self.sessions.remove_item(job, item)
+        self._return_item(job, item)
+
+    def _remove_pending(self, job: Job, item: JobItem) -> None:
+        queue = self.pending.get(job.id)
+        if queue and (item.order, item.id) in queue:
+            queue.remove((item.order, item.id))
+
+    def _return_item(self, job: Job, item: JobItem) -> None:
+        """It does not run any more, and has no result: it is queued again, in its order."""
+        if item.state is not ItemState.ASSIGNED:
+            return
+        item.state = ItemState.PENDING
+        queue = self.pending.get(job.id)
+        if queue is not None:
+            insort(queue, (item.order, item.id))
+            self.schedule()
+
+    def _return_items(self, items: Iterable[AssignedItem]) -> None:
+        for assigned in items:
+            self._return_item(assigned.job, assigned.item)
+
+    # Proxies -------------------------------------------------------------------------------------
+
+    def handle_ping(self, link: Link, ping: ProxyPing) -> None:
+        """A proxy is there, and has told which jobs it has items of."""
+        session, reconnected = self.sessions.handle_ping(link, ping)
+        if reconnected:
+            self._send(session, list(session.items.values()))  # some may not have arrived over the other connection
+        self.sessions.become(session, SessionState.LIVE)
+        self._find_forgotten(session, set(ping.jobs))
+        self.schedule()
+
+    def _find_forgotten(self, session: ProxySession, named: set[str]) -> None:
+        """Items of jobs that the proxy should have named by now have not arrived there."""
+        late = self.now() - FORGOTTEN_S
+        session.assigned_at = {job: at for job, at in session.assigned_at.items() if job in self.open_jobs}
+        forgotten = {job for job, at in session.assigned_at.items() if at < late and job not in named}
+        for key in [key for key in session.items if key[0] in forgotten]:
+            assigned = session.items.pop(key)
+            self._return_item(assigned.job, assigned.item)
+
+    def items_returned(self, node: str, job_id: str, items: list[str]) -> None:
+        """A proxy will not run these; it gets nothing until it has pinged again."""
+        session = self.sessions.by_node.get(node)
+        if session is None:
+            return
+        session.slots = 0
+        for item_id in items:
+            assigned = session.items.pop((job_id, item_id), None)
+            if assigned:
+                self._return_item(assigned.job, assigned.item)
+
+    def item_runs_at(self, node: str, job: Job, item_id: str) -> None:
+        """A proxy says that it has this item."""
+        session = self.sessions.by_node.get(node)
+        item = job.items.get(item_id)
+        if session is None or item is None or item.state is not ItemState.PENDING or job.id not in self.open_jobs:
+            return
+        item.state = ItemState.ASSIGNED
+        self._remove_pending(job, item)
+        job.proxies.add(node)
+        session.assigned_at[job.id] = self.now()
+        session.add(AssignedItem(job, item))
+
+    def tick(self) -> None:
+        """Look for proxies that are lost; called about ten times a second."""
+        self.sessions.tick()
+        if self.pending:
+            self.schedule()
+
+    # Assigning -----------------------------------------------------------------------------------
+
+    def schedule(self) -> None:
+        """Assign what can be, once for all that happens in this turn of the loop."""
+        if not self._scheduled and not self.stopped:
+            self._scheduled = True
+            self.loop.call_soon(self._assign_all)
+
+    def _assign_all(self) -> None:
+        self._scheduled = False
+        if self.stopped or not any(self.pending.values()):
+            return
+        free = self._free_sessions()
+        if not free:
+            return
+        batches: dict[str, list[AssignedItem]] = {}  # by node
+        ready = self._ready_jobs()
+        # What no trainer waits for comes after all that one does: it replaces a group that fails.
+        needed = [(job, self.surplus_from[job.id]) for job in ready]
+        surplus = [(job, NO_SURPLUS) for job in ready]
+        for job, end in [*needed, *surplus]:
+            queue = self.pending[job.id]
+            while queue and free and queue[0][0][0] < end:
+                _, draw, session = heapq.heappop(free)
+                batches.setdefault(session.node, []).append(self._assign_next(session, job, queue))
+                if session.load < MAX_LOAD:
+                    heapq.heappush(free, (session.load, draw, session))
+            if not free:
+                break
+        for node, batch in batches.items():
+            self._send(self.sessions.by_node[node], batch)
+
+    def _free_sessions(self) -> list[tuple[float, float, ProxySession]]:
+        """A heap of the proxies that may get items, the least loaded first; among equals a random draw decides."""
+        slots = {session.node: session.slots for session in self.sessions.by_node.values() if session.can_be_assigned}
+        runners = [self.sessions.by_node[node] for node in choose_runners(slots, self.host.item_slots())]
+        free = [(session.load, self.random.random(), session) for session in runners if session.load < MAX_LOAD]
+        heapq.heapify(free)
+        return free
+
+    def _ready_jobs(self) -> list[Job]:
+        """The jobs whose items may be assigned now, the one that is due first at the front."""
+        now = self.now()
+        waiting = {partition_of(job) for job, queue in self.pending.items() if queue}
+        ready = {
+            partition
+            for partition in waiting
+            if self.settled_at.get(partition, 0.0) <= now and self.host.may_run(partition)
+        }
+        jobs = [self.open_jobs[job] for job, queue in self.pending.items() if queue and partition_of(job) in ready]
+        return sorted(jobs, key=lambda job: job.received_at + self.host.deadlines(job).due_s)
+
+    def _assign_next(self, session: ProxySession, job: Job, queue: list[QueuedItem]) -> AssignedItem:
+        """The first item that waits. Not whole groups: one proxy would work on a group while others have nothing."""
+        _, item_id = queue.pop(0)
+        item = job.items[item_id]
+        job.proxies.add(session.node)
+        item.state = ItemState.ASSIGNED
+        assigned = AssignedItem(job, item)
+        session.add(assigned)
+        return assigned
+
+    def _send(self, session: ProxySession, batch: list[AssignedItem]) -> None:
+        by_job: dict[str, list[JobItem]] = {}
+        for assigned in batch:
+            by_job.setdefault(assigned.job.id, []).append(assigned.item)
+        for job_id, items in by_job.items():
+            job = self.open_jobs.get(job_id)
+            # Danger: an end may be committed before this is notified of it; the bodies are gone by then.
+            if job is None or job.state is not JobState.OPEN:
+                continue
+            session.assigned_at[job_id] = self.now()
+            end = self.surplus_from[job_id]
+            needed = [item for item in items if item.order[0] < end]
+            surplus = [item for item in items if item.order[0] >= end]
+            if needed:
+                session.link.send(self._assignment(job, needed, 0.0))
+            if surplus:
+                session.link.send(self._assignment(job, surplus, SURPLUS_DELAY_S))
+
+    def _assignment(self, job: Job, items: list[JobItem], delay_s: float) -> AssignItems:
+        deadlines = self.host.deadlines(job)
+        partition = partition_of(job.id)
+        age_s = self.now() - job.received_at
+        left_s = max(0.0, deadlines.due_s - age_s) + delay_s
+        wait_s = max(0.0, deadlines.max_wait_s - age_s)
+        return AssignItems(
+            partition=partition,
+            epoch=self.host.epoch(partition),
+            job=job.id,
+            host=job.host,
+            model=job.model,
+            min_version=job.min_version,
+            left_ms=int(left_s * 1000),
+            wait_ms=int(wait_s * 1000),
+            items=[_work_item(item) for item in items],
+        )
+
+
+def _work_item(item: JobItem) -> WorkItem:
+    return WorkItem(
+        item=item.id,
+        path=item.path,
+        headers=item.headers,
+        body=item.body,
+        group=item.group,
+        tokens=item.tokens,
+        scorer_id=item.scorer_id,
+        scorer_host=item.scorer_host,
+        scorer_path=item.scorer_path,
+        scorer_body=item.scorer_body,
+    )
--- a/otterreach/jobstore/leadership.py
+++ b/otterreach/jobstore/leadership.py
@@ -1,39 +1,48 @@
 """Being primary of a partition in one epoch: what its members have on disk, and what may be answered by that.
 
-A write is answered once every required member has it on disk; a read needs every required member's word from a moment
-ago that it is still in this epoch. docs/system.md, "Partitions of batch jobs".
+A write is answered once every required member has it on disk; a read needs every required member's confirmation, from a
+moment ago, that it is still in this epoch. docs/system.md, "Partitions of batch jobs".
 """
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Any, Protocol
-
-from otterreach.jobstore.jobs import Change, Job
-from otterreach.jobstore.messages import Entry, PartSynced
-from otterreach.jobstore.partition import Copy, CopyState
-from otterreach.jobstore.placement import Placement
-from otterreach.jobstore.replica_stream import ReplicaStream
+from typing import Any, Protocol
+
+from otterreach.jobstore.job import Job
+from otterreach.jobstore.job_table import JobChange
+from otterreach.jobstore.messages import Entry, ReplicaInSync
+from otterreach.jobstore.partition_replica import PartitionReplica, ReplicaState
+from otterreach.jobstore.replica_stream import NEVER_S, ReplicaStream
+from otterreach.jobstore.replication_context import ReplicationContext
 from otterreach.runtime.codes import Failure
+from otterreach.runtime.records import PartitionRecord
 
-if TYPE_CHECKING:
-    from otterreach.jobstore.replication import Replication
-
-REPORT_AGAIN_S = 0.2  # between reports of a learner that is in sync, until one is taken
-REPORTED_S = 1.0  # the same, after one was taken: the new record may be on its way
+REPORT_RETRY_S = 0.2  # between reports of a learner that is in sync, until one is accepted
+REPORT_REPEAT_S = 1.0  # the same, after one was accepted: the new record may be on its way
 
 
-class Hooks(Protocol):
-    """Who is told of what happens to partitions."""
+class LeadershipListener(Protocol):
+    """Is notified of what happens to partitions."""
 
-    def settled(self, copy: Copy, change: Change) -> None:
-        """A record is at all copies."""
+    def committed(self, replica: PartitionReplica, change: JobChange) -> None:
+        """An entry is at all replicas."""
 
-    def became_leader(self, copy: Copy) -> None:
+    def became_leader(self, replica: PartitionReplica) -> None:
         """This machine serves the partition from now on, perhaps as before under a lower epoch."""
 
-    def stepped_down(self, copy: Copy) -> None:
-        """It no longer does."""
+    def stepped_down(self, replica: PartitionReplica) -> None:
+        """This machine no longer serves the partition."""
+
+
+class LeadershipOwner(Protocol):
+    """Starts and ends leaderships."""
+
+    def sync_soon(self, replica: PartitionReplica) -> None:
+        """Entries of this replica are to be synced."""
+
+    def step_down(self, replica: PartitionReplica, reason: str) -> None:
+        """End the leadership of this replica's partition."""
 
 
 def finish(future: asyncio.Future[None]) -> None:
@@ -45,136 +54,163 @@
 class PartitionLeader:
     """Being primary of a partition in one epoch."""
 
-    def __init__(self, replication: Replication, copy: Copy, placement: Placement) -> None:
-        self.replication, self.copy, self.placement = replication, copy, placement
-        self.epoch = placement.epoch
-        self.now = replication.now
-        self.session = replication.random.getrandbits(48) | 1
-        self.base = copy.index  # answers nothing until all copies have these
-        self.local = -1  # on the own disk
-        self.committed = -1  # at all members
+    def __init__(
+        self,
+        context: ReplicationContext,
+        owner: LeadershipOwner,
+        listener: LeadershipListener,
+        replica: PartitionReplica,
+        record: PartitionRecord,
+    ) -> None:
+        self.context = context
+        self.owner = owner
+        self.listener = listener
+        self.replica = replica
+        self.record = record
+        self.epoch = record.epoch
+        self.session = context.random.getrandbits(48) | 1
+        self.first_index = replica.index  # it answers nothing until all replicas have the entries up to here
+        self.synced_index = -1  # on the own disk
+        self.committed_index = -1  # at all members
         self.ended = False
-        self.began_at = self.now()
-        self.replicas: dict[str, ReplicaStream] = {}
+        self.began_at = context.now()
+        self.streams: dict[str, ReplicaStream] = {}  # by member
         self._tasks: dict[str, asyncio.Task[Any]] = {}
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
 
     async def begin(self) -> None:
-        """The epoch on disk first, then the copies."""
-        index = self.copy.index
-        if not await self.replication.disk.sync() or self.ended:
+        """The epoch on disk first, then the other replicas."""
+        index = self.replica.index
+        if not await self.context.disk.sync() or self.ended:
             return
-        self.local = max(self.local, index)
-        self.update(self.placement)
+        self.synced_index = max(self.synced_index, index)
+        self.update(self.record)
         self.advance_commit()
 
-    def update(self, placement: Placement) -> None:
-        """Start and end what is sent to whom; only those that join may change within an epoch."""
-        self.placement = placement
-        wanted = {*placement.backups, *placement.learners, *self.copy.in_sync} - {self.replication.member}
-        for member in wanted - set(self.replicas):
-            replica = self.replicas[member] = ReplicaStream(self, member)
-            self._tasks[member] = self.replication.spawn(replica.run())
-        for member in set(self.replicas) - wanted:
-            del self.replicas[member]
+    def update(self, record: PartitionRecord) -> None:
+        """Start and end streams; only learners may change within an epoch."""
+        self.record = record
+        wanted = {*record.backups, *record.learners, *self.replica.in_sync} - {self.context.member}
+        for member in wanted - set(self.streams):
+            stream = ReplicaStream(self.context, self, member)
+            self.streams[member] = stream
+            self._tasks[member] = self.context.spawn(stream.run())
+        for member in set(self.streams) - wanted:
+            del self.streams[member]
             self._tasks.pop(member).cancel()
 
     def end(self) -> None:
+        """The leadership is over: whoever waits for an index goes on without it."""
         self.ended = True
         for task in self._tasks.values():
             task.cancel()
         self._tasks.clear()
-        waiters, self._waiters = self._waiters, []
+        waiters = self._waiters
+        self._waiters = []
         for _, future in waiters:
             finish(future)
 
+    def superseded(self, reason: str) -> None:
+        """A member is in a higher epoch: this one is over."""
+        self.owner.step_down(self.replica, f"superseded: {reason}")
+
+    # What may be answered ------------------------------------------------------------------------
+
     @property
     def required(self) -> list[str]:
-        """Whose word writes and reads wait for: a learner too, once the controller may make it a member."""
-        return [*self.placement.backups, *(self.copy.in_sync - set(self.placement.backups))]
+        """The members that writes and reads wait for: a learner too, once the controller may make it a backup."""
+        return [*self.record.backups, *(self.replica.in_sync - set(self.record.backups))]
 
-    def age(self) -> float:
+    def age_s(self) -> float:
         """Seconds since all members were last surely in this epoch: nobody else was primary then."""
-        return self.now() - min(
-            (self.replicas[m].heard if m in self.replicas else -1e9 for m in self.required), default=self.now()
-        )
+        now = self.context.now()
+        confirmed = [self.streams[m].confirmed_at if m in self.streams else NEVER_S for m in self.required]
+        return now - min(confirmed, default=now)
 
     @property
-    def enough(self) -> bool:
-        return len(self.placement.backups) >= self.replication.survive_nodes
+    def has_enough_backups(self) -> bool:
+        """Whether the record names as many as are to survive."""
+        return len(self.record.backups) >= self.context.survive_nodes
 
     @property
-    def serving(self) -> bool:
-        """Whether it takes writes; they end once they are at all members."""
-        return not self.ended and self.copy.state is CopyState.SERVING and self.replication.journal.failed is None
+    def is_serving(self) -> bool:
+        """Whether it accepts writes; they complete once they are at all members."""
+        disk_works = self.context.journal.failed is None
+        return not self.ended and self.replica.state is ReplicaState.SERVING and disk_works
 
     @property
-    def fresh(self) -> bool:
-        """Whether it answers reads, and lets items be run."""
-        return self.serving and self.age() < self.replication.fresh_s
+    def is_confirmed(self) -> bool:
+        """Whether it is surely the only primary now: it answers reads, and lets items run."""
+        return self.is_serving and self.age_s() < self.context.max_confirmation_age_s
+
+    # Writes --------------------------------------------------------------------------------------
 
     def append(self, entry: Entry, parsed: Job | None = None) -> int:
-        """A record for all copies. Returns the index to wait for."""
-        index = self.copy.append(entry, parsed)
-        self.replication.sync_soon(self.copy)
-        for replica in self.replicas.values():
-            replica.wake.set()
+        """Append an entry at all replicas. Returns the index to wait for."""
+        index = self.replica.append(entry, parsed)
+        self.owner.sync_soon(self.replica)
+        for stream in self.streams.values():
+            stream.wake.set()
         return index
 
     def waiter(self, index: int) -> asyncio.Future[None]:
         """Done once the index is at all members, or the leadership is over."""
-        future: asyncio.Future[None] = self.replication.loop.create_future()
+        future: asyncio.Future[None] = self.context.loop.create_future()
         self._waiters.append((index, future))
         return future
 
-    def replica_advanced(self, replica: ReplicaStream) -> None:
-        """A copy has got further."""
-        joins = replica.member in self.placement.learners or replica.member in self.copy.in_sync
-        if joins and replica.acked >= self.copy.index and not replica.reporting:
-            replica.reporting = True
-            self.copy.add_in_sync(replica.member)
-            self.replication.spawn(self._report_in_sync(replica))
+    def synced(self, index: int) -> None:
+        """The own disk has the entries up to here."""
+        self.synced_index = max(self.synced_index, index)
         self.advance_commit()
 
-    async def _report_in_sync(self, replica: ReplicaStream) -> None:
-        """From here on writes wait for it, so that the controller may make it a member at any time."""
-        ask = PartSynced(self.copy.part, self.epoch, replica.member)
-        if not await self.replication.disk.sync():
+    def replica_advanced(self, stream: ReplicaStream) -> None:
+        """Another replica has more on disk."""
+        is_learner = stream.member in self.record.learners or stream.member in self.replica.in_sync
+        if is_learner and stream.acknowledged >= self.replica.index and not stream.reporting_in_sync:
+            stream.reporting_in_sync = True
+            self.replica.add_in_sync(stream.member)
+            self.context.spawn(self._report_in_sync(stream))
+        self.advance_commit()
+
+    async def _report_in_sync(self, stream: ReplicaStream) -> None:
+        """From here on writes wait for it, so that the controller may make it a backup at any time."""
+        request = ReplicaInSync(self.replica.partition, self.epoch, stream.member)
+        if not await self.context.disk.sync():
             return
-        while self._is_learner(replica):
-            reply = await self.replication.ask_controller(ask)
-            await asyncio.sleep(REPORT_AGAIN_S if isinstance(reply, Failure) else REPORTED_S)
+        while self._is_still_learner(stream):
+            reply = await self.context.call_controller(request)
+            await asyncio.sleep(REPORT_RETRY_S if isinstance(reply, Failure) else REPORT_REPEAT_S)
 
-    def _is_learner(self, replica: ReplicaStream) -> bool:
-        current = not self.ended and self.replicas.get(replica.member) is replica
-        return current and replica.member not in self.placement.backups
+    def _is_still_learner(self, stream: ReplicaStream) -> bool:
+        is_current = not self.ended and self.streams.get(stream.member) is stream
+        return is_current and stream.member not in self.record.backups
 
     def advance_commit(self) -> None:
-        """See how far all members are; the one place where records become visible."""
+        """See how far all members are; the one place where entries become visible."""
         if self.ended:
             return
-        acked = [self.replicas[m].acked if m in self.replicas else -1 for m in self.required]
-        done = min([self.local, *acked])
-        if done > self.committed:
-            self.committed = done
-            for change in self.copy.settle(done):
-                self.replication.hooks.settled(self.copy, change)
-            self._release(done)
-            self.copy.floor = min((p.needed for p in self.replicas.values()), default=done)
-        if self.committed >= self.base and self.enough and self.copy.state is CopyState.SYNCING:
-            self.copy.become(CopyState.SERVING, "all members stand alike")
-            self.replication.hooks.became_leader(self.copy)
-
-    def _release(self, done: int) -> None:
-        waiting, self._waiters = self._waiters, []
-        for index, future in waiting:
+        acknowledged = [self.streams[m].acknowledged if m in self.streams else -1 for m in self.required]
+        index = min([self.synced_index, *acknowledged])
+        if index > self.committed_index:
+            self.committed_index = index
+            for change in self.replica.commit(index):
+                self.listener.committed(self.replica, change)
+            self._release_waiters(index)
+            needed_from = [stream.needed_from for stream in self.streams.values()]
+            self.replica.retained_from = min(needed_from, default=index)
+        is_caught_up = self.committed_index >= self.first_index and self.has_enough_backups
+        if is_caught_up and self.replica.state is ReplicaState.SYNCING:
+            self.replica.become(ReplicaState.SERVING, "all members are in sync")
+            self.listener.became_leader(self.replica)
+
+    def _release_waiters(self, committed_index: int) -> None:
+        waiters = self._waiters
+        self._waiters = []
+        for index, future in waiters:
             if future.done():
                 continue
-            if index <= done:
+            if index <= committed_index:
                 future.set_result(None)
             else:
                 self._waiters.append((index, future))
-
-    def superseded(self, why: str) -> None:
-        """A member is in a higher epoch: this one is over."""
-        self.replication.step_down(self.copy, f"superseded: {why}")
--- a/otterreach/jobstore/member_pings.py
+++ b/otterreach/jobstore/member_pings.py
@@ -1,81 +1,83 @@
-"""Heartbeats of a primary to the members of its partitions: one question for each machine.
+"""Heartbeats of a primary to the members of its partitions: one ping for each machine.
 
-The question covers all partitions that both share. An answer makes reads fresh; a member that is silent is
-told to the controller, which places another copy.
+A ping covers all partitions that both share. An answer makes reads possible; a member that is silent is reported to the
+controller, which places another replica.
 """
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING
+from collections.abc import Mapping
 
-from otterreach.jobstore.messages import PartEpochs, PartLost, PartPing
+from otterreach.jobstore.leadership import PartitionLeader
+from otterreach.jobstore.messages import PartitionPing, ReplicaLost
+from otterreach.jobstore.replication_context import ReplicationContext
+from otterreach.runtime.codes import Failure
 
-if TYPE_CHECKING:
-    from otterreach.jobstore.leadership import PartitionLeader
-    from otterreach.jobstore.replication import Replication
-
-PING_S = 0.15
-PING_CALL_S = 0.4
-LOST_S = 0.6  # a member silent for so long is told to the controller
-LOST_AGAIN_S = 0.3
+PING_INTERVAL_S = 0.15
+PING_TIMEOUT_S = 0.4
+LOST_S = 0.6  # a member silent for so long is reported to the controller
+REPORT_INTERVAL_S = 0.3
+MAX_REPORTED_S = 1e6
 
 
 class MemberPings:
     """For all partitions that this machine is primary of."""
 
-    def __init__(self, replication: Replication) -> None:
-        self.replication = replication
-        self._asking: set[str] = set()
+    def __init__(self, context: ReplicationContext, leaders: Mapping[int, PartitionLeader]) -> None:
+        self.context = context
+        self.leaders = leaders
+        self._in_flight: set[str] = set()  # members that have not answered yet
 
     async def run(self) -> None:
-        """For ever: ask the members of all partitions led here, one question for each machine."""
+        """Ping the members of all partitions led here; for ever."""
         while True:
-            parts: dict[str, list[PartitionLeader]] = {}
-            for leader in self.replication.leaders.values():
-                for member in leader.replicas:
-                    if member in leader.required:
-                        parts.setdefault(member, []).append(leader)
-            for member, leaders in parts.items():
-                if member not in self._asking:
-                    self.replication.spawn(self._ping(member, leaders))
-            await asyncio.sleep(min(PING_S, self.replication.fresh_s / 3))
+            for member, leaders in self._leaders_by_member().items():
+                if member not in self._in_flight:
+                    self.context.spawn(self._ping(member, leaders))
+            await asyncio.sleep(min(PING_INTERVAL_S, self.context.max_confirmation_age_s / 3))
+
+    def _leaders_by_member(self) -> dict[str, list[PartitionLeader]]:
+        by_member: dict[str, list[PartitionLeader]] = {}
+        for leader in self.leaders.values():
+            for member in leader.streams:
+                if member in leader.required:
+                    by_member.setdefault(member, []).append(leader)
+        return by_member
 
     async def _ping(self, member: str, leaders: list[PartitionLeader]) -> None:
-        address = self.replication.address_of(member)
-        self._asking.add(member)
-        sent = self.replication.now()
+        address = self.context.address_of(member)
+        self._in_flight.add(member)
+        sent_at = self.context.now()
         try:
             if address:
-                ask = PartPing(member, [o.copy.part for o in leaders], [o.epoch for o in leaders])
-                reply = await self.replication.call(address, ask, PING_CALL_S)
-                if isinstance(reply, PartEpochs):
-                    self._pinged(member, leaders, reply.epochs, sent)
+                partitions = [leader.replica.partition for leader in leaders]
+                ping = PartitionPing(member, partitions, [leader.epoch for leader in leaders])
+                reply = await self.context.call(address, ping, PING_TIMEOUT_S)
+                if not isinstance(reply, Failure):
+                    self._handle_epochs(member, leaders, reply.epochs, sent_at)
         finally:
-            self._asking.discard(member)
+            self._in_flight.discard(member)
         for leader in leaders:
-            self._tell_lost(leader, member)
+            self._report_if_lost(leader, member)
 
-    def _pinged(self, member: str, leaders: list[PartitionLeader], epochs: list[int], sent: float) -> None:
+    def _handle_epochs(self, member: str, leaders: list[PartitionLeader], epochs: list[int], sent_at: float) -> None:
         for leader, epoch in zip(leaders, epochs, strict=False):
-            replica = leader.replicas.get(member)
+            stream = leader.streams.get(member)
             if epoch > leader.epoch and not leader.ended:
                 leader.superseded(f"{member} is in {epoch}")
-            elif epoch == leader.epoch and replica:
-                replica.heard = max(replica.heard, sent)
+            elif epoch == leader.epoch and stream:
+                stream.confirm(sent_at)
 
-    def _tell_lost(self, leader: PartitionLeader, member: str) -> None:
-        replica = leader.replicas.get(member)
-        if leader.ended or replica is None:
+    def _report_if_lost(self, leader: PartitionLeader, member: str) -> None:
+        stream = leader.streams.get(member)
+        if leader.ended or stream is None:
             return
-        now = self.replication.now()
-        silent = now - max(replica.heard, leader.began_at)
-        if silent < LOST_S or now - replica.told_lost < LOST_AGAIN_S:
+        now = self.context.now()
+        silence_s = now - max(stream.confirmed_at, leader.began_at)
+        if silence_s < LOST_S or now - stream.reported_lost_at < REPORT_INTERVAL_S:
             return
-        address = self.replication.node.follower.primary
-        link = self.replication.node.endpoint.linked(address) if address else None
-        if link:
-            replica.told_lost = now
-            link.send(PartLost(leader.copy.part, leader.epoch, member, int(min(silent, 1e6) * 1000)))
-        elif address:
-            self.replication.spawn(self.replication.node.endpoint.link(address))
+        silent_ms = int(min(silence_s, MAX_REPORTED_S) * 1000)
+        report = ReplicaLost(leader.replica.partition, leader.epoch, member, silent_ms)
+        if self.context.send_to_controller(report):
+            stream.reported_lost_at = now
--- a/otterreach/jobstore/messages.py
+++ b/otterreach/jobstore/messages.py
@@ -1,16 +1,19 @@
-"""What proxies and job store nodes, and job store nodes among themselves, say to each other."""
+"""The RPC messages between proxies and job store nodes, and among job store nodes."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-from otterreach.runtime.codec import message
+from otterreach.runtime.codec import Request, message
+from otterreach.runtime.rpc import Done
+
+# Batch jobs, for clients -------------------------------------------------------------------------
 
 
 @message(60)
 @dataclass(slots=True)
-class Submit:
-    """Proxy to primary job store node: keep this batch job. Done, or a Failure (maybe_done: it may be kept)."""
+class SubmitJob(Request[Done]):
+    """A proxy to the primary: keep this batch job. A Failure with `maybe_done`: it may be kept."""
 
     job: str
     host: str  # of the route it came by
@@ -18,87 +21,96 @@
     body: bytes  # the JSON as it came
 
 
-@message(61)
-@dataclass(slots=True)
-class ReadJob:
-    """Results from position `past` on; held up to `wait_ms` until there is one. Results, or a Failure."""
-
-    job: str
-    past: int
-    wait_ms: int
-
-
 @message(62)
 @dataclass(slots=True)
-class Results:
+class JobResults:
+    """Results of a batch job, in their order."""
+
     total: int
     next_cursor: int
     body: bytes  # the results as JSON objects, joined by commas
 
 
-@message(63)
+@message(61)
 @dataclass(slots=True)
-class ReadItem:
-    """The decoded body of an item that is not yet listed. ItemBody, or a Failure."""
+class ReadJob(Request[JobResults]):
+    """A proxy to the primary: the results from `offset` on. Waits up to `wait_ms` until there is one."""
 
     job: str
-    item: str
+    offset: int
+    wait_ms: int
 
 
 @message(64)
 @dataclass(slots=True)
 class ItemBody:
+    """The decoded body of an item."""
+
     body: bytes
 
 
-@message(65)
+@message(63)
 @dataclass(slots=True)
-class EndJob:
-    """Done once all copies have it on disk."""
+class ReadItem(Request[ItemBody]):
+    """A proxy to the primary: the body of an item that is not yet listed."""
 
     job: str
+    item: str
 
 
-@message(66)
+@message(65)
 @dataclass(slots=True)
-class ProxyPing:
-    """Proxy to every job store node, each 250 ms, as a call."""
+class EndJob(Request[Done]):
+    """A proxy to the primary: nothing more of this batch job is wanted. Done once all replicas have that on disk."""
+
+    job: str
 
-    node: str
-    address: str
-    sent_ms: int  # the proxy's steady clock
-    slots: int  # items that it may run at once, in all
-    free: int  # of which not taken
-    jobs: list[str] = field(default_factory=list)  # whose items it has, queued or running
-    life: int = 0  # drawn at the start of the process: another life runs nothing yet
+
+# Items, for proxies that run them ----------------------------------------------------------------
 
 
 @message(0)
 @dataclass(slots=True)
-class Held:
-    """A partition that the job store node serves as primary, with copies enough."""
+class ServedPartition:
+    """A partition that a job store node serves as primary, with enough replicas."""
 
-    part: int
+    partition: int
     epoch: int
-    age_ms: int  # since all its backups were last surely under this epoch
+    age_ms: int  # since all its backups were last surely in this epoch
 
 
 @message(67)
 @dataclass(slots=True)
-class Pong:
-    sent_ms: int
-    held: list[Held] = field(default_factory=list)
+class ProxyPong:
+    """What a job store node serves."""
+
+    sent_ms: int  # as in the ping
+    served: list[ServedPartition] = field(default_factory=list)
     ended: list[str] = field(default_factory=list)  # of the ping's jobs: a CancelJob may have been lost
 
 
+@message(66)
+@dataclass(slots=True)
+class ProxyPing(Request[ProxyPong]):
+    """A proxy to every job store node, at short intervals."""
+
+    node: str
+    address: str
+    sent_ms: int  # by the proxy's monotonic clock
+    slots: int  # items that it may run at once
+    free: int  # slots that are not taken
+    jobs: list[str] = field(default_factory=list)  # whose items it has, queued or running
+    incarnation: int = 0  # drawn at the start of the process: another incarnation runs nothing yet
+
+
 @message(0)
 @dataclass(slots=True)
-class Work:
+class WorkItem:
     """One item to be run, with its reward call."""
 
     item: str
     path: str
-    headers: str  # JSON object
+    headers: str  # a JSON object
     body: bytes
     group: str
     tokens: int
@@ -110,11 +122,13 @@
 
 @message(68)
 @dataclass(slots=True)
-class Assign:
-    """Job store node to proxy, one way: run these. `left_ms` until the results are due, `wait_ms` until an item may be
-    given up (maxWaitS), both from the first time the batch job came."""
+class AssignItems:
+    """A job store node to a proxy, one way: run these items.
+
+    `left_ms`: until the results are due; `wait_ms`: until an item may be given up. Both count from now.
+    """
 
-    part: int
+    partition: int
     epoch: int
     job: str
     host: str
@@ -122,19 +136,21 @@
     min_version: int
     left_ms: int
     wait_ms: int
-    works: list[Work]
+    items: list[WorkItem]
 
 
 @message(69)
 @dataclass(slots=True)
-class Finished:
-    """Proxy to the partition's primary, as a call until it is taken: what came of an item. Done, or a Failure;
-    JOB_ENDED and UNKNOWN_ITEM (listed already) are final."""
+class ItemFinished(Request[Done]):
+    """A proxy to the primary, repeated until it is taken: what came of an item.
+
+    JOB_ENDED and UNKNOWN_ITEM (listed already) are final.
+    """
 
     job: str
     item: str
     state: str  # done or errored
-    reason: str  # of errored: unprocessable, failed, reward_failed, waited, route_gone
+    reason: str  # of errored: one of results.ERRORS
     text: str
     versions: list[int]
     score: str
@@ -142,18 +158,18 @@
 
 @message(70)
 @dataclass(slots=True)
-class Running:
-    """Proxy to a new primary (and on request): these items of a partition run here."""
+class RunningItems(Request[Done]):
+    """A proxy to a new primary: these items of a partition run here."""
 
-    part: int
+    partition: int
     node: str
     items: list[str]  # "job item"
 
 
 @message(71)
 @dataclass(slots=True)
-class GiveBack:
-    """Proxy to primary, one way: these will not be run here any more."""
+class ReturnItems:
+    """A proxy to the primary, one way: these items will not be run here any more."""
 
     job: str
     items: list[str]
@@ -162,19 +178,43 @@
 @message(72)
 @dataclass(slots=True)
 class CancelJob:
-    """Job store node to proxy, one way: nothing of this batch job may go out any more."""
+    """A job store node to a proxy, one way: nothing of this batch job may be sent any more."""
 
     job: str
 
 
+# Replication -------------------------------------------------------------------------------------
+
+
+@message(0)
+@dataclass(slots=True)
+class Entry:
+    """A record of a partition's log."""
+
+    kind: int
+    body: bytes
+
+
+@message(78)
+@dataclass(slots=True)
+class ReplicaPosition:
+    """How far a replica's log is on its disk; an index of -1: it has no complete replica."""
+
+    epoch: int
+    index: int  # the count of records
+    chain: int  # a hash over all of them
+
+
 @message(73)
 @dataclass(slots=True)
-class JobAppend:
-    """Primary to backup: records of a partition, in order, after the position (index, chain). CopyPosition once they
-    are on disk; where the copy stands elsewhere nothing is taken, and its position tells. Without records: a question,
-    which also opens `session`: what came before it from another session is refused from then on (NOT_SYNCED)."""
+class AppendEntries(Request[ReplicaPosition]):
+    """The primary to a backup: records behind the position (index, chain). Answered once they are on disk.
+
+    Where the replica is at another position nothing is appended, and its position is the answer. Without records it is
+    a question, which also opens `session`: messages of an earlier session get NOT_SYNCED from then on.
+    """
 
-    part: int
+    partition: int
     epoch: int
     member: str  # who is meant: nobody else at that address
     session: int
@@ -183,59 +223,53 @@
     records: list[Entry]
 
 
-@message(0)
-@dataclass(slots=True)
-class Entry:
-    kind: int
-    body: bytes
-
-
 @message(74)
 @dataclass(slots=True)
-class PartInstall:
-    """Primary to one that lacks something: a piece of the whole partition as it is at (index, chain). What was there
-    stays in force until the last piece. CopyPosition, or a Failure: then the install starts anew."""
+class PartitionInstall(Request[ReplicaPosition]):
+    """The primary to a replica that lacks something: a chunk of the complete partition as it is at (index, chain).
+
+    What was there stays in force until the last chunk. After a Failure the installation starts anew.
+    """
 
-    part: int
+    partition: int
     epoch: int
     member: str
     session: int
-    install: int  # drawn for each install
-    piece: int  # counted from 0
+    install: int  # drawn for each installation
+    chunk: int  # counted from 0
     last: bool
     index: int
     chain: int
     records: list[Entry]
 
 
-@message(75)
+@message(79)
 @dataclass(slots=True)
-class PartPing:
-    """Primary to backup: are these epochs still the ones you are in? PartEpochs, or NOT_MEMBER."""
+class PartitionEpochs:
+    """The epochs that a member is in, in the order of the question."""
 
-    member: str
-    parts: list[int]
     epochs: list[int]
 
 
-@message(76)
+@message(75)
 @dataclass(slots=True)
-class PartSynced:
-    """Primary job store node to the primary controller: this member has all of the partition now, and every write
-    waits for it. Done or a Failure. Counts only while the record's epoch is this one."""
+class PartitionPing(Request[PartitionEpochs]):
+    """The primary to a backup: are you still in these epochs? NOT_MEMBER if another disk is there."""
 
-    part: int
-    epoch: int
     member: str
+    partitions: list[int]
+    epochs: list[int]
 
 
 @message(77)
 @dataclass(slots=True)
-class PartDigests:
-    """Primary to backup: digests over ranges of jobs at (index, chain), to find a copy that differs. Done if it is
-    the same or stands elsewhere, NOT_SYNCED if it differs."""
+class PartitionDigests(Request[Done]):
+    """The primary to a backup: digests over ranges of jobs at (index, chain), to find a replica that differs.
 
-    part: int
+    Done if it is the same, or at another position; NOT_SYNCED if it differs.
+    """
+
+    partition: int
     epoch: int
     member: str
     index: int
@@ -243,30 +277,28 @@
     digests: list[int]
 
 
-@message(78)
-@dataclass(slots=True)
-class CopyPosition:
-    """Where a copy stands, on disk: the count of records, and a hash over all of them; -1: no whole copy."""
-
-    epoch: int
-    index: int
-    chain: int
+# To the primary controller -----------------------------------------------------------------------
 
 
-@message(79)
+@message(76)
 @dataclass(slots=True)
-class PartEpochs:
-    """The epochs that a member is in, in the order of the question."""
+class ReplicaInSync(Request[Done]):
+    """A partition's primary: this member has all of the partition now, and every write waits for it.
 
-    epochs: list[int]
+    Counts only while the record's epoch is this one.
+    """
+
+    partition: int
+    epoch: int
+    member: str
 
 
 @message(80)
 @dataclass(slots=True)
-class PartLost:
-    """Primary job store node to the primary controller, one way: this backup hasn't answered it for `silent_ms`."""
+class ReplicaLost:
+    """A partition's primary, one way: this backup has not answered for `silent_ms`."""
 
-    part: int
+    partition: int
     epoch: int
     member: str
     silent_ms: int
@@ -275,7 +307,7 @@
 @message(81)
 @dataclass(slots=True)
 class DiskStalled:
-    """Job store node to the primary controller, one way, repeated while it lasts: its disk takes no write."""
+    """A job store node, one way, repeated while it lasts: its disk takes no writes."""
 
     node: str
     disk: str
@@ -284,9 +316,11 @@
 
 @message(82)
 @dataclass(slots=True)
-class Leaving:
-    """Job store node to the primary controller, repeated while it lasts: it is about to end, others are to get its
-    copies first. Done, or TOO_FEW_LEFT: nobody else could take them."""
+class StoreDraining(Request[Done]):
+    """A job store node, repeated while it lasts: it is about to end, others are to get its replicas first.
+
+    TOO_FEW_LEFT: nobody else could take them.
+    """
 
     node: str
     disk: str
