--- a/otterreach/jobstore/replica_stream.py
+++ b/otterreach/jobstore/replica_stream.py
@@ -1,129 +1,180 @@
-"""One other copy of a partition as its primary sees it: find out where it stands, fill it, send it what comes."""
+"""Another replica of a partition as its primary sees it: find out where it is, fill it, send it what comes."""
 
 from __future__ import annotations
 
 import asyncio
 from enum import Enum
-from typing import TYPE_CHECKING, Any
-
-from otterreach.jobstore.installation import PIECE, Installation, size_of, within_s
-from otterreach.jobstore.messages import CopyPosition, JobAppend
-from otterreach.jobstore.partition import NOWHERE, Position
+from typing import Protocol
+
+from otterreach.jobstore.installation import (
+    CHUNK_BYTES,
+    Installation,
+    InstallationTarget,
+    size_of,
+    transfer_timeout_s,
+)
+from otterreach.jobstore.journal_records import NO_POSITION, LogPosition
+from otterreach.jobstore.messages import AppendEntries, ReplicaPosition
+from otterreach.jobstore.partition_replica import PartitionReplica
+from otterreach.jobstore.replication_context import ReplicationContext
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.log import log
 
-if TYPE_CHECKING:
-    from otterreach.jobstore.leadership import PartitionLeader
-
-RETRY_S, MOST_RETRY_S = 0.06, 0.3  # between calls to a member that doesn't answer
+RETRY_S = 0.06  # after a call that was not answered; longer with each
+MAX_RETRY_S = 0.3
+RETRY_FACTOR = 1.6
+NEVER_S = -1e9
+NOTHING_NEEDED = 1 << 60  # an index above all
 
 
 class StreamState(Enum):
-    ASKING = "asking"  # where its copy stands
+    """What the primary does about the other replica."""
+
+    ASKING = "asking"  # for its position
     INSTALLING = "installing"
     STREAMING = "streaming"
 
 
+class StreamOwner(Protocol):
+    """The leadership that a stream belongs to."""
+
+    replica: PartitionReplica
+    epoch: int
+    session: int
+
+    def superseded(self, reason: str) -> None:
+        """The other replica is in a higher epoch."""
+
+    def replica_advanced(self, stream: ReplicaStream) -> None:
+        """The other replica has more on disk."""
+
+
 class ReplicaStream:
-    """Another copy, as its primary sees it."""
+    """Another replica, as its primary sees it."""
 
-    def __init__(self, leader: PartitionLeader, member: str) -> None:
-        self.leader, self.member = leader, member
+    def __init__(self, context: ReplicationContext, owner: StreamOwner, member: str) -> None:
+        self.context = context
+        self.owner = owner
+        self.member = member
         self.state = StreamState.ASKING
-        self.acked = -1  # records that it has on disk
-        self.heard = -1e9  # when the last call that it answered under this epoch was sent
-        self.told_lost = -1e9
-        self.reporting = False
+        self.acknowledged = -1  # entries that it has on disk
+        self.confirmed_at = NEVER_S  # when the last call that it answered under this epoch was sent
+        self.reported_lost_at = NEVER_S
+        self.reporting_in_sync = False
         self.wake = asyncio.Event()
-        self._next: Position = NOWHERE
-        self._pinned: int | None = None
+        self._next: LogPosition = NO_POSITION
+        self._installing_from: int | None = None  # the index of an installation in progress
 
-    def become(self, state: StreamState, why: str = "") -> None:
+    def become(self, state: StreamState, reason: str = "") -> None:
         """The one function that changes the state."""
-        if state is not self.state:
-            if why:
-                log(
-                    "replica",
-                    part=self.leader.copy.part,
-                    member=self.member,
-                    old=self.state.value,
-                    new=state.value,
-                    why=why,
-                )
-            self.state = state
+        if state is self.state:
+            return
+        if reason:
+            log(
+                "replica_stream",
+                partition=self.owner.replica.partition,
+                member=self.member,
+                old=self.state.value,
+                new=state.value,
+                reason=reason,
+            )
+        self.state = state
 
     @property
-    def needed(self) -> int:
-        """Records from here on are still to be sent to it."""
-        if self._pinned is not None:
-            return self._pinned
-        return self.acked if self.state is StreamState.STREAMING else 1 << 60
-
-    def differs(self) -> None:
-        """Its copy is not the same at the same place: fill it anew, and count on nothing until then."""
-        self.acked = -1
+    def needed_from(self) -> int:
+        """Entries from this index on are still to be sent to it."""
+        if self._installing_from is not None:
+            return self._installing_from
+        return self.acknowledged if self.state is StreamState.STREAMING else NOTHING_NEEDED
+
+    def confirm(self, asked_at: float) -> None:
+        """It has said, asked at that time, that it is in this epoch."""
+        self.confirmed_at = max(self.confirmed_at, asked_at)
+
+    def mark_differing(self) -> None:
+        """It holds something else at the same position: fill it anew, and count on nothing until then."""
+        self.acknowledged = -1
         self.become(StreamState.INSTALLING, "differs")
         self.wake.set()
 
     async def run(self) -> None:
-        """Ask where it stands, fill it if it has to be, send what comes; for as long as the leadership lasts."""
-        leader, copy = self.leader, self.leader.copy
-        pause = RETRY_S
+        """Ask for its position, fill it if it has to be, send what comes; for as long as the leadership lasts."""
+        replica = self.owner.replica
+        pause_s = RETRY_S
         while True:
-            if self.state is StreamState.STREAMING and self.acked >= copy.index:
+            if self.state is StreamState.STREAMING and self.acknowledged >= replica.index:
                 self.wake.clear()
                 await self.wake.wait()
                 continue
-            address = leader.replication.address_of(self.member)
-            done = bool(address) and await (
-                self._install(address) if self.state is StreamState.INSTALLING else self._push(address)
-            )
-            if not done:
-                await asyncio.sleep(pause)
-            pause = RETRY_S if done else min(MOST_RETRY_S, pause * 1.6)
+            if await self._advance():
+                pause_s = RETRY_S
+                continue
+            await asyncio.sleep(pause_s)
+            pause_s = min(MAX_RETRY_S, pause_s * RETRY_FACTOR)
+
+    async def _advance(self) -> bool:
+        """One step. False: there was no answer, try again later."""
+        address = self.context.address_of(self.member)
+        if not address:
+            return False
+        if self.state is StreamState.INSTALLING:
+            return await self._install()
+        return await self._push(address)
 
     async def _push(self, address: str) -> bool:
-        leader, copy = self.leader, self.leader.copy
+        replica = self.owner.replica
         streaming = self.state is StreamState.STREAMING
-        position = self._next if streaming else copy.position
-        if streaming and not copy.knows(position):
+        position = self._next if streaming else replica.position
+        if streaming and not replica.contains(position):
             self.become(StreamState.ASKING, "too far behind")
             return True
-        records = copy.after(position, PIECE) if streaming else []
-        ask = JobAppend(copy.part, leader.epoch, self.member, leader.session, *position, records)
-        sent = leader.now()
-        return self._take_position(await leader.replication.call(address, ask, within_s(size_of(records))), sent)
-
-    def _take_position(self, reply: Any, sent: float) -> bool:
-        """Take what it says of where its copy stands. False: it said nothing, try again later."""
-        leader, copy = self.leader, self.leader.copy
-        if not isinstance(reply, CopyPosition):
-            if isinstance(reply, Failure) and reply.code is Code.STALE_EPOCH:
-                leader.superseded(reply.reason)
+        entries = replica.entries_after(position, CHUNK_BYTES) if streaming else []
+        request = AppendEntries(
+            partition=replica.partition,
+            epoch=self.owner.epoch,
+            member=self.member,
+            session=self.owner.session,
+            index=position.index,
+            chain=position.chain,
+            records=entries,
+        )
+        sent_at = self.context.now()
+        reply = await self.context.call(address, request, transfer_timeout_s(size_of(entries)))
+        return self._handle_position(reply, sent_at)
+
+    def _handle_position(self, reply: ReplicaPosition | Failure, sent_at: float) -> bool:
+        """Go on from where it says it is. False: it said nothing, try again later."""
+        replica = self.owner.replica
+        if isinstance(reply, Failure):
+            if reply.code is Code.STALE_EPOCH:
+                self.owner.superseded(reply.reason)
             self.become(StreamState.ASKING)
             return False
-        self.heard = max(self.heard, sent)
-        position = (reply.index, reply.chain)
-        if not copy.knows(position):
-            self.become(StreamState.INSTALLING, f"at {reply.index} of {copy.index}")
+        self.confirm(sent_at)
+        position = LogPosition(reply.index, reply.chain)
+        if not replica.contains(position):
+            self.become(StreamState.INSTALLING, f"at {reply.index} of {replica.index}")
             return True
-        self._next, self.acked = position, reply.index
+        self._next = position
+        self.acknowledged = reply.index
         self.become(StreamState.STREAMING)
-        leader.replica_advanced(self)
+        self.owner.replica_advanced(self)
         return True
 
-    async def _install(self, address: str) -> bool:
-        leader, copy = self.leader, self.leader.copy
-        async with leader.replication.installing(self.member):
+    async def _install(self) -> bool:
+        replica = self.owner.replica
+        async with self.context.installing(self.member):
             if self.state is not StreamState.INSTALLING:
                 return True
-            position, lineage = copy.position, copy.lineage
-            installation = Installation(self, position, copy.jobs.image())
-            self._pinned = position[0]
+            position = replica.position
+            generation = replica.history_generation
+            target = InstallationTarget(replica.partition, self.owner.epoch, self.owner.session, self.member)
+            installation = Installation(self.context, target, position, replica.jobs.copy_jobs())
+            self._installing_from = position.index
             try:
                 reply = await installation.run()
             finally:
-                self._pinned = None
-            if copy.lineage != lineage:
+                self._installing_from = None
+            if replica.history_generation != generation:
                 return True
-            return self._take_position(reply, installation.sent_at)
+            return self._handle_position(reply, installation.sent_at)
--- a/otterreach/jobstore/replication.py
+++ b/otterreach/jobstore/replication.py
@@ -1,4 +1,4 @@
-"""All copies of partitions at this machine: which of them it leads or backs up by the newest records.
+"""All replicas of partitions at this machine: which of them it leads or backs up, by the newest records.
 
 Safety rests on epochs and on writes that wait for every member; times only bound how old a read may be.
 """
@@ -6,261 +6,227 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 from random import Random
-from typing import Any, Protocol
 
 from otterreach.jobstore.backup import BackupHandlers
-from otterreach.jobstore.disk_watch import DiskWatch
-from otterreach.jobstore.installation import CALL_S
-from otterreach.jobstore.leadership import Hooks, PartitionLeader, finish
+from otterreach.jobstore.leadership import LeadershipListener, PartitionLeader, finish
 from otterreach.jobstore.member_pings import MemberPings
-from otterreach.jobstore.messages import PartDigests
-from otterreach.jobstore.partition import Copy, CopyState, RecordLog
-from otterreach.jobstore.placement import PARTITIONS, Placement, read_placement
+from otterreach.jobstore.messages import PartitionDigests
+from otterreach.jobstore.partition_replica import PartitionReplica, ReplicaState
+from otterreach.jobstore.placement import PARTITIONS
 from otterreach.jobstore.replica_stream import StreamState
+from otterreach.jobstore.replication_context import CALL_TIMEOUT_S, JobJournal, ReplicationContext
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.journal import Live
 from otterreach.runtime.log import log
 from otterreach.runtime.node import Node
+from otterreach.runtime.records import PartitionRecord
 from otterreach.runtime.store import Item
 
-FRESH_S = 0.5  # a read needs every member's word that was asked for within this; half of settleMs at most
-DIGEST_S = 5.0
-DROP_S = 10.0  # a copy that no record names is kept so long
-
-
-class JournalLike(RecordLog, Protocol):
-    """otterreach.runtime.journal.Journal, or a stand-in."""
-
-    size: int
-    failed: Failure | None
-
-    async def sync(self) -> bool: ...
-
-    async def rewrite(self, live: Live) -> bool: ...
+DIGEST_INTERVAL_S = 5.0
+DROP_DELAY_S = 10.0  # a replica that no record names is kept so long
 
 
 class Replication:
-    """All copies at this machine."""
-
-    def __init__(self, node: Node, journal: JournalLike, random: Random, hooks: Hooks) -> None:
-        self.node, self.journal, self.random, self.hooks = node, journal, random, hooks
-        self.loop = asyncio.get_running_loop()
-        self.now: Callable[[], float] = self.loop.time
-        self.survive_nodes = node.settings.survive_nodes
-        self.fresh_s = min(FRESH_S, node.settings.bounds.settle_s / 2)
-        self.copies = [Copy(part, journal, self.now) for part in range(PARTITIONS)]
-        self.disk = DiskWatch(journal, self.now)
-        self.leaders: dict[int, PartitionLeader] = {}
-        self._installing: dict[str, asyncio.Semaphore] = {}
-        self._dirty: dict[int, Copy] = {}
-        self._flushing = False
+    """All replicas at this machine."""
+
+    def __init__(self, node: Node, journal: JobJournal, random: Random, listener: LeadershipListener) -> None:
+        self.node = node
+        self.listener = listener
+        self.context = ReplicationContext(node, journal, random)
+        self.replicas = [PartitionReplica(partition, journal, self.context.now) for partition in range(PARTITIONS)]
+        self.leaders: dict[int, PartitionLeader] = {}  # by partition
+        self.backup = BackupHandlers(self.context, self.replicas, self.end_leadership)
+        self.pings = MemberPings(self.context, self.leaders)
+        self._unsynced: dict[int, PartitionReplica] = {}
+        self._syncing = False
         self._digested_at = 0.0
-        self.backup = BackupHandlers(self)
-        self.pings = MemberPings(self)
-        node.store.watch("part", self._placement_changed)
+        node.store.watch(PartitionRecord, self._record_changed)
 
     @property
     def member(self) -> str:
-        return self.node.member
-
-    def spawn(self, work: Any) -> asyncio.Task[Any]:
-        return self.node.endpoint.spawn(work)
-
-    async def call(self, address: str, ask: Any, timeout_s: float) -> Any:
-        return await self.node.endpoint.call(address, ask, timeout_s)
-
-    def installing(self, member: str) -> asyncio.Semaphore:
-        """One whole copy at a time to each member: they are held in memory meanwhile."""
-        return self._installing.setdefault(member, asyncio.Semaphore(1))
-
-    def address_of(self, member: str) -> str:
-        """Where this member is; empty if it isn't known, or another disk is there now."""
-        name, _, disk = member.partition("#")
-        known = self.node.store.get(f"member/{name}")
-        return str(known["address"]) if known and known["disk"] == disk else ""
-
-    def _controllers(self) -> list[str]:
-        follower = self.node.follower
-        return [a for a in dict.fromkeys([follower.primary, *follower.controllers]) if a]
-
-    async def ask_controller(self, ask: Any) -> Any:
-        """A call to the primary controller, wherever it is."""
-        reply: Any = Failure(Code.UNREACHABLE, "no controller is known")
-        for address in self._controllers():
-            reply = await self.call(address, ask, CALL_S)
-            if not isinstance(reply, Failure):
-                return reply
-        return reply
+        """The member id of this process."""
+        return self.context.member
 
     # Whose partitions ----------------------------------------------------------------------------
 
-    def _placement_changed(self, item: Item) -> None:
-        part = item.key.partition("/")[2]
-        if part.isdigit() and int(part) < PARTITIONS:
-            self.follow(self.copies[int(part)])
+    def _record_changed(self, item: Item) -> None:
+        if item.name.isdigit() and int(item.name) < PARTITIONS:
+            self.follow(self.replicas[int(item.name)])
 
     def follow_all(self) -> None:
         """Look at all records; after the start."""
-        for copy in self.copies:
-            self.follow(copy)
+        for replica in self.replicas:
+            self.follow(replica)
 
-    def follow(self, copy: Copy) -> None:
+    def follow(self, replica: PartitionReplica) -> None:
         """Take the part that the newest record gives."""
-        placement = read_placement(self.node.store.get(f"part/{copy.part}"))
-        if placement is None or placement.epoch < copy.epoch or placement == copy.placement:
+        record = self.node.store.record(PartitionRecord, str(replica.partition))
+        if record is None or record.epoch < replica.epoch or record == replica.placement:
             return
-        leader = self.leaders.get(copy.part)
-        if copy.placement and placement.epoch == copy.epoch:
-            if placement.members != copy.placement.members:
-                log("record_changed_in_epoch", level="ERROR", part=copy.part, epoch=copy.epoch)
-                return
-            copy.placement = placement
-            if leader:
-                leader.update(placement)
+        if replica.placement is None or record.epoch != replica.epoch:
+            self._enter_epoch(replica, record)
             return
-        self._enter_epoch(copy, placement)
+        if record.members != replica.placement.members:
+            log("record_changed_in_epoch", level="ERROR", partition=replica.partition, epoch=replica.epoch)
+            return
+        replica.placement = record
+        leader = self.leaders.get(replica.partition)
+        if leader:
+            leader.update(record)
 
-    def _enter_epoch(self, copy: Copy, placement: Placement) -> None:
-        self.end_leadership(copy, stays=self.member == placement.primary)
-        if self.member not in (*placement.members, *placement.learners):
-            self._leave_partition(copy, placement)
+    def _enter_epoch(self, replica: PartitionReplica, record: PartitionRecord) -> None:
+        self.end_leadership(replica, stays_primary=self.member == record.primary)
+        if self.member not in record.replicas:
+            self._leave_partition(replica, record)
             return
-        copy.promise(placement.epoch)
-        copy.placement = placement
-        if self.member in placement.members and copy.uninitialised:
-            copy.start_empty()
-        if self.member == placement.primary:
-            self._begin_leadership(copy, placement)
-        elif self.member in placement.backups and copy.whole:
-            copy.become(CopyState.BACKUP, "record")
+        replica.promise(record.epoch)
+        replica.placement = record
+        if self.member in record.members and replica.uninitialised:
+            replica.start_empty()
+        if self.member == record.primary:
+            self._begin_leadership(replica, record)
+        elif self.member in record.backups and replica.is_complete:
+            replica.become(ReplicaState.BACKUP, "record")
         else:
-            copy.become(CopyState.LEARNER, "record")
-
-    def _leave_partition(self, copy: Copy, placement: Placement) -> None:
-        if copy.epoch:
-            copy.promise(placement.epoch)
-            copy.placement = placement
-            if copy.state is not CopyState.ABSENT:
-                copy.become(CopyState.FENCED, "not a member")
-            elif copy.whole:  # as read from the journal
-                copy.become(CopyState.FENCED, "no longer a member")
+            replica.become(ReplicaState.LEARNER, "record")
 
-    def _begin_leadership(self, copy: Copy, placement: Placement) -> None:
-        if not copy.whole:
-            log("primary_without_copy", level="ERROR", part=copy.part, epoch=placement.epoch)
-            copy.become(CopyState.FENCED, "no copy")
+    def _leave_partition(self, replica: PartitionReplica, record: PartitionRecord) -> None:
+        if not replica.epoch:
             return
-        copy.become(CopyState.SYNCING, "record")
-        leader = self.leaders[copy.part] = PartitionLeader(self, copy, placement)
-        self.spawn(leader.begin())
-
-    def end_leadership(self, copy: Copy, stays: bool = False) -> None:
-        leader = self.leaders.pop(copy.part, None)
-        if leader:
-            copy.become(CopyState.FENCED, "epoch over")
-            leader.end()
-            if not stays:
-                self.hooks.stepped_down(copy)
+        replica.promise(record.epoch)
+        replica.placement = record
+        if replica.state is not ReplicaState.ABSENT:
+            replica.become(ReplicaState.FENCED, "not a member")
+        elif replica.is_complete:  # as read from the journal
+            replica.become(ReplicaState.FENCED, "no longer a member")
+
+    # Leadership ----------------------------------------------------------------------------------
+
+    def _begin_leadership(self, replica: PartitionReplica, record: PartitionRecord) -> None:
+        if not replica.is_complete:
+            log("primary_without_replica", level="ERROR", partition=replica.partition, epoch=record.epoch)
+            replica.become(ReplicaState.FENCED, "no replica")
+            return
+        replica.become(ReplicaState.SYNCING, "record")
+        leader = PartitionLeader(self.context, self, self.listener, replica, record)
+        self.leaders[replica.partition] = leader
+        self.context.spawn(leader.begin())
 
-    def step_down(self, copy: Copy, why: str) -> None:
-        """No longer primary, whatever the record says that is known here."""
-        if copy.part in self.leaders:
-            log("step_down", level="WARNING", part=copy.part, epoch=copy.epoch, why=why)
-            self.end_leadership(copy)
+    def end_leadership(self, replica: PartitionReplica, stays_primary: bool = False) -> None:
+        """End this machine's leadership of the partition, if it has it.
 
-    def leader(self, part: int) -> PartitionLeader | Failure:
-        """This machine's leadership of a partition, if it takes writes."""
-        leader = self.leaders.get(part)
+        :param stays_primary: it leads the next epoch as well, so nobody has to be notified
+        """
+        leader = self.leaders.pop(replica.partition, None)
         if leader is None:
-            return Failure(Code.NOT_PRIMARY, self.copies[part].state.value)
-        if not leader.serving:
-            return Failure(Code.NOT_SYNCED, self.copies[part].state.value)
-        return leader
+            return
+        replica.become(ReplicaState.FENCED, "epoch over")
+        leader.end()
+        if not stays_primary:
+            self.listener.stepped_down(replica)
+
+    def step_down(self, replica: PartitionReplica, reason: str) -> None:
+        """Lead the partition no longer, whatever the record that is known here says."""
+        if replica.partition in self.leaders:
+            log("step_down", level="WARNING", partition=replica.partition, epoch=replica.epoch, reason=reason)
+            self.end_leadership(replica)
+
+    def leader(self, partition: int) -> PartitionLeader | Failure:
+        """This machine's leadership of a partition, if it accepts writes."""
+        leader = self.leaders.get(partition)
+        state = self.replicas[partition].state.value
+        if leader is None:
+            return Failure(Code.NOT_PRIMARY, state)
+        return leader if leader.is_serving else Failure(Code.NOT_SYNCED, state)
+
+    # Commits -------------------------------------------------------------------------------------
 
-    async def committed(self, copy: Copy, index: int, within_s: float) -> bool:
-        """Wait until the record before `index` is at all members. False: it may be there or not."""
-        lineage, end = copy.lineage, self.now() + within_s
+    async def committed(self, replica: PartitionReplica, index: int, timeout_s: float) -> bool:
+        """Wait until the entry before `index` is at all members. False: it may be there or not."""
+        generation = replica.history_generation
+        deadline = self.context.now() + timeout_s
         while True:
-            leader = self.leaders.get(copy.part)
-            if leader is None or copy.lineage != lineage:
+            leader = self.leaders.get(replica.partition)
+            if leader is None or replica.history_generation != generation:
                 return False
-            if leader.committed >= index:
+            if leader.committed_index >= index:
                 return True
-            left = end - self.now()
-            if left <= 0 or self.journal.failed is not None:
+            left_s = deadline - self.context.now()
+            if left_s <= 0 or self.context.journal.failed is not None:
                 return False
-            await self._wait(leader.waiter(index), left)
+            await self._wait(leader.waiter(index), left_s)
 
-    async def _wait(self, future: asyncio.Future[None], within_s: float) -> None:
-        timer = self.loop.call_later(within_s, finish, future)
+    async def _wait(self, future: asyncio.Future[None], timeout_s: float) -> None:
+        timer = self.context.loop.call_later(timeout_s, finish, future)
         try:
             await future
         finally:
             timer.cancel()
 
-    def sync_soon(self, copy: Copy) -> None:
-        """Records of this copy are to be synced; all that come meanwhile share one sync."""
-        self._dirty[copy.part] = copy
-        if not self._flushing:
-            self._flushing = True
-            self.spawn(self._flush())
+    def sync_soon(self, replica: PartitionReplica) -> None:
+        """Entries of this replica are to be synced; all that come meanwhile share one sync."""
+        self._unsynced[replica.partition] = replica
+        if not self._syncing:
+            self._syncing = True
+            self.context.spawn(self._sync())
 
-    async def _flush(self) -> None:
+    async def _sync(self) -> None:
         try:
-            while self._dirty:
-                marks = [(copy, copy.index, copy.lineage) for copy in self._dirty.values()]
-                self._dirty.clear()
-                if not await self.disk.sync():
+            while self._unsynced:
+                batch = [(replica, replica.index, replica.history_generation) for replica in self._unsynced.values()]
+                self._unsynced.clear()
+                if not await self.context.disk.sync():
                     return
-                for copy, index, lineage in marks:
-                    leader = self.leaders.get(copy.part)
-                    if leader and copy.lineage == lineage:
-                        leader.local = max(leader.local, index)
-                        leader.advance_commit()
+                for replica, index, generation in batch:
+                    leader = self.leaders.get(replica.partition)
+                    if leader and replica.history_generation == generation:
+                        leader.synced(index)
         finally:
-            self._flushing = False
+            self._syncing = False
 
-    # Now and then ----------------------------------------------------------------------------------
-
-    async def settle(self, within_s: float) -> None:
-        """Let what has been taken get to all members; for a stop."""
+    async def finish_writes(self, timeout_s: float) -> None:
+        """Wait until what has been accepted is at all members; for a shutdown."""
+        deadline = self.context.now() + timeout_s
         for leader in list(self.leaders.values()):
-            if leader.serving:
-                start = self.now()
-                await self.committed(leader.copy, leader.copy.index, within_s)
-                within_s -= self.now() - start
+            if leader.is_serving:
+                await self.committed(leader.replica, leader.replica.index, deadline - self.context.now())
+
+    # Anti-entropy --------------------------------------------------------------------------------
 
     async def reconcile(self) -> None:
-        """Now and then: compare copies, drop what is no longer needed."""
-        now = self.now()
-        for copy in self.copies:
-            if self._superfluous(copy, now):
-                copy.drop()
-        if now - self._digested_at > DIGEST_S:
+        """Called now and then: drop replicas that are no longer needed, compare the others."""
+        now = self.context.now()
+        for replica in self.replicas:
+            if self._is_surplus(replica, now):
+                replica.drop()
+        if now - self._digested_at > DIGEST_INTERVAL_S:
             self._digested_at = now
             for leader in list(self.leaders.values()):
-                if leader.serving and leader.copy.jobs.jobs:
-                    await self._compare(leader)
+                if leader.is_serving and leader.replica.jobs.jobs:
+                    await self._compare_digests(leader)
 
-    def _superfluous(self, copy: Copy, now: float) -> bool:
-        placement = copy.placement
-        if copy.state is not CopyState.FENCED or placement is None or now - copy.fenced_at < DROP_S:
+    def _is_surplus(self, replica: PartitionReplica, now: float) -> bool:
+        record = replica.placement
+        if replica.state is not ReplicaState.FENCED or record is None or now - replica.fenced_at < DROP_DELAY_S:
             return False
-        named = self.member in (*placement.members, *placement.learners)
-        return not named and len(placement.backups) >= self.survive_nodes
-
-    async def _compare(self, leader: PartitionLeader) -> None:
-        copy = leader.copy
-        digests = copy.jobs.digests()
-        index, chain = copy.position
-        for member, replica in list(leader.replicas.items()):
-            address = self.address_of(member)
-            if not address or replica.state is not StreamState.STREAMING or replica.acked != index:
+        return self.member not in record.replicas and len(record.backups) >= self.context.survive_nodes
+
+    async def _compare_digests(self, leader: PartitionLeader) -> None:
+        replica = leader.replica
+        digests = replica.jobs.digests()
+        position = replica.position
+        for member, stream in list(leader.streams.items()):
+            address = self.context.address_of(member)
+            if not address or stream.state is not StreamState.STREAMING or stream.acknowledged != position.index:
                 continue
-            ask = PartDigests(copy.part, leader.epoch, member, index, chain, digests)
-            reply = await self.call(address, ask, CALL_S)
+            request = PartitionDigests(replica.partition, leader.epoch, member, position.index, position.chain, digests)
+            reply = await self.context.call(address, request, CALL_TIMEOUT_S)
             if isinstance(reply, Failure) and reply.code is Code.NOT_SYNCED and not leader.ended:
-                log("copy_differs", level="ERROR", part=copy.part, member=member, index=index)
-                replica.differs()
+                log(
+                    "replica_differs",
+                    level="ERROR",
+                    partition=replica.partition,
+                    member=member,
+                    index=position.index,
+                )
+                stream.mark_differing()
--- a/otterreach/proxy/batch_jobs.py
+++ b/otterreach/proxy/batch_jobs.py
@@ -9,12 +9,12 @@
 from http import HTTPStatus
 from urllib.parse import parse_qs, unquote
 
-from otterreach.jobstore.messages import EndJob, ItemBody, ReadItem, ReadJob, Results, Submit
-from otterreach.proxy.config import ROLLOUT, Route
+from otterreach.jobstore.messages import EndJob, ItemBody, JobResults, ReadItem, ReadJob, SubmitJob
 from otterreach.proxy.directory import JobStoreDirectory
 from otterreach.proxy.ingress import Client
 from otterreach.proxy.requests import path_of, text, whole_number
 from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.configuration import ROLLOUT, Route
 from otterreach.runtime.rpc import Done
 from otterreach.sidecar import http1
 
@@ -53,7 +53,7 @@
         if not job or route.kind != ROLLOUT:
             client.respond(HTTPStatus.BAD_REQUEST)
             return
-        ask = Submit(job, text(request.headers.get(b"host")), route.name, request.body)
+        ask = SubmitJob(job, text(request.headers.get(b"host")), route.name, request.body)
         asked = whole_number(request.headers.get(b"deadline-ms"))
         within = min(route.timeout_s, max(SUBMIT_S, route.target_s))
         within = within if asked is None else min(within, asked / 1000)
@@ -79,7 +79,7 @@
         wait_ms = min(MOST_WAIT_MS, whole_number(request.headers.get(b"wait-ms")) or 0)
         wait_s = wait_ms / 1000
         reply = await self.directory.ask(job, ReadJob(job, past, wait_ms), READ_S + wait_s, CALL_S + wait_s)
-        if isinstance(reply, Results):
+        if isinstance(reply, JobResults):
             body = b'{"total":%d,"nextCursor":%d,"results":[%s]}' % (reply.total, reply.next_cursor, reply.body)
             client.respond(HTTPStatus.OK, JSON, body)
         else:
--- a/otterreach/proxy/directory.py
+++ b/otterreach/proxy/directory.py
@@ -7,14 +7,18 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable, Coroutine
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Any, Protocol, TypeVar
 
-from otterreach.jobstore.messages import Pong, ProxyPing
-from otterreach.jobstore.placement import part_of, read_placement
+from otterreach.jobstore.messages import ProxyPing, ProxyPong
+from otterreach.jobstore.placement import partition_of
 from otterreach.proxy.fleet import Fleet
+from otterreach.runtime.codec import ReplyT, Request
 from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.identity import node_of
+from otterreach.runtime.records import MemberRecord, MemberRole, PartitionRecord
+from otterreach.runtime.rpc import Link, MessageT
 from otterreach.runtime.settings import Settings
 
 PING_S = 0.25
@@ -26,16 +30,23 @@
 TRY_AGAIN = (Code.NOT_PRIMARY, Code.NOT_SYNCED, Code.UNREACHABLE, Code.STALE_EPOCH, Code.NO_HANDLER, Code.NOT_MEMBER)
 
 
+T = TypeVar("T")
+
+
 class Caller(Protocol):
     """What is used of otterreach.runtime.rpc.Endpoint."""
 
-    async def call(self, address: str, value: Any, timeout_s: float) -> Any: ...
+    async def call(self, address: str, request: Request[ReplyT], timeout_s: float, /) -> ReplyT | Failure:
+        """The reply of whoever listens at host:port."""
 
-    async def link(self, address: str) -> Any: ...
+    async def link(self, address: str, /) -> Link | Failure:
+        """The connection to host:port."""
 
-    def on(self, kind: type, handler: Any) -> None: ...
+    def on(self, kind: type[MessageT], handler: Callable[[Link, MessageT], Awaitable[Any]], /) -> None:
+        """Handle messages of this kind."""
 
-    def spawn(self, work: Any) -> Any: ...
+    def spawn(self, work: Coroutine[Any, Any, T], /) -> asyncio.Task[T]:
+        """Run in the background."""
 
 
 @dataclass(slots=True)
@@ -78,8 +89,8 @@
 
     def store_addresses(self) -> list[str]:
         """The addresses of all job store nodes."""
-        members = self.store.named("member").values()
-        return [member["address"] for member in members if member.get("role") == "store"]
+        members = self.store.records(MemberRecord).values()
+        return [member.address for member in members if member.role == MemberRole.JOB_STORE]
 
     async def _ping(self, address: str) -> None:
         try:
@@ -88,44 +99,46 @@
             node, own_address = self.settings.node, self.settings.address
             ping = ProxyPing(node, own_address, int(sent * 1000), slots, free, jobs, self._incarnation)
             reply = await self.endpoint.call(address, ping, PING_TIMEOUT_S)
-            if isinstance(reply, Pong):
+            if not isinstance(reply, Failure):
                 self._apply(address, sent, reply)
         finally:
             self._pinged.discard(address)
 
-    def _apply(self, address: str, sent: float, pong: Pong) -> None:
+    def _apply(self, address: str, sent: float, pong: ProxyPong) -> None:
         """What a Pong tells; `sent` is when its ping left."""
         for job in pong.ended:
             self._ended(job)
-        for held in pong.held:
-            as_of = sent - held.age_ms / 1000
-            known = self.owners.get(held.part)
-            if known and (known.epoch > held.epoch or known.epoch == held.epoch and known.as_of >= as_of):
+        for served in pong.served:
+            as_of = sent - served.age_ms / 1000
+            known = self.owners.get(served.partition)
+            if known and (known.epoch > served.epoch or known.epoch == served.epoch and known.as_of >= as_of):
                 continue
-            self.owners[held.part] = PartitionOwner(held.epoch, address, as_of)
-            if known is None or (known.epoch, known.address) != (held.epoch, address):
-                self._moved(held.part, address)
+            self.owners[served.partition] = PartitionOwner(served.epoch, address, as_of)
+            if known is None or (known.epoch, known.address) != (served.epoch, address):
+                self._moved(served.partition, address)
 
     def in_force(self, job: str) -> bool:
         """Whether it was known a short while ago that the batch job may go on."""
-        owner = self.owners.get(part_of(job))
+        owner = self.owners.get(partition_of(job))
         return owner is not None and self.loop.time() - owner.as_of < self.lease_s
 
     def address_of(self, job: str) -> str | None:
         """The job store node that serves a batch job: by the control state, else by what the nodes say."""
-        part = part_of(job)
-        placement = read_placement(self.store.get(f"part/{part}"))
-        owner = self.owners.get(part)
-        if owner and (placement is None or owner.epoch > placement.epoch):
+        partition = partition_of(job)
+        record = self.store.record(PartitionRecord, str(partition))
+        owner = self.owners.get(partition)
+        if owner and (record is None or owner.epoch > record.epoch):
             return owner.address
-        if placement is None:
+        if record is None:
             return None
-        member = self.store.get(f"member/{placement.primary.partition('#')[0]}")
-        return str(member["address"]) if member else None
+        member = self.store.record(MemberRecord, node_of(record.primary))
+        return member.address if member else None
+
+    async def ask(self, job: str, value: Request[ReplyT], within_s: float, each_s: float) -> ReplyT | Failure:
+        """A call to whoever serves the batch job, repeated within the time while it surely was not done.
 
-    async def ask(self, job: str, value: Any, within_s: float, each_s: float) -> Any:
-        """A call to whoever serves the batch job, repeated within the time while it surely was not done. A Failure with
-        `maybe_done` if any of the calls may have been."""
+        :returns: a Failure with `maybe_done` if any of the calls may have been done
+        """
         end = self.loop.time() + within_s
         unclear: Failure | None = None
         last = Failure(Code.UNREACHABLE, "no job store node serves the partition")
--- a/otterreach/proxy/fleet.py
+++ b/otterreach/proxy/fleet.py
@@ -9,22 +9,21 @@
 import asyncio
 from collections.abc import Callable, Collection
 from random import Random
-from typing import Any
 
-from otterreach.proxy import config as config_module
-from otterreach.proxy.config import Config, Route
 from otterreach.proxy.draw import Draw, Estimate
 from otterreach.proxy.exchange import Exchange, Fate, Headers, Outbound, Outcome
 from otterreach.proxy.pools import Opener, Pool
+from otterreach.runtime import configuration as configuration_module
+from otterreach.runtime.configuration import Configuration, ConfigurationRecord, Route
 from otterreach.runtime.log import log
-from otterreach.runtime.store import Item, ReplicatedStore
+from otterreach.runtime.records import MemberRecord, MemberRole, Record, ServerRecord, ServerState
+from otterreach.runtime.store import Item, ReplicatedStore, Watcher
 from otterreach.sidecar.transport import open_tcp
 
 CONNECTION_SHARE = 0.9  # of maxConns: all proxies together stay below it
 FEWEST_CONNECTIONS = 2
 PLAIN_CONNECTIONS = 64  # for each proxy, where the configuration bounds nothing
 SWEEP_S = 0.5
-UP = "up"
 NOT_ITS_FAULT = ("unwanted", "wrong_server", "forgotten")  # of a server: says nothing of its speed
 
 
@@ -33,28 +32,35 @@
 
     __slots__ = ("cap", "estimate", "id", "pool", "service", "state", "versions", "wrong", "zone")
 
-    def __init__(self, ident: str, raw: dict[str, Any], pool: Pool) -> None:
-        self.id, self.pool = ident, pool
+    def __init__(self, ident: str, record: ServerRecord, pool: Pool) -> None:
+        self.id = ident
+        self.pool = pool
         self.estimate = Estimate()
         self.wrong = False  # its address belongs to another incarnation
-        self.versions: dict[str, int] = {}  # model -> version of its weights; only upwards
-        self.service = self.zone = self.state = ""
+        self.versions: dict[str, int] = {}  # by model: the version of its weights; it only rises
+        self.service = ""
+        self.zone = ""
+        self.state = ""
         self.cap = 1
-        self.update(raw)
-
-    def update(self, raw: dict[str, Any]) -> None:
-        self.service, self.zone = str(raw.get("backend", "")), str(raw.get("az", ""))
-        self.cap, self.state = max(1, int(raw.get("cap") or 1)), str(raw.get("state", UP))
-        for model in raw.get("models") or ():
-            self.learn(str(model.get("name", "")), int(model.get("gen") or 0))
-
-    def learn(self, model: str, version: int) -> None:
+        self.update(record)
+
+    def update(self, record: ServerRecord) -> None:
+        """Its record in the control state is new."""
+        self.service = record.service
+        self.zone = record.zone
+        self.cap = max(1, record.capacity)
+        self.state = record.state
+        for model in record.models:
+            self.learn_version(model.name, model.version)
+
+    def learn_version(self, model: str, version: int) -> None:
+        """It has at least this version of a model."""
         self.versions[model] = max(version, self.versions.get(model, 0))
 
     @property
     def open(self) -> bool:
         """Whether anything new may be sent to it."""
-        return self.state == UP and not self.wrong and not self.pool.closed
+        return self.state == ServerState.UP and not self.wrong and not self.pool.closed
 
 
 def _address(text: str) -> tuple[str, int]:
@@ -74,52 +80,54 @@
     ) -> None:
         self.store, self.loop, self.opener = store, loop or asyncio.get_running_loop(), opener
         self.draw = Draw(random)
-        self.config = Config()
+        self.config = Configuration()
         self.servers: dict[str, Server] = {}
         self.runners = 1  # proxies that run items
         self.changed: list[Callable[[], None]] = []  # told after each change
         self._told = False
-        for kind, watcher in (("config", self._on_config), ("server", self._on_server), ("member", self._on_member)):
-            store.watch(kind, watcher)
-            for key in [k for k in store.items if k.partition("/")[0] == kind]:
-                watcher(store.items[key])
-
-    def _on_config(self, item: Item) -> None:
-        self.config = config_module.read(self.store.get("config"))
-        log("config", gen=self.config.number, routes=len(self.config.routes))
+        self._watch(ConfigurationRecord, self._configuration_changed)
+        self._watch(ServerRecord, self._server_changed)
+        self._watch(MemberRecord, self._member_changed)
+
+    def _watch(self, kind: type[Record], watcher: Watcher) -> None:
+        """Call the watcher for what is there, and for each change."""
+        self.store.watch(kind, watcher)
+        for item in [item for item in self.store.items.values() if item.kind == kind.KIND]:
+            watcher(item)
+
+    def _configuration_changed(self, item: Item) -> None:
+        self.config = configuration_module.read(self.store.record(ConfigurationRecord))
+        log("config", version=self.config.version, routes=len(self.config.routes))
         self._share_connections()
         self._tell()
 
-    def _on_server(self, item: Item) -> None:
-        ident = item.key.partition("/")[2]
-        raw = None if item.gone else self.store.get(item.key)
+    def _server_changed(self, item: Item) -> None:
+        ident = item.name
+        record = None if item.is_tombstone else self.store.record(ServerRecord, ident)
         server = self.servers.get(ident)
-        if raw is None:
+        if record is None:
             if server:
                 server.pool.close()
                 del self.servers[ident]
             self._tell()
             return
-        address = _address(str(raw.get("addr", "")))
+        address = _address(record.address)
         if server is None or server.pool.address != address:
             if server:
                 server.pool.close()
-            server = self.servers[ident] = Server(ident, raw, Pool(self.loop, address, self.opener))
+            server = self.servers[ident] = Server(ident, record, Pool(self.loop, address, self.opener))
         else:
-            server.update(raw)
-        if server.state != UP:
+            server.update(record)
+        if server.state != ServerState.UP:
             server.pool.close()
         self._share(server)
         self._tell()
 
-    def _on_member(self, item: Item) -> None:
-        prefix = "member/"
-        fronts = 0
-        for key, other in self.store.items.items():
-            if key.startswith(prefix) and not other.gone and self.store.get(key).get("role") == "front":
-                fronts += 1
-        if fronts != self.draw.proxies:
-            self.draw.proxies = max(1, fronts)
+    def _member_changed(self, item: Item) -> None:
+        members = self.store.records(MemberRecord).values()
+        proxies = sum(member.role == MemberRole.PROXY for member in members)
+        if proxies != self.draw.proxies:
+            self.draw.proxies = max(1, proxies)
             self._share_connections()
         self._tell()
 
--- a/otterreach/proxy/ingress.py
+++ b/otterreach/proxy/ingress.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from http import HTTPStatus
 
-from otterreach.proxy.config import Caps
+from otterreach.runtime.configuration import Caps
 from otterreach.runtime.log import log
 from otterreach.sidecar import http1
 from otterreach.sidecar.transport import AcceptedConnection
--- a/otterreach/proxy/item_placement.py
+++ b/otterreach/proxy/item_placement.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from math import ceil
 
-from otterreach.proxy.config import ROLLOUT, Route
 from otterreach.proxy.directory import JobStoreDirectory
 from otterreach.proxy.fleet import Fleet, Server
 from otterreach.proxy.item_run import GivenUp, ItemRun, Placement, Reason
+from otterreach.runtime.configuration import ROLLOUT, Route
 
 OVERCOMMIT = 1.1  # items at once over this proxy's share of the slots: servers have a queue
 FEWEST_PER_SERVER = 2
@@ -62,7 +62,7 @@
         now, missing_since = self.fleet.loop.time(), run.route_missing_since
         if now > run.give_up_at:
             return Reason.WAITED
-        if missing_since is not None and now - missing_since > ROUTE_GONE_S and self.fleet.config.number:
+        if missing_since is not None and now - missing_since > ROUTE_GONE_S and self.fleet.config.version:
             return Reason.ROUTE_GONE
         return ""
 
--- a/otterreach/proxy/item_queue.py
+++ b/otterreach/proxy/item_queue.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from math import ceil
 
-from otterreach.jobstore.placement import FEWEST_RUNNERS, RUNNER_ROOM
+from otterreach.jobstore.placement import MIN_RUNNERS, RUNNER_SLOTS_SHARE
 from otterreach.proxy.fleet import Fleet
 from otterreach.proxy.item_placement import ItemPlacer
 from otterreach.proxy.item_run import GivenUp, ItemRun, Phase, Placement
@@ -117,6 +117,6 @@
 
     def _share_servers(self) -> None:
         """Few proxies run items, as many as job store nodes choose: each has that much more of the servers."""
-        wanted = self.fleet.cap_of(self.fleet.config.item_services) * RUNNER_ROOM
-        most = max(FEWEST_RUNNERS, ceil(wanted / self.slots))
+        wanted = self.fleet.cap_of(self.fleet.config.item_services) * RUNNER_SLOTS_SHARE
+        most = max(MIN_RUNNERS, ceil(wanted / self.slots))
         self.fleet.share_among(max(1, min(self.fleet.proxies, most)))
--- a/otterreach/proxy/item_reports.py
+++ b/otterreach/proxy/item_reports.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from otterreach.jobstore.messages import Finished, GiveBack, Running
-from otterreach.jobstore.placement import part_of
+from otterreach.jobstore.messages import ItemFinished, ReturnItems, RunningItems
+from otterreach.jobstore.placement import partition_of
 from otterreach.proxy.directory import Caller, JobStoreDirectory
 from otterreach.proxy.item_run import ItemRun
 from otterreach.runtime.codes import Code, Failure
@@ -36,22 +36,22 @@
         if reason:
             log("item_errored", job=run.job, item=run.item, reason=reason)
 
-    def _finished(self, run: ItemRun, reason: str, score: str) -> Finished:
+    def _finished(self, run: ItemRun, reason: str, score: str) -> ItemFinished:
         if reason:
-            return Finished(run.job, run.item, ERRORED, reason, "", [], score)
+            return ItemFinished(run.job, run.item, ERRORED, reason, "", [], score)
         text = run.transcript.text.decode("utf-8", "replace")
-        return Finished(run.job, run.item, DONE, "", text, sorted(run.transcript.versions), score)
+        return ItemFinished(run.job, run.item, DONE, "", text, sorted(run.transcript.versions), score)
 
     def report_running(self, part: int, address: str, runs: Iterable[ItemRun]) -> None:
         """A partition is served by another job store node, or in another epoch: tell it what is here."""
-        items = [f"{run.job} {run.item}" for run in runs if part_of(run.job) == part]
-        self._send(address, Running(part, self.node, items))
+        items = [f"{run.job} {run.item}" for run in runs if partition_of(run.job) == part]
+        self._send(address, RunningItems(part, self.node, items))
 
     def give_back(self, job: str, items: list[str]) -> None:
         """Another proxy may run them."""
         address = self.directory.address_of(job)
         if address and items:
-            self._send(address, GiveBack(job, items))
+            self._send(address, ReturnItems(job, items))
 
     def _send(self, address: str, message: Any) -> None:
         self.endpoint.spawn(self._send_over_link(address, message))
--- a/otterreach/proxy/item_run.py
+++ b/otterreach/proxy/item_run.py
@@ -8,11 +8,11 @@
 from enum import Enum, auto
 from typing import Any
 
-from otterreach.jobstore.messages import Assign, Work
-from otterreach.proxy.config import Route
+from otterreach.jobstore.messages import AssignItems, WorkItem
 from otterreach.proxy.events import EventReader, Transcript, versions_of
 from otterreach.proxy.exchange import HOP, OWN, Exchange, Headers, Outbound
 from otterreach.proxy.fleet import Server
+from otterreach.runtime.configuration import Route
 
 MAX_WAIT_MARGIN_S = 0.5  # more than maxWaitS: clocks and messages take their time
 WRITTEN_ANEW = HOP | OWN | {b"host", b"request-id", b"last-event-id", b"expect-version"}
@@ -66,7 +66,7 @@
 class ItemRun:
     """One item, from its Assign until its result is reported or it is given back."""
 
-    def __init__(self, assign: Assign, work: Work, now: float, order: int) -> None:
+    def __init__(self, assign: AssignItems, work: WorkItem, now: float, order: int) -> None:
         self.order = order
         self.job, self.item, self.host = assign.job, work.item, assign.host
         self.model, self.min_version = assign.model, assign.min_version
@@ -124,7 +124,7 @@
         run = self.run
         version = versions_of(headers.get(b"weight-versions"))
         if version is not None:
-            self.server.learn(run.model, version)
+            self.server.learn_version(run.model, version)
         self.valid = 200 <= status < 300 and b"reply-seal" in headers and b"content-encoding" not in headers
         if not self.valid:
             return
@@ -139,7 +139,7 @@
             if not self.valid:
                 return
             if event.version is not None:
-                self.server.learn(self.run.model, event.version)
+                self.server.learn_version(self.run.model, event.version)
                 if not self._accepts(event.version):
                     self._stop(StopReason.VERSION)
                     return
--- a/otterreach/proxy/messages.py
+++ b/otterreach/proxy/messages.py
@@ -1,27 +1,28 @@
-"""What proxies tell the primary controller about the servers whose weights they have in hand."""
+"""The RPC messages of proxies to the primary controller, about the servers whose order leases they hold."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from otterreach.runtime.codec import message
+from otterreach.runtime.codec import Request, message
+from otterreach.runtime.rpc import Done
 
 
 @message(90)
 @dataclass(slots=True)
-class Loaded:
-    """A server has a version of a model now. Done, or a Failure."""
+class ModelLoaded(Request[Done]):
+    """A server has a version of a model now."""
 
     server: str
     model: str
-    gen: int
+    version: int
 
 
 @message(91)
 @dataclass(slots=True)
-class Release:
-    """The holder of a server's orders gives them up; its last order went out so long ago. Done, or a Failure."""
+class LeaseRelease(Request[Done]):
+    """The holder of a server's order lease gives it back."""
 
     node: str
     server: str
-    ordered_ms: int
+    since_last_order_ms: int
--- a/otterreach/proxy/node.py
+++ b/otterreach/proxy/node.py
@@ -8,18 +8,19 @@
 from random import Random
 
 from otterreach.proxy.batch_jobs import BatchJobs, is_batch_job_call
-from otterreach.proxy.config import ROLLOUT, STREAM
 from otterreach.proxy.fleet import Fleet
 from otterreach.proxy.ingress import Client, Ingress
-from otterreach.proxy.orders import Orders
+from otterreach.proxy.orders import WeightOrders
 from otterreach.proxy.pools import Opener
 from otterreach.proxy.requests import Requests, path_of, text, whole_number
 from otterreach.proxy.runner import Runner
 from otterreach.proxy.streams import Streams
+from otterreach.runtime.configuration import ROLLOUT, STREAM
 from otterreach.runtime.http import JsonServer, Reply
 from otterreach.runtime.http_client import JsonClient
 from otterreach.runtime.log import log
 from otterreach.runtime.node import Node, on_signals
+from otterreach.runtime.records import MemberRole
 from otterreach.runtime.settings import Settings
 from otterreach.sidecar import http1
 from otterreach.sidecar.transport import open_tcp
@@ -43,7 +44,7 @@
         self.streams = Streams(self.requests)
         self.runner = Runner(self.fleet, node.endpoint, node.settings)
         self.batch_jobs = BatchJobs(self.runner.directory)
-        self.orders = Orders(node, JsonClient())
+        self.orders = WeightOrders(node, JsonClient())
         self.ingress = Ingress(self.handle, lambda: self.fleet.config.caps)
         self.probes = JsonServer(self._probe)
         self.leaving = False
@@ -53,7 +54,7 @@
 
     async def handle(self, request: http1.Request, client: Client) -> None:
         """A client's request, to the path that serves it."""
-        if not self.fleet.config.number:
+        if not self.fleet.config.version:
             await self._first_configuration(request, client)
         route = self.fleet.config.route(text(request.headers.get(b"host")), path_of(request))
         if route is None:
@@ -77,14 +78,14 @@
                 await self._configured.wait()
 
     def _on_change(self) -> None:
-        if self.fleet.config.number:
+        if self.fleet.config.version:
             self._configured.set()
 
     @property
     def ready(self) -> bool:
         """From the first moment with configuration and list as new as the core's; an unstable core changes nothing."""
         if not self._been_ready:
-            known = bool(self.fleet.config.number) and bool(self.fleet.servers)
+            known = bool(self.fleet.config.version) and bool(self.fleet.servers)
             self._been_ready = known and self.node.follower.age_s() < READY_AGE_S
         return self._been_ready and not self.leaving
 
@@ -109,9 +110,9 @@
         """Not ready from now on; what was taken is answered, new ones as long as they come, and the end in time."""
         self.leaving = True
         grace = self.settings.bounds.grace_s
-        log("leaving", node=self.settings.node)
+        log("shutting_down", node=self.settings.node)
         await asyncio.gather(
-            self.orders.leave(),
+            self.orders.shut_down(),
             self.runner.leave(grace * RUN_SHARE),
             self.ingress.leave(min(TAKEN_OUT_S, grace / 2), grace - END_MARGIN_S),
         )
@@ -124,7 +125,7 @@
 
     node = Node(settings, Endpoint())
     proxy = Proxy(node, node.random)
-    await node.start("front")
+    await node.start(MemberRole.PROXY)
     await proxy.start()
     on_signals(node.stopping.set, node.reload)
     node.endpoint.spawn(node.watch_settings())
--- a/otterreach/proxy/orders.py
+++ b/otterreach/proxy/orders.py
@@ -1,237 +1,288 @@
-"""Bringing servers to a named version of their weights: one holder for each server, under a fence that rises.
+"""Brings model servers to named versions of their weights, under order leases with rising fencing tokens.
 
-The primary controller gives each server to a living proxy (`duty/<server>`; its rev is the fence). A holder orders
-only while its copy of the control state is surely newer than LEASE_S; the next waits until that and leaseMs are over.
-Which server goes first is the same order everywhere, so that no more load at once than the deployment bears.
+The primary controller gives each server's lease to a live proxy (an item `duty/SERVER`, whose revision is the fencing
+token). The holder sends orders only while its replica of the control state is surely newer than LEASE_S; the next
+holder waits until that and the settings' leaseMs are over. Which server goes first is the same order everywhere, so
+that no more servers load at once than the deployment bears.
 """
 
 from __future__ import annotations
 
 import asyncio
 import zlib
-from typing import Any
+from collections.abc import Mapping
+from dataclasses import dataclass, field
 
-from otterreach.proxy.messages import Loaded, Release
+from otterreach.proxy.messages import LeaseRelease, ModelLoaded
 from otterreach.proxy.model_server import Client, ModelServer, Order, OrderResult
 from otterreach.runtime.codes import Failure
 from otterreach.runtime.log import log
 from otterreach.runtime.node import Node
+from otterreach.runtime.records import OrderLeaseRecord, ServerRecord, VersionRecord, key_of
 
-LOOK_S = 0.1
-LEASE_S = 1.5  # how old the holder's copy may be when it orders
+STEP_INTERVAL_S = 0.1
+LEASE_S = 1.5  # how old the holder's replica may be when it sends an order
 MARGIN_S = 0.3
-REPORT_S = 0.2  # between two looks at a server that loads
-REPORT_OLD_S = 0.8  # a report is surely from after what was done before that
-LOAD_S = 6.0  # a load that takes longer is asked for anew
-STUCK_S = 2.5  # a server that is due and doesn't get there keeps no other waiting for longer
+REPORT_INTERVAL_S = 0.2  # between two looks at a server that loads
+REPORT_AGE_S = 0.8  # a report is surely from after what was done before that
+LOAD_TIMEOUT_S = 6.0  # a load that takes longer is ordered anew
+STUCK_S = 2.5  # a server that is due and doesn't get there delays no other for longer
 BACKOFF_S = 0.4
-WRONG_SERVER_S = 2.0  # until the list shows who is at the address
+WRONG_SERVER_S = 2.0  # until the control state shows who is at the address
 NOTED_S = 5.0  # within this what was done is to be seen in the control state
-AT_ONCE, AT_ONCE_SHARE = 3, 1 / 3  # servers that load at once: the larger of a number and a share of them
-NEVER_MS = 10**9
+NOTE_ATTEMPTS = 3
+MIN_LOADS_AT_ONCE = 3  # servers that load at once: the larger of this ...
+LOADS_AT_ONCE_SHARE = 1 / 3  # ... and this share of them
+NO_ORDER_MS = 10**9
+NO_FENCE = 0
 LOOK_AGAIN = (OrderResult.TAKEN, OrderResult.CONFLICT, OrderResult.UNCLEAR)  # the report tells how it goes on
 
 
-def model_gen(server: dict[str, Any], model: str) -> int | None:
-    """The version of a model that a server has; None if it doesn't serve it."""
-    return next((m["gen"] for m in server["models"] if m["name"] == model), None)
+def takeover_wait_s(lease_s: float, since_last_order_s: float | None) -> float:
+    """How long the next holder waits before its first order.
 
-
-def takeover_s(lease_s: float, ordered_s: float | None) -> float:
-    """How long the next holder waits: `ordered_s` since the last order of one that let go, None of one that died."""
-    if ordered_s is None:
+    :param lease_s: the settings' leaseMs, in seconds
+    :param since_last_order_s: of a holder that gave the lease back; None for one that died
+    """
+    if since_last_order_s is None:
         return LEASE_S + lease_s + MARGIN_S
-    return max(0.0, lease_s + MARGIN_S - ordered_s)
+    return max(0.0, lease_s + MARGIN_S - since_last_order_s)
+
 
+@dataclass(frozen=True, slots=True, order=True)
+class DueLoad:
+    """A server that is still to be brought to a version of a model."""
 
-Due = tuple[str, str, int]  # server, model, version
+    server: str
+    model: str
+    version: int
 
 
-def due(servers: dict[str, dict[str, Any]], versions: dict[str, dict[str, Any]]) -> list[Due]:
-    """All that is still to be brought to a version, in the order that is the same at every holder."""
-    found = [
-        (ident, model, int(version["gen"]))
-        for model, version in versions.items()
+def due_loads(servers: Mapping[str, ServerRecord], versions: Mapping[str, VersionRecord]) -> list[DueLoad]:
+    """All loads that are due, in the order that is the same at every lease holder."""
+    loads = [
+        DueLoad(ident, model, named.version)
+        for model, named in versions.items()
         for ident, server in servers.items()
-        if server["state"] == "up" and (gen := model_gen(server, model)) is not None and gen < version["gen"]
+        if server.is_up and (loaded := server.version_of(model)) is not None and loaded < named.version
     ]
-    return sorted(found, key=lambda d: (zlib.crc32(f"{d[1]} {d[2]} {d[0]}".encode()), d))
+    return sorted(loads, key=lambda load: (zlib.crc32(f"{load.model} {load.version} {load.server}".encode()), load))
+
+
+@dataclass(frozen=True, slots=True)
+class SeenLease:
+    """A lease of this proxy, from when it was first seen here."""
+
+    fence: int
+    usable_from: float  # on the monotonic clock
+
+
+@dataclass(frozen=True, slots=True)
+class CompletedLoad:
+    """What this proxy has brought a server to."""
+
+    version: int
+    at: float
 
 
-class Orders:
-    """The duties that this proxy holds."""
+@dataclass(slots=True)
+class KnownState:
+    """What the control state said when last looked at."""
+
+    revision: int = -1
+    leased: set[str] = field(default_factory=set)  # the servers whose leases this proxy holds
+    due: list[DueLoad] = field(default_factory=list)
+    servers_with_models: int = 0
+
+
+class WeightOrders:
+    """The orders to the servers whose leases this proxy holds."""
 
     def __init__(self, node: Node, client: Client) -> None:
-        self.node, self.store, self.client = node, node.store, client
+        self.node = node
+        self.store = node.store
+        self.client = client
         self.loop = asyncio.get_running_loop()
-        self.leaving = False
-        self.loading: dict[str, asyncio.Task[None]] = {}  # by server id
-        self._ordered: dict[str, float] = {}  # when the last order to a server went out
-        self._seen: dict[str, tuple[int, float]] = {}  # by server: the fence, and from when it may be used
-        self._due_since: dict[Due, float] = {}
-        self._retry: dict[str, float] = {}
-        self._done: dict[tuple[str, str], tuple[int, float]] = {}  # (server, model): brought to a version, and when
-        self._taken: dict[str, int | None] = {}  # by server: the orders it has taken, where that is known
-        self._fenced: dict[str, int] = {}  # by server: a fence of ours that it refused as too low
-        self._known: tuple[int, dict[str, int], list[Due], int] = (-1, {}, [], 0)  # by the store's rev
-
-    def mine(self) -> dict[str, int]:
-        """Servers in this proxy's hand, with their fences."""
-        return {
-            ident: self.store.items[f"duty/{ident}"].rev
-            for ident, duty in self.store.named("duty").items()
-            if duty["holder"] == self.node.settings.node
-        }
+        self.shutting_down = False
+        self.loading: dict[str, asyncio.Task[None]] = {}  # by server
+        self._last_order_at: dict[str, float] = {}  # by server
+        self._seen: dict[str, SeenLease] = {}  # by server
+        self._due_since: dict[DueLoad, float] = {}
+        self._retry_at: dict[str, float] = {}  # by server
+        self._completed: dict[tuple[str, str], CompletedLoad] = {}  # by server and model
+        self._orders_taken: dict[str, int | None] = {}  # by server, as it last reported them
+        self._rejected_fences: dict[str, int] = {}  # by server: a fence of ours that it refused as too low
+        self._known = KnownState()
+
+    # Leases --------------------------------------------------------------------------------------
+
+    def leased_servers(self) -> set[str]:
+        """The servers whose leases this proxy holds."""
+        own = self.node.settings.node
+        return {ident for ident, lease in self.store.records(OrderLeaseRecord).items() if lease.holder == own}
 
     def fence(self, ident: str) -> int:
-        """The fence under which an order to this server may go out right now; 0: none may."""
-        duty, now = self.store.get(f"duty/{ident}"), self.loop.time()
-        if self.leaving or not duty or duty["holder"] != self.node.settings.node:
-            return 0
-        rev = self.store.items[f"duty/{ident}"].rev
+        """The fencing token under which an order to this server may be sent right now; NO_FENCE: none may."""
+        lease = self.store.record(OrderLeaseRecord, ident)
+        now = self.loop.time()
+        if self.shutting_down or lease is None or lease.holder != self.node.settings.node:
+            return NO_FENCE
+        revision = self.store.items[key_of(OrderLeaseRecord, ident)].revision
         seen = self._seen.get(ident)
-        if seen is None or seen[0] != rev:
-            seen = self._seen[ident] = (rev, now + duty["wait_ms"] / 1000)
-        return rev if now >= seen[1] and self.node.follower.age_s() < LEASE_S else 0
+        if seen is None or seen.fence != revision:
+            seen = SeenLease(revision, now + lease.wait_ms / 1000)
+            self._seen[ident] = seen
+        return revision if now >= seen.usable_from and self.node.follower.age_s() < LEASE_S else NO_FENCE
+
+    # Which loads ---------------------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Start what is due; for ever."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            if self.store.rev:
+            await asyncio.sleep(STEP_INTERVAL_S)
+            if self.store.revision:
                 self.step()
 
     def step(self) -> None:
-        """Start the loads that are due here."""
-        if self._known[0] != self.store.rev:
-            self._look()
-        _, mine, rows, engines = self._known
-        if not mine or not rows:
+        """Start the loads whose turn it is here."""
+        if self._known.revision != self.store.revision:
+            self._look_at_state()
+        known = self._known
+        if not known.leased or not known.due:
             return
-        for ident, model, gen in self._turn(rows, engines):
-            server = self.store.get(f"server/{ident}")
-            if server and ident in mine and ident not in self.loading and self._wanted(ident, model, gen):
-                self.loading[ident] = asyncio.ensure_future(self._load(ident, server["addr"], model, gen))
-
-    def _look(self) -> None:
-        """What the control state says now."""
-        servers, mine = self.store.named("server"), self.mine()
-        for ident in mine:
-            self.fence(ident)  # the wait counts from when it is first seen
-        rows = due(servers, self.store.named("version"))
-        self._due_since = {row: self._due_since[row] for row in rows if row in self._due_since}
-        self._done = {key: done for key, done in self._done.items() if key[0] in servers}
-        self._taken = {ident: taken for ident, taken in self._taken.items() if ident in mine}
-        self._fenced = {ident: fence for ident, fence in self._fenced.items() if ident in mine}
-        self._known = (self.store.rev, mine, rows, sum(bool(s["models"]) for s in servers.values()))
-
-    def _wanted(self, ident: str, model: str, gen: int) -> bool:
+        for load in self._whose_turn(known):
+            server = self.store.record(ServerRecord, load.server)
+            if server and load.server in known.leased and load.server not in self.loading and self._is_wanted(load):
+                self.loading[load.server] = asyncio.ensure_future(self._load(load, server.address))
+
+    def _look_at_state(self) -> None:
+        servers = self.store.records(ServerRecord)
+        leased = self.leased_servers()
+        for ident in leased:
+            self.fence(ident)  # the wait counts from when the lease is first seen
+        due = due_loads(servers, self.store.records(VersionRecord))
+        self._due_since = {load: self._due_since[load] for load in due if load in self._due_since}
+        self._completed = {key: done for key, done in self._completed.items() if key[0] in servers}
+        self._orders_taken = {ident: taken for ident, taken in self._orders_taken.items() if ident in leased}
+        self._rejected_fences = {ident: fence for ident, fence in self._rejected_fences.items() if ident in leased}
+        with_models = sum(bool(server.models) for server in servers.values())
+        self._known = KnownState(self.store.revision, leased, due, with_models)
+
+    def _is_wanted(self, load: DueLoad) -> bool:
         """Danger: until the control state shows what was done it would be ordered again and again."""
-        now, (done, at) = self.loop.time(), self._done.get((ident, model), (0, 0.0))
-        return self._retry.get(ident, 0.0) <= now and (done < gen or now - at > NOTED_S)
+        now = self.loop.time()
+        if self._retry_at.get(load.server, 0.0) > now:
+            return False
+        completed = self._completed.get((load.server, load.model))
+        return completed is None or completed.version < load.version or now - completed.at > NOTED_S
 
-    def _turn(self, rows: list[Due], engines: int) -> list[Due]:
+    def _whose_turn(self, known: KnownState) -> list[DueLoad]:
         """Whose turn it is, at this proxy or another: a server takes one order at a time."""
-        now, room = self.loop.time(), max(AT_ONCE, round(engines * AT_ONCE_SHARE))
-        turn: list[Due] = []
+        now = self.loop.time()
+        free = max(MIN_LOADS_AT_ONCE, round(known.servers_with_models * LOADS_AT_ONCE_SHARE))
+        turn: list[DueLoad] = []
         busy: set[str] = set()
-        for row in rows:
-            if room <= 0:
+        for load in known.due:
+            if free <= 0:
                 break
-            if row[0] in busy:
+            if load.server in busy:
                 continue
-            busy.add(row[0])
-            since = self._due_since.setdefault(row, now)
-            turn.append(row)
-            room -= now - since < STUCK_S
+            busy.add(load.server)
+            since = self._due_since.setdefault(load, now)
+            turn.append(load)
+            free -= now - since < STUCK_S
         return turn
 
-    async def _load(self, ident: str, address: str, model: str, gen: int) -> None:
+    # One load ------------------------------------------------------------------------------------
+
+    async def _load(self, load: DueLoad, address: str) -> None:
         try:
-            await self._bring(ident, address, model, gen)
+            await self._bring_to_version(load, address)
         finally:
-            self.loading.pop(ident, None)
+            self.loading.pop(load.server, None)
 
-    async def _bring(self, ident: str, address: str, model: str, gen: int) -> None:
+    async def _bring_to_version(self, load: DueLoad, address: str) -> None:
         """Order one server to a version and wait until it has it."""
+        ident = load.server
         fence = self.fence(ident)
-        if not fence or self._fenced.get(ident) == fence:
+        if not fence or self._rejected_fences.get(ident) == fence:
             return
         server = ModelServer(self.client, ident, address)
-        result = await self._order(server, model, gen, fence)
-        holds = result is OrderResult.HOLDS
-        if holds or (result in LOOK_AGAIN and await self._loaded(server, model, gen)):
-            self._done[ident, model] = (gen, self.loop.time())
-            await self._note(ident, model, gen)
+        result = await self._order(server, load, fence)
+        if result is OrderResult.HOLDS or (result in LOOK_AGAIN and await self._wait_until_loaded(server, load)):
+            self._completed[ident, load.model] = CompletedLoad(load.version, self.loop.time())
+            await self._note_loaded(load)
         elif result is OrderResult.WRONG_SERVER:
-            self._retry[ident] = self.loop.time() + WRONG_SERVER_S
+            self._retry_at[ident] = self.loop.time() + WRONG_SERVER_S
         else:
-            self._retry[ident] = self.loop.time() + BACKOFF_S
+            self._retry_at[ident] = self.loop.time() + BACKOFF_S
 
-    async def _order(self, server: ModelServer, model: str, gen: int, fence: int) -> OrderResult:
+    async def _order(self, server: ModelServer, load: DueLoad, fence: int) -> OrderResult:
         """Send the order, unless the server's report makes it needless or impossible."""
         ident = server.ident
-        if ident not in self._taken:
+        if ident not in self._orders_taken:
             report = await server.report()
             if report is None:
                 return OrderResult.NOT_SENT
-            if report.versions.get(model, 0) >= gen:
+            if report.versions.get(load.model, 0) >= load.version:
                 return OrderResult.HOLDS
             if report.busy:
                 return OrderResult.CONFLICT
-            self._taken[ident] = report.calls
-        order = Order(model, gen, self.node.settings.node, fence, self._taken[ident])
+            self._orders_taken[ident] = report.calls
+        order = Order(load.model, load.version, self.node.settings.node, fence, self._orders_taken[ident])
 
-        def may() -> bool:
+        def may_write() -> bool:
             """Danger: while a connection was opened the lease may have run out."""
-            self._ordered[ident] = self.loop.time()
+            self._last_order_at[ident] = self.loop.time()
             return self.fence(ident) == fence
 
-        result, status = await server.order(order, may)
-        log("order", server=ident, model=model, gen=gen, fence=fence, status=status)
-        self._learn(ident, order, result)
+        result, status = await server.order(order, may_write)
+        log("order", server=ident, model=load.model, version=load.version, fence=fence, status=status)
+        self._learn_from(ident, order, result)
         return result
 
-    def _learn(self, ident: str, order: Order, result: OrderResult) -> None:
+    def _learn_from(self, ident: str, order: Order, result: OrderResult) -> None:
         """What is known now of the orders that the server has taken."""
         if result is OrderResult.TAKEN and order.expect is not None:
-            self._taken[ident] = order.expect + 1
+            self._orders_taken[ident] = order.expect + 1
         elif result is not OrderResult.NOT_SENT:
-            self._taken.pop(ident, None)
+            self._orders_taken.pop(ident, None)
         if result is OrderResult.FENCED:
-            self._fenced[ident] = order.fence
+            self._rejected_fences[ident] = order.fence
 
-    async def _loaded(self, server: ModelServer, model: str, gen: int) -> bool:
+    async def _wait_until_loaded(self, server: ModelServer, load: DueLoad) -> bool:
         began = self.loop.time()
-        while self.loop.time() < began + LOAD_S:
-            await asyncio.sleep(REPORT_S)
-            known = self.store.get(f"server/{server.ident}")
-            if not known or known["state"] != "up":
+        while self.loop.time() < began + LOAD_TIMEOUT_S:
+            await asyncio.sleep(REPORT_INTERVAL_S)
+            known = self.store.record(ServerRecord, server.ident)
+            if known is None or not known.is_up:
                 return False
-            if (model_gen(known, model) or 0) >= gen:
+            if (known.version_of(load.model) or 0) >= load.version:
                 return True
             report = await server.report()
             if report is None:
                 return False
-            if report.versions.get(model, 0) >= gen:
+            if report.versions.get(load.model, 0) >= load.version:
                 return True
             # Danger: a report is some hundred ms old; one from before the order would have it ordered twice.
-            if not report.busy and self.loop.time() > began + REPORT_OLD_S:
-                self._taken[server.ident] = report.calls
+            if not report.busy and self.loop.time() > began + REPORT_AGE_S:
+                self._orders_taken[server.ident] = report.calls
                 return False
         return False
 
-    async def _note(self, ident: str, model: str, gen: int) -> None:
-        """Have all told at once, sooner than the server's next heartbeat."""
-        for _ in range(3):
-            if not isinstance(await self.node.ask_primary(Loaded(ident, model, gen)), Failure):
+    async def _note_loaded(self, load: DueLoad) -> None:
+        """Let all proxies know at once, sooner than by the server's next heartbeat."""
+        message = ModelLoaded(load.server, load.model, load.version)
+        for _ in range(NOTE_ATTEMPTS):
+            if not isinstance(await self.node.call_primary(message), Failure):
                 return
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(STEP_INTERVAL_S)
 
-    async def leave(self) -> None:
-        """Let go of all, telling how long ago the last orders were."""
-        self.leaving = True
+    async def shut_down(self) -> None:
+        """Give all leases back, telling how long ago the last orders were."""
+        self.shutting_down = True
         now = self.loop.time()
-        for ident in self.mine():
-            ago = now - self._ordered[ident] if ident in self._ordered else None
-            ordered_ms = NEVER_MS if ago is None else int(ago * 1000)
-            await self.node.ask_primary(Release(self.node.settings.node, ident, ordered_ms))
+        for ident in self.leased_servers():
+            last_order_at = self._last_order_at.get(ident)
+            ago_ms = NO_ORDER_MS if last_order_at is None else int((now - last_order_at) * 1000)
+            await self.node.call_primary(LeaseRelease(self.node.settings.node, ident, ago_ms))
--- a/otterreach/proxy/requests.py
+++ b/otterreach/proxy/requests.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from http import HTTPStatus
 
-from otterreach.proxy.config import Route
 from otterreach.proxy.exchange import HOP, OWN, Fate, Headers, Outbound, Outcome, passed_on
 from otterreach.proxy.fleet import Fleet, Server
 from otterreach.proxy.ingress import Client
+from otterreach.runtime.configuration import Route
 from otterreach.sidecar import http1
 
 PROMISES = (408, 421, 429, 503)  # to a client: it has not run and never will
@@ -37,7 +37,7 @@
     path: str
     outbound: Outbound
     deadline: float
-    repeatable: bool
+    idempotent: bool
     sent: list[str] = field(default_factory=list)
     avoid: set[str] = field(default_factory=set)  # drawn again only if there are no others
     unsent: int = 0
@@ -90,7 +90,7 @@
 
     def no_route(self, client: Client) -> None:
         """404 only where the copy is sure to be new enough."""
-        if self.fleet.config.number and self.age_s() < STALE_S:
+        if self.fleet.config.version and self.age_s() < STALE_S:
             client.respond(HTTPStatus.NOT_FOUND)
         else:
             client.refuse(RETRY_LEAST_S * 4)
@@ -98,7 +98,7 @@
     def accept(self, request: http1.Request, client: Client, route: Route) -> Try:
         host, path = text(request.headers.get(b"host")), path_of(request)
         deadline = self.deadline_of(request, route, client)
-        return Try(request, client, host, path, outbound_of(request), deadline, route.repeatable)
+        return Try(request, client, host, path, outbound_of(request), deadline, route.idempotent)
 
     async def handle(self, request: http1.Request, client: Client, route: Route) -> None:
         """A request on an `idem` or `mutating` route, to its answer."""
@@ -132,7 +132,7 @@
         """By the newest configuration; None if there is none any more: it has been answered."""
         route = self.fleet.config.route(attempt.host, attempt.path)
         if route is not None:
-            attempt.repeatable = attempt.repeatable and route.repeatable
+            attempt.idempotent = attempt.idempotent and route.idempotent
             return route
         if attempt.unclear:
             attempt.client.respond(HTTPStatus.BAD_GATEWAY)
@@ -155,14 +155,14 @@
     async def _one(self, attempt: Try, route: Route, server: Server) -> Outcome:
         now = self.loop.time()
         left = attempt.deadline - now
-        more = attempt.repeatable and len(attempt.sent) + 1 < route.tries
+        more = attempt.idempotent and len(attempt.sent) + 1 < route.tries
         others = more and any(s.id != server.id for s in self.fleet.allowed(route, attempt.avoid | {server.id}))
         exchange = self.fleet.exchange(
             server,
             attempt.outbound,
             now + (left * FIRST_SHARE if others else left),
             self.wanted(attempt, server),
-            fresh_only=not attempt.repeatable,
+            fresh_only=not attempt.idempotent,
             told_s=left,
         )
         return await self.fleet.attempt(server, exchange)
@@ -198,7 +198,7 @@
         return outcome.status >= 500 or outcome.status in PROMISES
 
     def may_go_on(self, attempt: Try, route: Route) -> bool:
-        if attempt.client.gone or attempt.unclear and not attempt.repeatable:
+        if attempt.client.gone or attempt.unclear and not attempt.idempotent:
             return False
         left = attempt.deadline - self.loop.time()
         return left > LEAST_LEFT_S and len(attempt.sent) < route.tries and attempt.unsent < MOST_UNSENT
--- a/otterreach/proxy/reward_calls.py
+++ b/otterreach/proxy/reward_calls.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from http import HTTPStatus
 
-from otterreach.proxy.config import Route
 from otterreach.proxy.directory import JobStoreDirectory
 from otterreach.proxy.exchange import Fate, Outbound, Outcome
 from otterreach.proxy.fleet import Fleet, Server
 from otterreach.proxy.item_run import ItemRun, Reason
 from otterreach.proxy.send_permission import SendPermission
+from otterreach.runtime.configuration import Route
 
 SCORER_SHARE = 0.8  # of this proxy's share of the scorers' slots: clients' own requests need some too
 FEWEST_CALLS = 2
--- a/otterreach/proxy/runner.py
+++ b/otterreach/proxy/runner.py
@@ -8,7 +8,7 @@
 
 import asyncio
 
-from otterreach.jobstore.messages import Assign, CancelJob
+from otterreach.jobstore.messages import AssignItems, CancelJob
 from otterreach.proxy.directory import Caller, JobStoreDirectory
 from otterreach.proxy.fleet import Fleet
 from otterreach.proxy.item_placement import ItemPlacer
@@ -38,7 +38,7 @@
         self._rewards = RewardCalls(fleet, self.directory, self._permission)
         self._reports = ItemReports(settings.node, endpoint, self.directory)
         self._order = 0
-        endpoint.on(Assign, self._on_assign)
+        endpoint.on(AssignItems, self._on_assign)
         endpoint.on(CancelJob, self._on_cancel)
 
     @property
@@ -55,22 +55,22 @@
         """For ever: break off what is silent."""
         await self._texts.watch()
 
-    async def _on_assign(self, link: Link, assign: Assign) -> None:
+    async def _on_assign(self, link: Link, assign: AssignItems) -> None:
         self.assign(assign)
 
     async def _on_cancel(self, link: Link, cancel: CancelJob) -> None:
         self.end_job(cancel.job)
 
-    def assign(self, assign: Assign) -> None:
+    def assign(self, assign: AssignItems) -> None:
         """Take the items that a job store node assigns."""
-        owner = self.directory.owners.get(assign.part)
+        owner = self.directory.owners.get(assign.partition)
         if self._permission.has_ended(assign.job) or owner and assign.epoch < owner.epoch:
             return
         if self.queue.leaving:
-            self._reports.give_back(assign.job, [work.item for work in assign.works])
+            self._reports.give_back(assign.job, [work.item for work in assign.items])
             return
         now = self.loop.time()
-        for work in assign.works:
+        for work in assign.items:
             if (assign.job, work.item) in self.runs:
                 continue
             self._order += 1
--- a/otterreach/proxy/streams.py
+++ b/otterreach/proxy/streams.py
@@ -4,12 +4,12 @@
 
 from http import HTTPStatus
 
-from otterreach.proxy.config import Route
 from otterreach.proxy.events import EventReader
 from otterreach.proxy.exchange import Exchange, Fate, Headers, Outcome
 from otterreach.proxy.fleet import Server
 from otterreach.proxy.ingress import Client
 from otterreach.proxy.requests import Requests, Try, returned, whole_number
+from otterreach.runtime.configuration import Route
 from otterreach.sidecar import http1
 
 SILENT_LEAST_S = 1.5  # a resumable stream that says nothing for so long is tried elsewhere, if that is possible
@@ -116,11 +116,11 @@
             extra,
             relay.head,
             relay.body,
-            fresh_only=not attempt.repeatable,
+            fresh_only=not attempt.idempotent,
         )
         relay.attach(exchange)
         silent = max(SILENT_LEAST_S, SILENT_OBJECTIVES * route.target_s)
-        may_resume = attempt.repeatable and len(attempt.sent) + 1 < route.tries
+        may_resume = attempt.idempotent and len(attempt.sent) + 1 < route.tries
         if may_resume:
             self.loop.call_later(SILENCE_CHECK_S, self._check_silence, exchange, silent)
         return await self.fleet.attempt(server, exchange)
--- a/otterreach/proxy/text_generation.py
+++ b/otterreach/proxy/text_generation.py
@@ -5,13 +5,13 @@
 import asyncio
 from http import HTTPStatus
 
-from otterreach.proxy.config import Route
 from otterreach.proxy.exchange import Exchange, Fate, Headers, Outcome
 from otterreach.proxy.fleet import Fleet, Server
 from otterreach.proxy.item_placement import ItemPlacer
 from otterreach.proxy.item_queue import ItemQueue
 from otterreach.proxy.item_run import GivenUp, ItemAttempt, ItemRun, Placement, Reason, StopReason
 from otterreach.proxy.send_permission import SendPermission
+from otterreach.runtime.configuration import Route
 
 SILENT_S = 1.2  # between events, of a server that says nothing on any connection
 SILENT_FIRST_S = 2.5  # before the first event: it may wait in the server's queue
@@ -89,7 +89,7 @@
         if outcome.fate is Fate.ANSWERED and (reason := self._judge_answer(run, route, outcome.status)):
             return reason
         if outcome.reason == "wrong_server" and server.open and route.single and run.text_version is not None:
-            server.learn(run.model, run.text_version + 1)  # it has moved on: versions only rise
+            server.learn_version(run.model, run.text_version + 1)  # it has moved on: versions only rise
         self.fleet.blame(server, route.name, outcome, SILENT_S)
         return None
 
--- a/otterreach/runtime/codec.py
+++ b/otterreach/runtime/codec.py
@@ -10,9 +10,9 @@
 import struct
 import sys
 from collections.abc import Callable
-from dataclasses import fields
+from dataclasses import dataclass, fields
 from types import ModuleType
-from typing import Any, TypeVar, get_args, get_origin, get_type_hints
+from typing import Any, Generic, TypeVar, get_args, get_origin, get_type_hints
 
 if "numpy" in sys.modules:
     from flatbuffers.builder import Builder
@@ -27,9 +27,29 @@
 from flatbuffers.table import Table
 
 T = TypeVar("T")
-REGISTRY: dict[int, type] = {}
+ReplyT = TypeVar("ReplyT")
+ReplyT_co = TypeVar("ReplyT_co", covariant=True)
+
+
+class Request(Generic[ReplyT_co]):
+    """The base of messages that are answered: `Request[Pong]` is answered by a Pong, or by a Failure."""
+
+    __slots__ = ()
+
+
+@dataclass(frozen=True, slots=True)
+class FieldPlan:
+    """How one field of a message is written."""
+
+    name: str
+    kind: Any  # its type; `list` for a list
+    element: Any = None  # the type of a list's elements
+
+
+REGISTRY: dict[int, type] = {}  # by number
 NUMBERS: dict[type, int] = {}
-_PLANS: dict[type, list[tuple[str, Any, Any]]] = {}
+REPLIES: dict[type, type] = {}  # the type that a request is answered by
+_PLANS: dict[type, list[FieldPlan]] = {}
 
 
 class MessageError(ValueError):
@@ -45,25 +65,29 @@
                 raise ValueError(f"message number {number} is taken by {REGISTRY[number].__name__}")
             REGISTRY[number] = cls
             NUMBERS[cls] = number
+            for base in getattr(cls, "__orig_bases__", ()):
+                REPLIES[cls] = get_args(base)[0]
         return cls
 
     return register
 
 
-def _plan(cls: type) -> list[tuple[str, Any, Any]]:
-    """(field, kind, element kind) for each slot."""
+def _plan(cls: type) -> list[FieldPlan]:
+    """The fields in the order of their slots."""
     plan = _PLANS.get(cls)
     if plan is None:
         hints = get_type_hints(cls)
-        plan = []
-        for field in fields(cls):
-            hint = hints[field.name]
-            kind, element = (list, get_args(hint)[0]) if get_origin(hint) is list else (hint, None)
-            plan.append((field.name, kind, element))
+        plan = [_plan_field(field.name, hints[field.name]) for field in fields(cls)]
         _PLANS[cls] = plan
     return plan
 
 
+def _plan_field(name: str, hint: Any) -> FieldPlan:
+    if get_origin(hint) is list:
+        return FieldPlan(name, list, get_args(hint)[0])
+    return FieldPlan(name, hint)
+
+
 def _vector(builder: Builder, element: Any, values: list[Any]) -> int:
     if element is int:
         builder.StartVector(8, len(values), 8)
@@ -80,38 +104,39 @@
 def _build(builder: Builder, value: Any) -> int:
     plan = _plan(type(value))
     offsets: list[int] = []
-    for name, kind, element in plan:
-        part = getattr(value, name)
-        if kind is list:
-            offsets.append(_vector(builder, element, part) if part else 0)
-        elif kind is str:
-            offsets.append(builder.CreateString(part) if part else 0)
-        elif kind is bytes:
-            offsets.append(builder.CreateByteVector(part) if part else 0)
+    for field in plan:
+        content = getattr(value, field.name)
+        if field.kind is list:
+            offsets.append(_vector(builder, field.element, content) if content else 0)
+        elif field.kind is str:
+            offsets.append(builder.CreateString(content) if content else 0)
+        elif field.kind is bytes:
+            offsets.append(builder.CreateByteVector(content) if content else 0)
         else:
             offsets.append(0)
     builder.StartObject(len(plan))
-    for slot, (name, kind, _) in enumerate(plan):
-        part = getattr(value, name)
-        if kind is int:
-            builder.PrependInt64Slot(slot, part, 0)
-        elif kind is bool:
-            builder.PrependBoolSlot(slot, part, False)
-        elif kind is float:
-            builder.PrependFloat64Slot(slot, part, 0.0)
+    for slot, field in enumerate(plan):
+        content = getattr(value, field.name)
+        if field.kind is int:
+            builder.PrependInt64Slot(slot, content, 0)
+        elif field.kind is bool:
+            builder.PrependBoolSlot(slot, content, False)
+        elif field.kind is float:
+            builder.PrependFloat64Slot(slot, content, 0.0)
         else:
             builder.PrependUOffsetTRelativeSlot(slot, offsets[slot], 0)
     return int(builder.EndObject())
 
 
 def _size(value: Any) -> int:
+    """About how many bytes a message takes, so that the builder need not grow."""
     size = 64
-    for name, kind, element in _plan(type(value)):
-        part = getattr(value, name)
-        if kind is bytes or kind is str:
-            size += len(part) + 16
-        elif kind is list:
-            size += sum(_size(v) if element not in (int, str) else 24 for v in part)
+    for field in _plan(type(value)):
+        content = getattr(value, field.name)
+        if field.kind is bytes or field.kind is str:
+            size += len(content) + 16
+        elif field.kind is list:
+            size += sum(_size(element) if field.element not in (int, str) else 24 for element in content)
     return size
 
 
@@ -122,11 +147,12 @@
     return bytes(builder.Output())
 
 
-def _read(cls: type, buffer: bytes, at: int) -> Any:
-    table, values = Table(buffer, at), []
-    for slot, (_, kind, element) in enumerate(_plan(cls)):
+def _read(cls: type, buffer: bytes, position: int) -> Any:
+    table = Table(buffer, position)
+    values = []
+    for slot, field in enumerate(_plan(cls)):
         offset = table.Offset(4 + 2 * slot)
-        values.append(_default(kind) if not offset else _field(table, offset, kind, element, buffer))
+        values.append(_read_field(table, offset, field, buffer) if offset else _default(field.kind))
     return cls(*values)
 
 
@@ -134,7 +160,9 @@
     return [] if kind is list else kind()
 
 
-def _field(table: Table, offset: int, kind: Any, element: Any, buffer: bytes) -> Any:
+def _read_field(table: Table, offset: int, field: FieldPlan, buffer: bytes) -> Any:
+    kind = field.kind
+    element = field.element
     if kind is int:
         return table.Get(Int64Flags, offset + table.Pos)
     if kind is bool:
@@ -143,7 +171,8 @@
         return table.Get(Float64Flags, offset + table.Pos)
     if kind is str:
         return table.String(offset + table.Pos).decode()
-    start, length = table.Vector(offset), table.VectorLen(offset)
+    start = table.Vector(offset)
+    length = table.VectorLen(offset)
     if kind is bytes:
         return bytes(buffer[start : start + length])
     if element is int:
@@ -164,7 +193,13 @@
         raise MessageError(f"{cls.__name__}: {error}") from None
 
 
-_WORDS = {int: "long", bool: "bool", float: "double", str: "string", bytes: "[ubyte]"}
+def decode_as(kind: type[T], buffer: bytes) -> T:
+    """The message of that type. Raises MessageError."""
+    value: T = decode(NUMBERS[kind], buffer)
+    return value
+
+
+_SCHEMA_TYPES = {int: "long", bool: "bool", float: "double", str: "string", bytes: "[ubyte]"}
 
 
 def schema(module: str) -> str:
@@ -172,9 +207,9 @@
     classes: dict[str, type] = {}
 
     def add(cls: type) -> None:
-        for _, _, element in _plan(cls):
-            if isinstance(element, type) and element not in _WORDS:
-                add(element)
+        for field in _plan(cls):
+            if isinstance(field.element, type) and field.element not in _SCHEMA_TYPES:
+                add(field.element)
         classes.setdefault(cls.__name__, cls)
 
     for number in sorted(REGISTRY):
@@ -184,8 +219,12 @@
     for name, cls in classes.items():
         number = NUMBERS.get(cls, 0)
         lines.append(f"table {name} {{" + (f"  // message {number}" if number else ""))
-        for field, kind, element in _plan(cls):
-            word = f"[{_WORDS.get(element) or element.__name__}]" if kind is list else _WORDS[kind]
-            lines.append(f"  {field}:{word};")
+        lines += [f"  {field.name}:{_schema_type(field)};" for field in _plan(cls)]
         lines += ["}", ""]
     return "\n".join(lines)
+
+
+def _schema_type(field: FieldPlan) -> str:
+    if field.kind is not list:
+        return _SCHEMA_TYPES[field.kind]
+    return f"[{_SCHEMA_TYPES.get(field.element) or field.element.__name__}]"
--- a/otterreach/runtime/compaction.py
+++ b/otterreach/runtime/compaction.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from otterreach.runtime.codes import Failure
-from otterreach.runtime.journal import Live
+from otterreach.runtime.journal import LiveSlices
 from otterreach.runtime.log import log
 
 RETRY_S = 30.0  # after a rewrite that found no room
@@ -20,7 +20,7 @@
     size: int
     failed: Failure | None
 
-    async def rewrite(self, live: Live) -> bool: ...
+    async def rewrite(self, live: LiveSlices) -> bool: ...
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
 class Compaction:
     """Rewrites one journal whenever it is due; at most one rewrite at a time."""
 
-    def __init__(self, journal: Rewritable, live: Live, live_bytes: Callable[[], int], limits: Limits) -> None:
+    def __init__(self, journal: Rewritable, live: LiveSlices, live_bytes: Callable[[], int], limits: Limits) -> None:
         self.journal, self.live, self.live_bytes, self.limits = journal, live, live_bytes, limits
         self.loop = asyncio.get_running_loop()
         self._running: asyncio.Task[None] | None = None
--- a/otterreach/proxy/config.py
+++ b/otterreach/runtime/configuration.py
@@ -1,17 +1,46 @@
-"""The configuration as proxies use it: which route a request takes, and what holds there.
+"""The operator's configuration as it is in force: which route a request takes, and what holds there.
 
-The controller has checked what stands in the item `config`; nothing is refused here.
+The controller has validated what stands in the item `config` (controller/config_schema.py); nothing is rejected here.
 """
 
 from __future__ import annotations
 
+import json
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, ClassVar, Self
+
+# Kinds of routes.
+IDEMPOTENT = "idem"
+MUTATING = "mutating"
+STREAM = "stream"
+ROLLOUT = "rollout"
 
-IDEM, MUTATING, STREAM, ROLLOUT = "idem", "mutating", "stream", "rollout"
 DEFAULT_TIMEOUT_MS = 30_000
 
 
+@dataclass(frozen=True, slots=True)
+class ConfigurationRecord:
+    """The item `config`: the operator's document as it came, fields that are not known here included."""
+
+    KIND: ClassVar[str] = "config"
+
+    document: dict[str, Any]
+
+    @property
+    def version(self) -> int:
+        """The number of this version; it only rises."""
+        return int(self.document.get("gen") or 0)
+
+    @classmethod
+    def decode(cls, value: bytes) -> Self:
+        """The record from its stored form."""
+        return cls(json.loads(value))
+
+    def encode(self) -> bytes:
+        """The stored form."""
+        return json.dumps(self.document).encode()
+
+
 @dataclass(frozen=True, slots=True)
 class Route:
     """One route; times in seconds."""
@@ -29,25 +58,32 @@
     due_s: float
     max_wait_s: float
     split: tuple[tuple[str, float], ...]  # service and weight, those above 0 only
+    services: frozenset[str]  # all that it names, whatever their weights
 
     @property
     def streams(self) -> bool:
+        """Whether its answers are streams of events."""
         return self.kind in (STREAM, ROLLOUT)
 
     @property
-    def repeatable(self) -> bool:
+    def idempotent(self) -> bool:
         """Whether a request may run more than once."""
-        return self.kind == IDEM or self.kind == ROLLOUT or self.kind == STREAM and self.resume
+        if self.kind == STREAM:
+            return self.resume
+        return self.kind in (IDEMPOTENT, ROLLOUT)
 
     def allows(self, service: str) -> bool:
+        """Whether requests may go to this service."""
         return any(name == service for name, _ in self.split)
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
+    """A group of interchangeable servers."""
+
     name: str
     probe: str
-    max_connections: int
+    max_connections: int  # of all proxies together; 0: no limit
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,6 +96,12 @@
     idle_s: float = 15.0
 
 
+def _services(raw: dict[str, Any]) -> frozenset[str]:
+    shares = raw.get("split") or ()
+    names = [share.get("backend") for share in shares] + [raw.get("backend")]
+    return frozenset(str(name) for name in names if name)
+
+
 def _split(raw: dict[str, Any]) -> tuple[tuple[str, float], ...]:
     if raw.get("split"):
         rows = [(str(row["backend"]), float(row.get("weight", 0))) for row in raw["split"]]
@@ -74,10 +116,11 @@
 
 
 def read_route(raw: dict[str, Any]) -> Route:
+    """A route from the document."""
     return Route(
         name=str(raw["name"]),
-        host=host_key(str(raw["host"])),
-        prefix=str(raw["prefix"]),
+        host=host_key(str(raw.get("host", ""))),
+        prefix=str(raw.get("prefix", "")),
         kind=str(raw.get("kind", MUTATING)),
         tries=max(1, int(raw.get("tries") or 1)),
         timeout_s=float(raw.get("timeoutMs") or DEFAULT_TIMEOUT_MS) / 1000,
@@ -88,10 +131,12 @@
         due_s=float(raw.get("dueMs") or 0) / 1000,
         max_wait_s=float(raw.get("maxWaitS") or 0),
         split=_split(raw),
+        services=_services(raw),
     )
 
 
 def read_caps(raw: dict[str, Any]) -> Caps:
+    """The limits for clients; what is not given has its default."""
     plain = Caps()
     return Caps(
         header_bytes=int(raw.get("headerBytes") or plain.header_bytes),
@@ -102,15 +147,20 @@
 
 
 @dataclass(slots=True)
-class Config:
-    """One version of the configuration."""
+class Configuration:
+    """One version of the configuration. Version 0: none has been accepted yet."""
 
-    number: int = 0
+    version: int = 0
     caps: Caps = field(default_factory=Caps)
     services: dict[str, Service] = field(default_factory=dict)
     routes: list[Route] = field(default_factory=list)
     item_services: frozenset[str] = frozenset()  # that items of batch jobs may go to
     _by_host: dict[str, list[Route]] = field(default_factory=dict)  # the longest prefix first
+    _by_name: dict[str, Route] = field(default_factory=dict)
+
+    def route_named(self, name: str) -> Route | None:
+        """The route of that name."""
+        return self._by_name.get(name)
 
     def route(self, host: str, path: str) -> Route | None:
         """The route of a request: its host, and the longest prefix that begins its path."""
@@ -120,21 +170,24 @@
         return None
 
 
-def read(raw: Any) -> Config:
-    """The item `config`; an empty one for None."""
-    if not raw:
-        return Config()
+def read(record: ConfigurationRecord | None) -> Configuration:
+    """The configuration that the item `config` gives; an empty one if there is no item yet."""
+    if record is None:
+        return Configuration()
+    raw = record.document
     services = [
         Service(str(row["name"]), str(row.get("probe", "")), int(row.get("maxConns") or 0))
         for row in raw.get("backends") or []
     ]
-    config = Config(
-        number=int(raw.get("gen") or 0),
+    configuration = Configuration(
+        version=record.version,
         caps=read_caps(raw.get("caps") or {}),
         services={service.name: service for service in services},
         routes=[read_route(row) for row in raw.get("routes") or []],
     )
-    config.item_services = frozenset(n for r in config.routes if r.kind == ROLLOUT for n, _ in r.split)
-    for route in sorted(config.routes, key=lambda r: -len(r.prefix)):
-        config._by_host.setdefault(route.host, []).append(route)
-    return config
+    rollout_routes = [route for route in configuration.routes if route.kind == ROLLOUT]
+    configuration.item_services = frozenset(name for route in rollout_routes for name, _ in route.split)
+    for route in sorted(configuration.routes, key=lambda route: -len(route.prefix)):
+        configuration._by_host.setdefault(route.host, []).append(route)
+    configuration._by_name = {route.name: route for route in configuration.routes}
+    return configuration
--- a/otterreach/runtime/http_client.py
+++ b/otterreach/runtime/http_client.py
@@ -25,7 +25,7 @@
 NO_HEADERS: Mapping[str, str] = {}
 ANY_PATH = ""  # of connections that may carry any call
 Release = Callable[["_Connection"], None]
-Place = tuple[str, str]  # an address, and the path whose calls may go there
+FailureDomain = tuple[str, str]  # an address, and the path whose calls may go there
 
 
 def keep_alive_s(headers: Mapping[bytes, bytes]) -> float | None:
@@ -155,7 +155,7 @@
     """Calls with JSON bodies. A connection at rest is kept for each address: new ones are dear."""
 
     def __init__(self) -> None:
-        self._resting: dict[Place, _Connection] = {}
+        self._resting: dict[FailureDomain, _Connection] = {}
         self._numbers = count(1)
 
     async def call(
--- a/otterreach/runtime/journal.py
+++ b/otterreach/runtime/journal.py
@@ -33,7 +33,7 @@
 NO_ROOM = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
 Record = tuple[int, bytes]  # kind, payload
 Slice = Iterable[Record]  # a part of the live state, as it is in one turn of the loop
-Live = Callable[[], Iterable[Slice]]
+LiveSlices = Callable[[], Iterable[Slice]]
 
 
 class JournalDamaged(Exception):
@@ -293,7 +293,7 @@
 
     # Rewrite -------------------------------------------------------------------------------------
 
-    async def rewrite(self, live: Live) -> bool:
+    async def rewrite(self, live: LiveSlices) -> bool:
         """Replace the file by one that holds the live state, beside the log in use: appends and syncs go on.
 
         Each slice is asked for in a turn of the loop of its own, and has to tell its part of the state as it is then.
--- a/otterreach/runtime/rpc.py
+++ b/otterreach/runtime/rpc.py
@@ -1,6 +1,7 @@
-"""Calls between own processes over TCP: one connection for each pair, both ways, many calls at once.
+"""Remote procedure calls between own processes over TCP: one connection for each pair, both ways, many calls at once.
 
-A frame is <length, call, kind, flags> and a flatbuffer. A call gets one reply or a Failure; `send` gets none.
+A frame is <length, call number, message number, flags> and a flatbuffer. A call gets one reply or a Failure; a message
+sent one way gets none.
 """
 
 from __future__ import annotations
@@ -8,31 +9,38 @@
 import asyncio
 import socket
 import struct
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Coroutine
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, TypeVar
 
-from otterreach.runtime.codec import NUMBERS, MessageError, decode, encode, message
+from otterreach.runtime.codec import NUMBERS, REPLIES, MessageError, ReplyT, Request, decode, encode, message
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.log import log
 
-HEADER = struct.Struct("<IIHB")  # bytes that follow the header, call, kind, flags
-REPLY = 1
-MAX_FRAME = 96 * 1024 * 1024
-MAX_BACKLOG = 64 * 1024 * 1024  # unread by the other end: it is stuck, and memory is bounded
-CONNECT_S = 0.5
-USER_TIMEOUT_MS = 1500  # unacknowledged for so long: the other machine is gone or cut off
-KEEPALIVE_IDLE_S = 15  # at rest for so long, the kernel asks whether the other machine is still there
-RETIRED_LEAST_S = 1.0  # a retired connection stays: what was sent one way may still be on its way
-RETIRED_MOST_S = 10.0  # then it is closed, whatever is under way on it
-RETIRED_LOOK_S = 0.25
-
+HEADER = struct.Struct("<IIHB")  # length of the body, call number, message number, flags
+REPLY_FLAG = 1
+ONE_WAY = 0  # the call number of a message without an answer
+MAX_CALL_NUMBER = 0xFFFFFFF0
+MAX_FRAME_BYTES = 96 * 1024 * 1024
+MAX_UNREAD_BYTES = 64 * 1024 * 1024  # unread by the other end: it is stuck, and memory is bounded
+CONNECT_TIMEOUT_S = 0.5
+USER_TIMEOUT_MS = 1500  # unacknowledged for so long: the other machine is gone or disconnected
+KEEPALIVE_IDLE_S = 15  # idle for so long, the kernel asks whether the other machine is still there
+KEEPALIVE_INTERVAL_S = 1
+RETIRED_MIN_S = 1.0  # a retired connection stays: one-way messages may still be in flight
+RETIRED_MAX_S = 10.0  # then it is closed, whatever is in flight on it
+RETIRED_CHECK_S = 0.25
+MIN_CALL_S = 0.001  # what a call gets at least, however long the connecting took
+LISTEN_BACKLOG = 256
+
+T = TypeVar("T")
+MessageT = TypeVar("MessageT")
 Handler = Callable[["Link", Any], Awaitable[Any]]
 
 
 @message(1)
 @dataclass(slots=True)
-class Refused:
+class FailureReply:
     """A Failure as a reply."""
 
     code: int
@@ -42,7 +50,7 @@
 @message(2)
 @dataclass(slots=True)
 class Done:
-    """An empty reply."""
+    """The reply to a request that has no other result."""
 
     ok: bool = True
 
@@ -51,23 +59,28 @@
     """One connection. Whoever opened it, both ends call over it."""
 
     def __init__(self, endpoint: Endpoint, address: str = "") -> None:
-        self.endpoint, self.address = endpoint, address
+        self.endpoint = endpoint
+        self.address = address  # host:port, if this end opened the connection
         self.peer = ""  # the node at the other end, once a handler has learned it
         self.closed = False
         self.on_close: list[Callable[[Link], None]] = []
         self._transport: asyncio.Transport | None = None
         self._buffer = bytearray()
-        self._calls: dict[int, asyncio.Future[Any]] = {}
-        self._serving = 0  # calls of the other end that are worked on here
-        self._next = 0
+        self._calls: dict[int, asyncio.Future[Any]] = {}  # in flight, by number
+        self._handling = 0  # calls of the other end that are being handled here
+        self._last_call_number = 0
+
+    # asyncio.Protocol ----------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         tune(transport.get_extra_info("socket"))
         self.endpoint.links.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is gone: no call on it will be answered any more."""
         self.closed = True
         self.endpoint.links.discard(self)
         for future in self._calls.values():
@@ -79,136 +92,156 @@
         self.on_close.clear()
 
     def data_received(self, data: bytes) -> None:
+        """Bytes have come: handle each complete frame."""
         buffer = self._buffer
         buffer += data
-        at = 0
-        while len(buffer) - at >= HEADER.size:
-            size, call, kind, flags = HEADER.unpack_from(buffer, at)
-            if size > MAX_FRAME:
+        start = 0
+        while len(buffer) - start >= HEADER.size:
+            length, call_number, message_number, flags = HEADER.unpack_from(buffer, start)
+            if length > MAX_FRAME_BYTES:
                 self.abort()
                 return
-            end = at + HEADER.size + size
+            end = start + HEADER.size + length
             if len(buffer) < end:
                 break
-            body = bytes(buffer[at + HEADER.size : end])
-            at = end
-            self._take(call, kind, flags, body)
-        if at:
-            del buffer[:at]
+            body = bytes(buffer[start + HEADER.size : end])
+            start = end
+            self._handle_frame(call_number, message_number, flags, body)
+        if start:
+            del buffer[:start]
+
+    # Messages from the other end -----------------------------------------------------------------
 
-    def _take(self, call: int, kind: int, flags: int, body: bytes) -> None:
+    def _handle_frame(self, call_number: int, message_number: int, flags: int, body: bytes) -> None:
         try:
-            value = decode(kind, body)
+            value = decode(message_number, body)
         except MessageError as error:
             log("bad_message", peer=self.peer or self.address, error=str(error))
             self.abort()
             return
-        if flags & REPLY:
-            future = self._calls.pop(call, None)
-            if future and not future.done():
-                future.set_result(_failure(value) if isinstance(value, Refused) else value)
+        if flags & REPLY_FLAG:
+            self._handle_reply(call_number, value)
             return
         handler = self.endpoint.handlers.get(type(value))
-        if handler is None:
-            if call:
-                self._write(call, Refused(Code.NO_HANDLER, type(value).__name__), REPLY)
-            return
-        self.endpoint.spawn(self._serve(handler, call, value))
+        if handler is not None:
+            self.endpoint.spawn(self._answer(handler, call_number, value))
+        elif call_number != ONE_WAY:
+            self._write(call_number, FailureReply(Code.NO_HANDLER, type(value).__name__), REPLY_FLAG)
+
+    def _handle_reply(self, call_number: int, value: Any) -> None:
+        future = self._calls.pop(call_number, None)
+        if future and not future.done():
+            future.set_result(_to_failure(value) if isinstance(value, FailureReply) else value)
 
-    async def _serve(self, handler: Handler, call: int, value: Any) -> None:
-        self._serving += 1
+    async def _answer(self, handler: Handler, call_number: int, value: Any) -> None:
+        self._handling += 1
         try:
-            reply = await self._handle(handler, value)
+            reply = await self._run_handler(handler, value)
         finally:
-            self._serving -= 1
-        if not call:
+            self._handling -= 1
+        if call_number == ONE_WAY:
             return
         if isinstance(reply, Failure):
-            reply = Refused(int(reply.code), reply.reason)
-        self._write(call, Done() if reply is None else reply, REPLY)
+            reply = FailureReply(int(reply.code), reply.reason)
+        self._write(call_number, Done() if reply is None else reply, REPLY_FLAG)
 
-    async def _handle(self, handler: Handler, value: Any) -> Any:
+    async def _run_handler(self, handler: Handler, value: Any) -> Any:
         try:
             return await handler(self, value)
         except Exception as error:  # a fault in one handler ends one call, not the process
             log("handler_failed", level="ERROR", message=type(value).__name__, error=repr(error))
             return Failure(Code.INTERNAL, type(error).__name__)
 
-    def _write(self, call: int, value: Any, flags: int) -> None:
+    # Messages to the other end -------------------------------------------------------------------
+
+    def _write(self, call_number: int, value: Any, flags: int) -> None:
         if self.closed or self._transport is None:
             return
         body = encode(value)
-        self._transport.write(HEADER.pack(len(body), call, NUMBERS[type(value)], flags) + body)
-        if self._transport.get_write_buffer_size() > MAX_BACKLOG:
+        self._transport.write(HEADER.pack(len(body), call_number, NUMBERS[type(value)], flags) + body)
+        if self._transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
             self.abort()
 
-    def send(self, value: Any) -> None:
-        """One way: nobody hears whether it came."""
-        self._write(0, value, 0)
+    def send(self, value: object) -> None:
+        """Send a message one way: whether it arrives is not known."""
+        self._write(ONE_WAY, value, 0)
 
-    async def call(self, value: Any, timeout_s: float) -> Any:
-        """The reply, or a Failure: TIMED_OUT and CLOSED leave open whether it was done."""
+    async def call(self, request: Request[ReplyT], timeout_s: float) -> ReplyT | Failure:
+        """The reply, or a Failure: TIMED_OUT and CLOSED leave open whether the request was handled."""
         if self.closed:
             return Failure(Code.UNREACHABLE, "connection closed")
-        self._next = self._next % 0xFFFFFFF0 + 1
-        number = self._next
-        future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._calls[number] = future
-        self._write(number, value, 0)
-        timer = asyncio.get_running_loop().call_later(timeout_s, self._expire, number)
+        self._last_call_number = self._last_call_number % MAX_CALL_NUMBER + 1
+        call_number = self._last_call_number
+        loop = asyncio.get_running_loop()
+        future: asyncio.Future[Any] = loop.create_future()
+        self._calls[call_number] = future
+        self._write(call_number, request, 0)
+        timer = loop.call_later(timeout_s, self._expire, call_number)
         try:
-            return await future
+            reply = await future
         finally:
             timer.cancel()
-            self._calls.pop(number, None)
+            self._calls.pop(call_number, None)
+        return _checked(request, reply)
 
-    def _expire(self, number: int) -> None:
-        future = self._calls.pop(number, None)
+    def _expire(self, call_number: int) -> None:
+        future = self._calls.pop(call_number, None)
         if future and not future.done():
             future.set_result(Failure(Code.TIMED_OUT, "no answer in time"))
 
+    # Closing -------------------------------------------------------------------------------------
+
     def retire(self) -> None:
-        """Nothing new goes out from here. It is closed once nothing is under way on it, and in bounded time anyway."""
+        """Send nothing new. The connection is closed once nothing is in flight on it, and in bounded time anyway."""
         loop = asyncio.get_running_loop()
-        loop.call_later(RETIRED_LEAST_S, self._close_retired, loop.time() + RETIRED_MOST_S)
+        loop.call_later(RETIRED_MIN_S, self._close_retired, loop.time() + RETIRED_MAX_S)
 
-    def _close_retired(self, end: float) -> None:
+    def _close_retired(self, deadline: float) -> None:
         loop = asyncio.get_running_loop()
         if self.closed or self._transport is None:
             return
-        if (self._calls or self._serving) and loop.time() < end:
-            loop.call_later(RETIRED_LOOK_S, self._close_retired, end)
+        if (self._calls or self._handling) and loop.time() < deadline:
+            loop.call_later(RETIRED_CHECK_S, self._close_retired, deadline)
         elif self._transport.get_write_buffer_size():
-            self.abort()  # the other end does not read: what waits here would keep the connection open
+            self.abort()  # the other end does not read: unsent bytes would keep the connection open
         else:
             self._transport.close()
 
     def abort(self) -> None:
+        """Close at once; unsent bytes are dropped."""
         if self._transport:
             self._transport.abort()
 
 
-def _failure(refused: Refused) -> Failure:
+def _checked(request: Request[ReplyT], reply: Any) -> ReplyT | Failure:
+    """The reply, if it is of the type that the request asks for."""
+    is_expected = isinstance(reply, (Failure, REPLIES[type(request)]))
+    if is_expected:
+        return reply  # type: ignore[no-any-return]
+    return Failure(Code.BAD_MESSAGE, f"{type(reply).__name__} in answer to {type(request).__name__}")
+
+
+def _to_failure(reply: FailureReply) -> Failure:
     """Danger: a newer process may send a code that is not known here. Whether it was done is then not known either."""
     try:
-        return Failure(Code(refused.code), refused.reason)
+        return Failure(Code(reply.code), reply.reason)
     except ValueError:
-        return Failure(Code.INTERNAL, f"code {refused.code}: {refused.reason}")
+        return Failure(Code.INTERNAL, f"code {reply.code}: {reply.reason}")
 
 
 def tune(sock: socket.socket | None) -> None:
-    """Small messages leave at once; a peer that is dark is noticed. A connection in memory has no socket."""
+    """Small messages leave at once; a peer that has vanished is noticed. A connection in memory has no socket."""
     if sock is None:
         return
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
 
 
 class Endpoint:
-    """A process' end of all its connections: its handlers, its listener and the links it opened, by address."""
+    """All connections of a process: its handlers, its listener, and the links that it opened, by address."""
 
     def __init__(self) -> None:
         self.handlers: dict[type, Handler] = {}
@@ -218,12 +251,12 @@
         self._tasks: set[asyncio.Task[Any]] = set()
         self._server: asyncio.Server | None = None
 
-    def on(self, kind: type, handler: Handler) -> None:
-        """Take messages of this kind; the handler gives the reply, a Failure or None."""
+    def on(self, kind: type[MessageT], handler: Callable[[Link, MessageT], Awaitable[Any]]) -> None:
+        """Handle messages of this kind. The handler returns the reply, a Failure, or None for Done."""
         self.handlers[kind] = handler
 
-    def spawn(self, work: Awaitable[Any]) -> asyncio.Task[Any]:
-        """Run beside all else, held until it ends."""
+    def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
+        """Run in the background; the task is referenced until it ends."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._ended)
@@ -235,8 +268,11 @@
             log("task_failed", level="ERROR", error=repr(error))
 
     async def listen(self, host: str, port: int) -> int:
+        """Accept connections; returns the port. Raises OSError."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: Link(self), host, port, backlog=256, reuse_address=True)
+        self._server = await loop.create_server(
+            lambda: Link(self), host, port, backlog=LISTEN_BACKLOG, reuse_address=True
+        )
         return int(self._server.sockets[0].getsockname()[1])
 
     def linked(self, address: str) -> Link | None:
@@ -259,17 +295,17 @@
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, link = await loop.create_connection(lambda: Link(self, address), host, int(port))
         except (OSError, ValueError, TimeoutError) as error:
             return Failure(Code.UNREACHABLE, f"{address}: {type(error).__name__}")
         self._opened[address] = link
         return link
 
-    async def call(self, address: str, value: Any, timeout_s: float) -> Any:
-        """A call to whoever listens at host:port; the time counts from now, the connecting included."""
+    async def call(self, address: str, request: Request[ReplyT], timeout_s: float) -> ReplyT | Failure:
+        """The reply of whoever listens at host:port, or a Failure. The time counts from now, connecting included."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + timeout_s
+        deadline = loop.time() + timeout_s
         link: Link | Failure | None = self.linked(address)
         if link is None:
             try:
@@ -279,13 +315,15 @@
                 return Failure(Code.UNREACHABLE, f"{address}: no connection in time")
         if isinstance(link, Failure):
             return link
-        reply = await link.call(value, max(0.001, end - loop.time()))
+        reply = await link.call(request, max(MIN_CALL_S, deadline - loop.time()))
         if isinstance(reply, Failure) and reply.code is Code.TIMED_OUT and self._opened.get(address) is link:
-            del self._opened[address]  # frozen or dark: the next call tries anew, others may still end on this one
+            # Frozen or disconnected: the next call connects anew, others may still complete on this connection.
+            del self._opened[address]
             link.retire()
         return reply
 
     async def close(self) -> None:
+        """Stop listening, cancel all tasks, abort all connections."""
         if self._server:
             self._server.close()
         for task in list(self._tasks):
--- a/otterreach/scaletest/cost.py
+++ b/otterreach/scaletest/cost.py
@@ -9,47 +9,65 @@
 import json
 import time
 from collections.abc import Callable
+from dataclasses import replace
 from random import Random
 from types import SimpleNamespace
 from typing import Any, cast
 
-from otterreach.proxy.orders import Orders
+from otterreach.controller.api.servers import read_heartbeat
+from otterreach.jobstore.placement import PARTITIONS
+from otterreach.proxy.orders import WeightOrders
 from otterreach.runtime.codec import decode, encode
 from otterreach.runtime.http_client import JsonClient
 from otterreach.runtime.node import Node
+from otterreach.runtime.records import (
+    ItemChange,
+    MemberRecord,
+    MemberRole,
+    OrderLeaseRecord,
+    PartitionRecord,
+    Record,
+    RetirementRecord,
+    ServerRecord,
+    VersionRecord,
+    put,
+)
 from otterreach.runtime.relay import Changes
 from otterreach.runtime.store import Item, ReplicatedStore
 from otterreach.scaletest.size import registration, server_id
 
 ROUNDS = 5
+# What the primary controller looks through in each plan.
+SCANNED_IN_A_PLAN: tuple[type[Record], ...] = (
+    MemberRecord,
+    RetirementRecord,
+    PartitionRecord,
+    ServerRecord,
+    MemberRecord,
+    MemberRecord,
+    ServerRecord,
+    OrderLeaseRecord,
+    MemberRecord,
+)
 
 
 def store_of(servers: int, fronts: int, versions: int = 1) -> ReplicatedStore:
     """A copy of the control state of that size, as it is at rest."""
-    store, rows = ReplicatedStore(), list[tuple[str, Any]]()
-    for n in range(servers):
-        raw = registration(n, 1)
-        kept = {k: raw[k] for k in ("backend", "addr", "az", "cap", "state", "models")} | {"warm_ms": 0, "calls": 1}
-        rows.append((f"server/{server_id(n)}", kept))
-        rows.append((f"duty/{server_id(n)}", {"holder": f"front-{n % max(1, fronts)}", "wait_ms": 0}))
-    for n in range(fronts):
-        rows.append(
-            (
-                f"member/front-{n}",
-                {
-                    "role": "front",
-                    "address": f"10.1.{n // 250}.{n % 250}:7380",
-                    "zone": f"hall-{n % 12}",
-                    "region": "here",
-                    "disk": "",
-                },
-            )
-        )
-    rows += [
-        (f"part/{n}", {"epoch": 1, "primary": "store-0#1", "backups": ["store-1#1"], "joining": []}) for n in range(16)
-    ]
-    rows += [(f"version/m-{n}", {"gen": 1}) for n in range(versions)]
-    store.apply([Item(key, n + 1, json.dumps(value).encode()) for n, (key, value) in enumerate(rows)])
+    changes: list[ItemChange] = []
+    for number in range(servers):
+        ident = server_id(number)
+        heartbeat = read_heartbeat(json.dumps(registration(number, 1)).encode())
+        assert isinstance(heartbeat, ServerRecord)
+        changes.append(put(replace(heartbeat, warmup_left_ms=0, calls=1), ident))
+        changes.append(put(OrderLeaseRecord(f"front-{number % max(1, fronts)}"), ident))
+    for number in range(fronts):
+        address = f"10.1.{number // 250}.{number % 250}:7380"
+        member = MemberRecord(MemberRole.PROXY, address, f"hall-{number % 12}", "here")
+        changes.append(put(member, f"front-{number}"))
+    changes += [put(PartitionRecord(1, "store-0#1", ("store-1#1",)), str(number)) for number in range(PARTITIONS)]
+    changes += [put(VersionRecord(1), f"m-{number}") for number in range(versions)]
+    store = ReplicatedStore()
+    store.apply([Item(change.key, number, change.value) for number, change in enumerate(changes, 1)])
     return store
 
 
@@ -64,33 +82,34 @@
     return round(best * 1000, 4)
 
 
-def orders_of(store: ReplicatedStore, node: str) -> Orders:
+def orders_of(store: ReplicatedStore, node: str) -> WeightOrders:
     """The duties of a proxy over that state. Needs a running loop."""
     follower = SimpleNamespace(age_s=lambda: 0.0)
     fake = SimpleNamespace(store=store, settings=SimpleNamespace(node=node), follower=follower)
-    return Orders(cast(Node, fake), JsonClient())
+    return WeightOrders(cast(Node, fake), JsonClient())
 
 
 async def costs(servers: int, fronts: int) -> dict[str, float]:
     """ms for one step at a size."""
     store = store_of(servers, fronts)
-    for kind in ("server", "duty", "member"):
-        store.named(kind)  # decoded once
+    kinds: tuple[type[Record], ...] = (ServerRecord, OrderLeaseRecord, MemberRecord)
+    for kind in kinds:
+        store.records(kind)  # decoded once
     items = list(store.items.values())
     one = next(i for i in items if i.key.startswith("server/"))
-    beat, change = Changes(5, store.rev, [], store.digest, 1), Changes(5, store.rev, [one], store.digest, 0)
-    whole = Changes(5, store.rev, items, store.digest, 0)
+    beat, change = Changes(5, store.revision, [], store.digest, 1), Changes(5, store.revision, [one], store.digest, 0)
+    whole = Changes(5, store.revision, items, store.digest, 0)
     body, whole_body, orders = encode(beat), encode(whole), orders_of(store, "front-1")
     random, other = Random(1), [0] * 16
 
     def scan() -> None:
         """What the primary controller looks through each 0.2 s."""
-        for kind in ("member", "retire", "part", "server", "member", "member", "server", "duty", "member"):
-            store.named(kind)
+        for kind in SCANNED_IN_A_PLAN:
+            store.records(kind)
 
     return {
-        "ReplicatedStore.named('server')": cost_ms(lambda: store.named("server"), 10),
-        "Orders.step (every proxy, 10/s)": cost_ms(orders.step, 10),
+        "ReplicatedStore.records(ServerRecord)": cost_ms(lambda: store.records(ServerRecord), 10),
+        "WeightOrders.step (every proxy, 10/s)": cost_ms(orders.step, 10),
         "a primary's _plan (5/s), its scans": cost_ms(scan, 5),
         "encode a beat of Changes": cost_ms(lambda: encode(beat), 200),
         "decode it": cost_ms(lambda: decode(11, body), 200),
--- a/otterreach/scaletest/hollow.py
+++ b/otterreach/scaletest/hollow.py
@@ -17,8 +17,10 @@
 
 from otterreach.jobstore.messages import ProxyPing
 from otterreach.proxy.directory import PING_S, PING_TIMEOUT_S
+from otterreach.runtime.configuration import ConfigurationRecord
 from otterreach.runtime.http_client import JsonClient
 from otterreach.runtime.node import Node
+from otterreach.runtime.records import MemberRecord, MemberRole, ServerRecord
 from otterreach.runtime.rpc import Endpoint
 from otterreach.runtime.settings import Settings
 from otterreach.runtime.store import Item, ReplicatedStore
@@ -45,12 +47,13 @@
         self._have: dict[str, set[str]] = {"server": set(), "member": set()}
         self._new: set[str] = set()
         self._full = False
-        store.watch("config", self._config)
-        store.watch("server", self._server)
-        store.watch("member", self._member)
+        store.watch(ConfigurationRecord, self._config)
+        store.watch(ServerRecord, self._server)
+        store.watch(MemberRecord, self._member)
 
     def _config(self, item: Item) -> None:
-        self.tell({"event": "config", "node": self.name, "gen": self.store.get("config")["gen"]})
+        record = self.store.record(ConfigurationRecord)
+        self.tell({"event": "config", "node": self.name, "gen": record.version if record else 0})
 
     def _server(self, item: Item) -> None:
         self._count("server", item)
@@ -78,12 +81,12 @@
         self.node = Node(settings, Endpoint(), random)
         self.sight = FollowerView(settings.node, self.node.store, servers, members, tell)
         self._stores: dict[str, str] = {}
-        self.node.store.watch("member", self._member)
+        self.node.store.watch(MemberRecord, self._member)
 
     def _member(self, item: Item) -> None:
-        value = self.node.store.get(item.key)
-        if value and value["role"] == "store":
-            self._stores[item.key] = value["address"]
+        record = self.node.store.record(MemberRecord, item.name)
+        if record and record.role == MemberRole.JOB_STORE:
+            self._stores[item.key] = record.address
 
     async def run(self) -> None:
         await self.node.start("front")
--- a/otterreach/scaletest/meter.py
+++ b/otterreach/scaletest/meter.py
@@ -30,9 +30,9 @@
         counts["in bytes"] += len(data)
         super().data_received(data)
 
-    def _take(self, call: int, kind: int, flags: int, body: bytes) -> None:
-        counts[f"in {_name(kind)}"] += 1
-        super()._take(call, kind, flags, body)
+    def _handle_frame(self, call_number: int, message_number: int, flags: int, body: bytes) -> None:
+        counts[f"in {_name(message_number)}"] += 1
+        super()._handle_frame(call_number, message_number, flags, body)
 
 
 def counted_encode(value: Any) -> bytes:
--- a/otterreach/simulation/disk.py
+++ b/otterreach/simulation/disk.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.journal import Live, Record, Slice, pack, scan
+from otterreach.runtime.journal import LiveSlices, Record, Slice, pack, scan
 
 SLICES_IN_ONE_SYNC = 4  # of a rewrite: so many are written in the time that a sync takes
 
@@ -127,7 +127,7 @@
             if not future.done():
                 future.set_result(self.failed is None)
 
-    async def rewrite(self, live: Live) -> bool:
+    async def rewrite(self, live: LiveSlices) -> bool:
         if self._copied is not None or self.failed is not None:
             return False
         self._copied, self._given_up = [], False
--- a/otterreach/simulation/job_members.py
+++ b/otterreach/simulation/job_members.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 from random import Random
 
-from otterreach.jobstore.placement import part_of
+from otterreach.jobstore.placement import partition_of
 from otterreach.simulation import client
 from otterreach.simulation.job_trainers import Lot
 from otterreach.simulation.world import CTL, Box, Main, World
@@ -28,8 +28,8 @@
     on_disk = f"{job}.0".encode() in box.disk.data[: box.disk.synced]
     if not box.up or box.object is None:
         return on_disk
-    copy = box.object.replication.copies[part_of(job)]
-    return on_disk and copy.whole and copy.jobs.get(job) is not None
+    copy = box.object.replication.replicas[partition_of(job)]
+    return on_disk and copy.is_complete and copy.jobs.get(job) is not None
 
 
 class Members:
--- a/otterreach/simulation/planted_operations.py
+++ b/otterreach/simulation/planted_operations.py
@@ -34,7 +34,7 @@
     Planted(
         "lease-not-checked",
         "a holder of a duty orders whatever the age of what it knows",
-        (Change(f"{ORDERS}:Orders.fence", " and self.node.follower.age_s() < LEASE_S", ""),),
+        (Change(f"{ORDERS}:WeightOrders.fence", " and self.node.follower.age_s() < LEASE_S", ""),),
         "control",
         plan=FRONTS_CUT_OFF,
         rule="fences rise",
@@ -43,7 +43,7 @@
     Planted(
         "lease-not-waited-out",
         "the next holder of a duty orders at once",
-        (Change(f"{ORDERS}:takeover_s", "return LEASE_S + lease_s + MARGIN_S", "return 0.0"),),
+        (Change(f"{ORDERS}:takeover_wait_s", "return LEASE_S + lease_s + MARGIN_S", "return 0.0"),),
         "control",
         plan=FRONTS_DIE,
         rule="holders take turns",
@@ -52,7 +52,7 @@
     Planted(
         "fence-does-not-rise",
         "orders of all holders carry the same fence",
-        (Change(f"{ORDERS}:Orders.fence", "return rev if", "return 1 if"),),
+        (Change(f"{ORDERS}:WeightOrders.fence", "return revision if", "return 1 if"),),
         "control",
         plan=FRONTS_DIE,
         rule="one holder",
@@ -61,7 +61,7 @@
     Planted(
         "acknowledged-without-copies",
         "an operator's change is acknowledged though the copies did not take it",
-        (Change(f"{CONFIG}._accept", "return UNCLEAR", "pass"),),
+        (Change(f"{CONFIG}._accept", "return UNAVAILABLE", "pass"),),
         "control",
         plan=SLOW_LINKS,
         rule="linearizable",
@@ -82,7 +82,13 @@
     Planted(
         "older-item-wins",
         "a copy of the control state takes an older item",
-        (Change("otterreach.runtime.store:ReplicatedStore._take", "old.rev >= item.rev", "old.rev == item.rev"),),
+        (
+            Change(
+                "otterreach.runtime.store:ReplicatedStore._apply_item",
+                "item.revision <= newest",
+                "item.revision == newest",
+            ),
+        ),
         "control",
         plan=CORES_UNHEARD,
         rule="copy goes back",
@@ -103,7 +109,7 @@
     Planted(
         "refused-on-uncommitted-state",
         "a change is refused because of another that is not at all copies, and may vanish",
-        (Change(f"{CONFIG}._change", "await when_committed(self.control, refusal(found))", "refusal(found)"),),
+        (Change(f"{CONFIG}._change", "await when_committed(self.control, rejection(result))", "rejection(result)"),),
         "control",
     ),
     Planted(
@@ -112,7 +118,7 @@
         (
             Change(
                 "otterreach.controller.api.servers:ServerResource._register",
-                "item is not None and item.gone",
+                "item is not None and item.is_tombstone",
                 "False",
             ),
         ),
--- a/otterreach/simulation/planted_plans.py
+++ b/otterreach/simulation/planted_plans.py
@@ -25,6 +25,15 @@
     for n, name in enumerate(STORES)
     for fault in (Fault(5.0 + 9 * n, "one_way", (name,), 2.0), Fault(5.4 + 9 * n, "wipe", (name,), 2.0))
 )
+# A store loses power; the one that is left of a pair loses its disk before another is in sync.
+DEAD_THEN_WIPED: Faults = tuple(
+    fault
+    for n, name in enumerate(STORES)
+    for fault in (
+        Fault(5.0 + 12 * n, "power", (name,), 5.0),
+        Fault(6.5 + 12 * n, "wipe", (STORES[(n + 1) % len(STORES)],), 1.0),
+    )
+)
 RESETS: Faults = tuple(Fault(4.0 + n, "reset", (*CORES, *STORES), 0.1) for n in range(12))
 PROXIES_CUT_OFF: Faults = tuple(Fault(5.0 + 8 * n, "cut", (FRONTS[n % 2],), 7.0) for n in range(3))
 CORES_KILLED: Faults = tuple(Fault(4.0 + 1.5 * n, "kill", (CORES[n % 5],), 0.6) for n in range(14))
--- a/otterreach/simulation/small_parts.py
+++ b/otterreach/simulation/small_parts.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from otterreach.controller.replication import Control
+from otterreach.controller.replication import ControlReplication
 from otterreach.runtime import settings
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.journal import Record as Entry
@@ -181,7 +181,7 @@
     def __init__(self) -> None:
         self.primary = ""
         self.is_root = False
-        self.root_at = 0.0
+        self.fresh_at = 0.0
         self.controllers: list[str] = []
         self.store = ReplicatedStore()
         self.relay = _Relay()
@@ -226,7 +226,7 @@
         self.history = 0  # a hash over all its events
         self.sent = 0
         self.connection: dict[str, int] = {}  # by target: rises after a time-out, which opens another one
-        self.control: Control
+        self.control: ControlReplication
         self.journal: ModelJournal
 
     def note(self, *what: Any) -> None:
@@ -250,7 +250,7 @@
         endpoint: Any = ModelEndpoint(self)
         follower: Any = ModelFollower()
         journal: Any = self.journal
-        self.control = Control(self.settings, endpoint, journal, follower, Random(self.number))
+        self.control = ControlReplication(self.settings, endpoint, journal, follower, Random(self.number))
         self.control.load(list(self.disk))
         self.model.checks.life_begins(self)
         if self.journal.pending:  # a new id lasts before anything is answered
--- a/otterreach/simulation/world.py
+++ b/otterreach/simulation/world.py
@@ -271,13 +271,13 @@
     def _stand_ins(self) -> Iterator[None]:
         """Ids and the log follow the seed and virtual time; all else is handed in."""
         ids = Random(self.seed ^ 0x1D)
-        drawn, logger = identity.draw, otterreach.runtime.log._logger
-        identity.draw = lambda: f"{ids.getrandbits(48):012x}"
+        drawn, logger = identity.draw_disk_id, otterreach.runtime.log._logger
+        identity.draw_disk_id = lambda: f"{ids.getrandbits(48):012x}"
         otterreach.runtime.log._logger = _Lines(self)
         try:
             yield
         finally:
-            identity.draw, otterreach.runtime.log._logger = drawn, logger
+            identity.draw_disk_id, otterreach.runtime.log._logger = drawn, logger
             self._unwrap()
 
 
@@ -290,8 +290,8 @@
         "event=call_failed",
         "event=bad_message",
         "event=record_changed_in_epoch",
-        "event=primary_without_copy",
-        "event=copy_differs",
+        "event=primary_without_replica",
+        "event=replica_differs",
     )
 
     def __init__(self, world: World) -> None:
