--- a/tests/control_api_support.py
+++ b/tests/control_api_support.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from otterreach.controller.api.resource import Resource
-from otterreach.controller.messages import Operate, Operated
+from otterreach.controller.messages import ApiCall, ApiResponse
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.store import Item, ReplicatedStore
 from tests import virtual
@@ -36,7 +36,10 @@
     def heard_primary_address(self) -> str:
         return self.primary_address
 
-    def revise(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
+    def not_primary(self) -> Failure:
+        return Failure(Code.NOT_PRIMARY, self.primary_address)
+
+    def propose(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         if not self.is_primary:
             future.set_result(False)
@@ -106,17 +109,17 @@
             await asyncio.sleep(timeout_s)
             return Failure(Code.TIMED_OUT, "no answer in time")
         await asyncio.sleep(self.answer_after_s)
-        return Operated(200)
+        return ApiResponse(200)
 
 
-def put(base: int | str, gen: int, name: str = "r") -> Operate:
+def put(base: int | str, gen: int, name: str = "r") -> ApiCall:
     whole = {"gen": gen, "routes": [ROUTE | {"name": name}], "backends": [{"name": "b"}]}
-    return Operate("PUT", "/config", str(base), json.dumps(whole).encode())
+    return ApiCall("PUT", "/config", str(base), json.dumps(whole).encode())
 
 
-def patch(base: int, gen: int, name: str = "x") -> Operate:
+def patch(base: int, gen: int, name: str = "x") -> ApiCall:
     upsert = {"routes": [ROUTE | {"name": name, "prefix": f"/{name}/"}]}
-    return Operate("PATCH", "/config", str(base), json.dumps({"gen": gen, "upsert": upsert}).encode())
+    return ApiCall("PATCH", "/config", str(base), json.dumps({"gen": gen, "upsert": upsert}).encode())
 
 
 async def settle() -> None:
@@ -125,7 +128,7 @@
         await asyncio.sleep(0)
 
 
-def statuses(answers: Iterable[Operated]) -> list[int]:
+def statuses(answers: Iterable[ApiResponse]) -> list[int]:
     return sorted(answer.status for answer in answers)
 
 
@@ -133,13 +136,13 @@
     def play(self, scene: Callable[[], Awaitable[None]]) -> None:
         virtual.run(scene)
 
-    async def expect(self, resource: Resource, call: Operate, status: int) -> Operated:
+    async def expect(self, resource: Resource, call: ApiCall, status: int) -> ApiResponse:
         answer = await resource.handle(call)
         self.assertEqual(status, answer.status, (call, answer))
         return answer
 
 
-def heartbeat(ident: str, calls: int, state: str = "up", gen: int = 1, address: str = "10.0.0.9:80") -> Operate:
+def heartbeat(ident: str, calls: int, state: str = "up", gen: int = 1, address: str = "10.0.0.9:80") -> ApiCall:
     value = {
         "backend": "b",
         "addr": address,
@@ -150,8 +153,8 @@
         "models": [{"name": "m", "gen": gen, "loras": []}],
         "calls": calls,
     }
-    return Operate("PUT", f"/servers/{ident}", "", json.dumps(value).encode())
+    return ApiCall("PUT", f"/servers/{ident}", "", json.dumps(value).encode())
 
 
-def farewell(ident: str) -> Operate:
-    return Operate("DELETE", f"/servers/{ident}", "", b"")
+def deregistration(ident: str) -> ApiCall:
+    return ApiCall("DELETE", f"/servers/{ident}", "", b"")
--- a/tests/controller_world.py
+++ b/tests/controller_world.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from otterreach.controller.node import ControllerNode
-from otterreach.controller.replication import Control
+from otterreach.controller.replication import ControlReplication
 from otterreach.runtime.node import Node
 from otterreach.runtime.rpc import Endpoint
 from otterreach.simulation import client
@@ -79,8 +79,8 @@
 
     # Who is what ---------------------------------------------------------------------------------
 
-    def control(self, box: Box) -> Control:
-        control: Control = box.object.control
+    def control(self, box: Box) -> ControlReplication:
+        control: ControlReplication = box.object.control
         return control
 
     def primaries(self) -> list[Box]:
--- a/tests/jobstore_net.py
+++ b/tests/jobstore_net.py
@@ -12,7 +12,7 @@
 
 from otterreach.runtime.codec import NUMBERS, decode, encode
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.journal import Live, pack, scan
+from otterreach.runtime.journal import LiveSlices, pack, scan
 from otterreach.runtime.rpc import Done
 
 DELAY_S = 0.001
@@ -307,7 +307,7 @@
             if not future.done():
                 future.set_result(self.failed is None)
 
-    async def rewrite(self, live: Live) -> bool:
+    async def rewrite(self, live: LiveSlices) -> bool:
         """The slices, each in a turn of its own, and between them what is appended meanwhile; then the new in place."""
         self._copied = []
         for part in live():
--- a/tests/jobstore_world.py
+++ b/tests/jobstore_world.py
@@ -12,34 +12,33 @@
 from unittest import mock
 
 from otterreach.controller import planner
-from otterreach.controller.survival import Place, SurviveLimits
-from otterreach.jobstore.jobs import Kind
+from otterreach.controller.survival import FailureDomain, SurviveLimits
 from otterreach.jobstore.leadership import PartitionLeader
 from otterreach.jobstore.messages import (
-    Assign,
+    AssignItems,
     CancelJob,
     DiskStalled,
     EndJob,
-    Finished,
     ItemBody,
-    Leaving,
-    PartLost,
-    PartSynced,
-    Pong,
+    ItemFinished,
     ProxyPing,
+    ProxyPong,
     ReadItem,
     ReadJob,
-    Results,
-    Submit,
-    Work,
+    ReplicaInSync,
+    ReplicaLost,
+    StoreDraining,
+    SubmitJob,
+    WorkItem,
 )
 from otterreach.jobstore.node import JobStoreNode
-from otterreach.jobstore.partition import Copy, CopyState
-from otterreach.jobstore.placement import PARTITIONS, part_of
+from otterreach.jobstore.partition_replica import PartitionReplica
+from otterreach.jobstore.placement import PARTITIONS, partition_of
 from otterreach.runtime import settings as settings_module
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.identity import member
+from otterreach.runtime.identity import member_id
 from otterreach.runtime.node import Node
+from otterreach.runtime.records import PartitionRecord, Record, put
 from otterreach.runtime.rpc import Done
 from otterreach.runtime.store import Item, ReplicatedStore
 from tests.jobstore_net import Net, VirtualDisk, VirtualEndpoint, VirtualJournal
@@ -84,15 +83,15 @@
         self.settings = settings_module.read({**SETTINGS, "node": name, "ip": name})
         self.endpoint, self.random, self.disk = endpoint, random, ""
         self.store = ReplicatedStore()
-        self.follower = SimpleNamespace(primary=REGISTRAR, controllers=[REGISTRAR], root_at=0.0)
+        self.follower = SimpleNamespace(primary=REGISTRAR, controllers=[REGISTRAR], fresh_at=0.0)
         self.stopping = asyncio.Event()
 
-    async def ask_primary(self, ask: Any, timeout_s: float = 0.8) -> Any:
+    async def call_primary(self, ask: Any, timeout_s: float = 0.8) -> Any:
         return await self.endpoint.call(REGISTRAR, ask, timeout_s)
 
     @property
     def member(self) -> str:
-        return member(self.settings.node, self.disk)
+        return member_id(self.settings.node, self.disk)
 
 
 class Store:
@@ -110,7 +109,9 @@
         self.journal = VirtualJournal(self.disk)
         self.node = StoreNode(self.name, self.endpoint, self.world.random)
         records = self.journal.read()
-        with mock.patch("otterreach.runtime.identity.draw", lambda: f"{self.world.random.getrandbits(48):012x}"):
+        with mock.patch(
+            "otterreach.runtime.identity.draw_disk_id", lambda: f"{self.world.random.getrandbits(48):012x}"
+        ):
             self.store_node = JobStoreNode(cast(Node, self.node), self.journal, self.world.random, records)
         self.endpoint.spawn(self.store_node.start())
         self.world.tell(self)
@@ -133,11 +134,11 @@
         self.stop(power=True)
         self.disk = VirtualDisk()
 
-    def copy(self, job: str) -> Copy:
-        return self.store_node.replication.copies[part_of(job)]
+    def copy(self, job: str) -> PartitionReplica:
+        return self.store_node.replication.replicas[partition_of(job)]
 
     def leader(self, job: str) -> PartitionLeader | None:
-        return self.store_node.replication.leaders.get(part_of(job))
+        return self.store_node.replication.leaders.get(partition_of(job))
 
 
 class World:
@@ -149,18 +150,18 @@
         self.random = Random(seed)
         self.net = Net(self.random)
         self.control = ReplicatedStore()
-        self.limits, self.rev = limits, 0
+        self.limits, self.revision = limits, 0
         self.zones = zones or {}  # by name; else each store is a zone of its own
         self.failures: list[BaseException] = []
         self.stores: dict[str, Store] = {}
         self.alive: set[str] = set()
         self.lag: Callable[[], float] = lambda: 0.02
-        self.lost: list[PartLost] = []
+        self.lost: list[ReplicaLost] = []
         self.controller = VirtualEndpoint(self.net, REGISTRAR)
-        self.controller.on(PartSynced, self._synced)
-        self.controller.on(PartLost, self._lost)
+        self.controller.on(ReplicaInSync, self._synced)
+        self.controller.on(ReplicaLost, self._lost)
         self.controller.on(DiskStalled, self._disk_stalled)
-        self.controller.on(Leaving, self._leaving)
+        self.controller.on(StoreDraining, self._leaving)
         self.stalled: dict[str, float] = {}  # members whose disks take nothing, and when they last said so
         self.leaving: set[str] = set()
         self.put("config", {"gen": 1, "routes": [ROUTE], "backends": []})
@@ -180,13 +181,17 @@
 
     def put(self, key: str, value: Any) -> None:
         """Change an item of the control state; each store hears of it a little later, in order."""
-        self.rev += 1
-        item = Item(key, self.rev, json.dumps(value).encode())
+        self.revision += 1
+        item = Item(key, self.revision, json.dumps(value).encode())
         self.control.apply([item])
         for store in list(self.stores.values()):
             if store.running:
                 self._publish(store, [item])
 
+    def put_record(self, record: Record, name: str) -> None:
+        change = put(record, name)
+        self.put(change.key, json.loads(change.value))
+
     def _publish(self, store: Store, items: list[Item]) -> None:
         def take(endpoint: VirtualEndpoint, node: StoreNode) -> None:
             if endpoint.down:
@@ -195,7 +200,7 @@
                 asyncio.get_running_loop().call_later(0.05, take, endpoint, node)
                 return
             node.store.apply(items)
-            node.follower.root_at = asyncio.get_running_loop().time()
+            node.follower.fresh_at = asyncio.get_running_loop().time()
 
         asyncio.get_running_loop().call_later(self.lag(), take, store.endpoint, store.node)
 
@@ -221,17 +226,17 @@
             )
         self.plan()
 
-    def known(self) -> planner.Stores:
+    def known(self) -> planner.StoreMembers:
         now = asyncio.get_running_loop().time()
         stalled = {m for m, at in self.stalled.items() if now - at < STALL_HOLDS_S}
-        places = {m: Place(self.zone(m.partition("#")[0]), "r") for m in sorted(self.alive - stalled)}
-        return planner.Stores(places, frozenset(self.leaving & set(places)))
+        places = {m: FailureDomain(self.zone(m.partition("#")[0]), "r") for m in sorted(self.alive - stalled)}
+        return planner.StoreMembers(places, frozenset(self.leaving & set(places)))
 
     def zone(self, name: str) -> str:
         return self.zones.get(name, name)
 
-    def parts(self) -> dict[int, planner.Part]:
-        return {int(n): planner.Part.read(raw) for n, raw in self.control.named("part").items()}
+    def parts(self) -> dict[int, PartitionRecord]:
+        return {int(number): record for number, record in self.control.records(PartitionRecord).items()}
 
     def plan(self) -> None:
         records, known = self.parts(), self.known()
@@ -243,25 +248,27 @@
             else planner.initial_records(PARTITIONS, self.limits, known)
         )
         for n, part in plan.items():
-            self.put(f"part/{n}", part.json())
+            self.put_record(part, str(n))
 
-    async def _synced(self, link: Any, told: PartSynced) -> Done | Failure:
-        record = self.parts()[told.part]
+    async def _synced(self, link: Any, told: ReplicaInSync) -> Done | Failure:
+        record = self.parts()[told.partition]
         if record.epoch != told.epoch:
             return Failure(Code.STALE_EPOCH, "another epoch")
         if told.member in record.learners:
-            self.put(f"part/{told.part}", planner.synced(record, told.member, self.limits, self.known()).json())
+            self.put_record(
+                planner.promote_learner(record, told.member, self.limits, self.known()), str(told.partition)
+            )
         return Done()
 
-    async def _lost(self, link: Any, told: PartLost) -> None:
+    async def _lost(self, link: Any, told: ReplicaLost) -> None:
         self.lost.append(told)
 
     async def _disk_stalled(self, link: Any, told: DiskStalled) -> None:
-        self.stalled[member(told.node, told.disk)] = asyncio.get_running_loop().time()
+        self.stalled[member_id(told.node, told.disk)] = asyncio.get_running_loop().time()
         self.plan()
 
-    async def _leaving(self, link: Any, told: Leaving) -> Done | Failure:
-        name, known = member(told.node, told.disk), self.known()
+    async def _leaving(self, link: Any, told: StoreDraining) -> Done | Failure:
+        name, known = member_id(told.node, told.disk), self.known()
         if len([m for m in known.usable if m != name]) <= self.limits.nodes:
             return Failure(Code.TOO_FEW_LEFT, "too few others")
         self.leaving.add(name)
@@ -269,10 +276,10 @@
         return Done()
 
     def primary_of(self, job: str) -> Store:
-        return self.stores[self.parts()[part_of(job)].primary.partition("#")[0]]
+        return self.stores[self.parts()[partition_of(job)].primary.partition("#")[0]]
 
     def backup_of(self, job: str) -> Store:
-        return self.stores[self.parts()[part_of(job)].backups[0].partition("#")[0]]
+        return self.stores[self.parts()[partition_of(job)].backups[0].partition("#")[0]]
 
     async def serving(self, job: str, within_s: float = 5.0) -> Store:
         """The store that answers for this batch job now."""
@@ -281,7 +288,7 @@
         while loop.time() < end:
             for store in self.stores.values():
                 leader = store.leader(job) if store.running else None
-                if leader and leader.fresh:
+                if leader and leader.is_confirmed:
                     return store
             await asyncio.sleep(0.02)
         raise AssertionError(f"nobody serves {job}")
@@ -310,7 +317,7 @@
     async def submit(
         self, job: str, store: Store | None = None, body: bytes | None = None, timeout_s: float = 1.0
     ) -> Any:
-        ask = Submit(job, "h", "r-lot", body or lot(job))
+        ask = SubmitJob(job, "h", "r-lot", body or lot(job))
         return await self.ask(store or self.world.primary_of(job), ask, timeout_s)
 
     async def read(self, job: str, past: int = 0, wait_ms: int = 0, store: Store | None = None) -> Any:
@@ -327,7 +334,7 @@
         self, job: str, n: int, text: str = "", store: Store | None = None, timeout_s: float = 1.0, **changes: Any
     ) -> Any:
         values: dict[str, Any] = {"state": "done", "reason": "", "versions": [1], "score": "", **changes}
-        ask = Finished(job, f"{job}-{n}", text=text or f"text {n}", **values)
+        ask = ItemFinished(job, f"{job}-{n}", text=text or f"text {n}", **values)
         return await self.ask(store or self.world.primary_of(job), ask, timeout_s)
 
 
@@ -337,12 +344,12 @@
     def __init__(self, world: World, name: str, slots: int = 4, run_s: float | None = 0.05) -> None:
         self.world, self.name, self.slots, self.run_s = world, name, slots, run_s
         self.endpoint = VirtualEndpoint(world.net, f"{name}:7000")
-        self.works: dict[tuple[str, str], Work] = {}
+        self.works: dict[tuple[str, str], WorkItem] = {}
         self.assigned: list[tuple[str, str]] = []
         self.cancelled: list[str] = []
-        self.pongs: dict[str, Pong] = {}
+        self.pongs: dict[str, ProxyPong] = {}
         self.pinging = True
-        self.endpoint.on(Assign, self._assign)
+        self.endpoint.on(AssignItems, self._assign)
         self.endpoint.on(CancelJob, self._cancel)
         self.endpoint.spawn(self._pings())
 
@@ -359,13 +366,13 @@
         jobs = sorted({job for job, _ in self.works})
         ping = ProxyPing(self.name, self.endpoint.address, now, self.slots, free, jobs, 1)
         pong = await self.endpoint.call(store.address, ping, 0.6)
-        if isinstance(pong, Pong):
+        if isinstance(pong, ProxyPong):
             self.pongs[store.name] = pong
             for job in pong.ended:
                 await self._cancel(None, CancelJob(job))
 
-    async def _assign(self, link: Any, ask: Assign) -> None:
-        for work in ask.works:
+    async def _assign(self, link: Any, ask: AssignItems) -> None:
+        for work in ask.items:
             key = (ask.job, work.item)
             self.assigned.append(key)
             if key not in self.works:
@@ -373,11 +380,11 @@
                 if self.run_s is not None:
                     self.endpoint.spawn(self._run(ask.job, work))
 
-    async def _run(self, job: str, work: Work) -> None:
+    async def _run(self, job: str, work: WorkItem) -> None:
         await asyncio.sleep((self.run_s or 0.0) * self.world.random.uniform(0.5, 1.5))
         text = f"{work.item} by {self.name} {self.world.random.random()}"
         while (job, work.item) in self.works:
-            ask = Finished(job, work.item, "done", "", text, [1], "")
+            ask = ItemFinished(job, work.item, "done", "", text, [1], "")
             store = self.world.primary_of(job)
             reply = await self.endpoint.call(store.address, ask, 1.0)
             final = (Code.UNKNOWN_ITEM, Code.JOB_ENDED, Code.BAD_MESSAGE)
@@ -392,4 +399,4 @@
             del self.works[key]
 
 
-__all__ = ["Client", "CopyState", "ItemBody", "Kind", "Results", "Runner", "Store", "World", "body_of", "lot"]
+__all__ = ["Client", "ItemBody", "Runner", "Store", "World", "body_of", "lot"]
--- a/tests/proxy_support.py
+++ b/tests/proxy_support.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any
 
-from otterreach.jobstore.messages import Assign, Finished, Held, Pong, ProxyPing, Work
-from otterreach.jobstore.placement import part_of
+from otterreach.jobstore.messages import AssignItems, ItemFinished, ProxyPing, ProxyPong, ServedPartition, WorkItem
+from otterreach.jobstore.placement import partition_of
 from otterreach.proxy.fleet import Fleet
 from otterreach.proxy.ingress import Client, Ingress
 from otterreach.proxy.pools import Address, Connection, Factory
@@ -302,7 +302,7 @@
     def __init__(self) -> None:
         self.handlers: dict[type, Any] = {}
         self.calls: list[Any] = []
-        self.finished: list[Finished] = []
+        self.finished: list[ItemFinished] = []
         self.answers: dict[type, list[Any]] = {}  # given in order before the plain ones
         self.reachable = True
         self.holds = True
@@ -334,9 +334,9 @@
         if script:
             return script.pop(0)
         if isinstance(value, ProxyPing):
-            held = [Held(part, self.epoch, self.age_ms) for part in range(16)] if self.holds else []
-            return Pong(value.sent_ms, held, [job for job in value.jobs if job in self.ended])
-        if isinstance(value, Finished):
+            held = [ServedPartition(part, self.epoch, self.age_ms) for part in range(16)] if self.holds else []
+            return ProxyPong(value.sent_ms, held, [job for job in value.jobs if job in self.ended])
+        if isinstance(value, ItemFinished):
             self.finished.append(value)
         return Done()
 
@@ -348,11 +348,18 @@
         world.put(f"part/{part}", {"epoch": 1, "primary": "store-0#d", "backups": [], "joining": []})
 
 
-def work(item: str = "i1", scorer: str = "", path: str = "/l/1") -> Work:
-    return Work(item, path, '{"Model": "m", "Tokens": "10,20"}', b"prompt", "g", 30, scorer, HOST, "/a/score", b"sc")
+def work(item: str = "i1", scorer: str = "", path: str = "/l/1") -> WorkItem:
+    return WorkItem(
+        item, path, '{"Model": "m", "Tokens": "10,20"}', b"prompt", "g", 30, scorer, HOST, "/a/score", b"sc"
+    )
 
 
 def assign(
-    works: list[Work], job: str = "j1", min_version: int = 0, left_ms: int = 5000, wait_ms: int = 40000, epoch: int = 1
-) -> Assign:
-    return Assign(part_of(job), epoch, job, HOST, "m", min_version, left_ms, wait_ms, works)
+    works: list[WorkItem],
+    job: str = "j1",
+    min_version: int = 0,
+    left_ms: int = 5000,
+    wait_ms: int = 40000,
+    epoch: int = 1,
+) -> AssignItems:
+    return AssignItems(partition_of(job), epoch, job, HOST, "m", min_version, left_ms, wait_ms, works)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -21,17 +21,18 @@
 from otterreach.cli.codes import ExitCode
 from otterreach.controller.epochs import ControllerInfo, EpochConfiguration
 from otterreach.controller.messages import Accept, AppendItems, InstallSnapshot
-from otterreach.jobstore.jobs import end_record, result_record, submit_record
-from otterreach.jobstore.messages import ReadJob, Results
-from otterreach.jobstore.partition import Copy, Mark
-from otterreach.jobstore.placement import part_of
+from otterreach.jobstore.job_entries import end_entry, result_entry, submit_entry
+from otterreach.jobstore.journal_records import RecordKind
+from otterreach.jobstore.messages import JobResults, ReadJob
+from otterreach.jobstore.partition_replica import PartitionReplica
+from otterreach.jobstore.placement import partition_of
 from otterreach.loadtest.machines import System
 from otterreach.loadtest.plan import BOUNDS, Plan, configuration, load
 from otterreach.runtime import codes
 from otterreach.runtime.codec import encode
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.journal import pack
-from otterreach.runtime.relay import Changes, Follow, StillThere
+from otterreach.runtime.relay import Changes, Follow, FreshnessProbe
 from otterreach.runtime.rpc import Endpoint, Link
 from otterreach.runtime.store import Item, ReplicatedStore
 from otterreach.sidecar import http1
@@ -166,15 +167,15 @@
         return found
 
     def jobs(self) -> bytes:
-        copy = Copy(part_of("job1"), self, lambda: 0.0)
-        self.records: list[tuple[int, bytes]] = [(Mark.DISK, b"d1")]
+        copy = PartitionReplica(partition_of("job1"), self, lambda: 0.0)
+        self.records: list[tuple[int, bytes]] = [(RecordKind.DISK, b"d1")]
         copy.promise(4)
         copy.start_empty()
         body = {"step": 1, "reqs": [{"id": "x", "path": "/p"}, {"id": "y", "path": "/p"}]}
         for entry in (
-            submit_record("job1", "h", "r", json.dumps(body).encode()),
-            result_record("job1", "x", b"{}"),
-            end_record("job1"),
+            submit_entry("job1", "h", "r", json.dumps(body).encode()),
+            result_entry("job1", "x", b"{}"),
+            end_entry("job1"),
         ):
             copy.append(entry)
         return self.packed(self.records)
@@ -225,7 +226,7 @@
     def test_read_an_archivists(self) -> None:
         name = self.file("jobs.journal", self.jobs())
         self.assertEqual(self.run_it("read-data", name), 0)
-        for part in ("kind=disk", "submit=job1", "result=job1", "end=job1", f"part={part_of('job1')}"):
+        for part in ("kind=disk", "submit=job1", "result=job1", "end=job1", f"part={partition_of('job1')}"):
             self.assertIn(part, self.out)
         self.assertEqual(self.run_it("jobs", "--data", name), 0)
         self.assertIn("ended  1 of 2 listed", self.out)
@@ -327,7 +328,7 @@
 
     def items(self, address: str) -> list[Item]:
         member = {"role": "store", "address": address, "zone": "z", "disk": "x"}
-        part = f"part/{part_of('job1')}"
+        part = f"part/{partition_of('job1')}"
         owned = {"epoch": 2, "primary": "s1#x", "backups": [], "joining": []}
         values = {**VALUES, "member/s1": member, part: owned}
         return [Item(key, n + 1, json.dumps(value).encode()) for n, (key, value) in enumerate(values.items())]
@@ -345,18 +346,18 @@
                 asyncio.get_running_loop().call_soon(link.send, Changes(0, 99, news, 0))
                 return Changes(0, 1, self.items(address), 0)
 
-            async def read(link: Link, ask: ReadJob) -> Results | Failure:
+            async def read(link: Link, ask: ReadJob) -> JobResults | Failure:
                 if ask.job != "job1":
                     return Failure(Code.UNKNOWN_JOB, ask.job)
-                return Results(5, min(3, ask.past + 2), b"")
+                return JobResults(5, min(3, ask.offset + 2), b"")
 
-            async def still_there(link: Link, ask: StillThere) -> None:
+            async def still_there(link: Link, ask: FreshnessProbe) -> None:
                 if not self.asked:
                     self.asked.append(ask.sent_ms)
                     link.send(Changes(0, 99, [], 0))
 
             endpoint.on(Follow, follow)
-            endpoint.on(StillThere, still_there)
+            endpoint.on(FreshnessProbe, still_there)
             endpoint.on(ReadJob, read)
             try:
                 return await work(address)
@@ -380,11 +381,11 @@
 
     def test_a_batch_job_is_asked_of_its_owner(self) -> None:
         row = self.against(lambda address: state.job([address], "job1"))
-        self.assertEqual(row, ("job1", str(part_of("job1")), "s1", "3", "5"))
+        self.assertEqual(row, ("job1", str(partition_of("job1")), "s1", "3", "5"))
 
     def test_watch_tells_what_is_new_and_ends_with_the_registrar(self) -> None:
         seen: list[str] = []
-        with mock.patch.object(state, "CALL_S", 0.2), mock.patch.object(state, "ASK_S", 0.0):
+        with mock.patch.object(state, "CALL_TIMEOUT_S", 0.2), mock.patch.object(state, "PROBE_INTERVAL_S", 0.0):
             ended = self.against(lambda address: state.watch([address], "", lambda i: seen.append(state.item_line(i))))
         self.assertEqual(ended.code, Code.TIMED_OUT)
         self.assertEqual(seen, ['0.99 config {"gen": 9}', "0.98 part/9 gone"])
--- a/tests/test_compaction.py
+++ b/tests/test_compaction.py
@@ -9,7 +9,7 @@
 
 from otterreach.runtime.codes import Failure
 from otterreach.runtime.compaction import RETRY_S, Compaction, Limits
-from otterreach.runtime.journal import Live, Record
+from otterreach.runtime.journal import LiveSlices, Record
 from otterreach.simulation.disk import Disk, VirtualJournal
 from tests.virtual import run
 
@@ -24,7 +24,7 @@
         self.size, self.rewrites, self.succeeds = size, 0, True
         self.failed: Failure | None = None
 
-    async def rewrite(self, live: Live) -> bool:
+    async def rewrite(self, live: LiveSlices) -> bool:
         self.rewrites += 1
         await asyncio.sleep(1.0)
         if self.succeeds:
--- a/tests/test_control_api.py
+++ b/tests/test_control_api.py
@@ -10,8 +10,9 @@
 from otterreach.controller import change_history
 from otterreach.controller.api import configuration
 from otterreach.controller.api.configuration import ConfigurationResource
-from otterreach.controller.messages import Operate
-from otterreach.controller.primary import is_private
+from otterreach.controller.messages import ApiCall
+from otterreach.controller.publisher import is_private
+from otterreach.runtime.records import AcceptedChange
 from tests.control_api_support import Case, StagedControl, patch, put, settle, statuses
 
 SMALL_RING = 16
@@ -22,34 +23,34 @@
         async def scene() -> None:
             control = StagedControl()
             resource = ConfigurationResource(control, control.published)
-            await self.expect(resource, Operate("GET", "/config", "", b""), 404)
+            await self.expect(resource, ApiCall("GET", "/config", "", b""), 404)
             await self.expect(resource, put(0, 3), 200)
             first = patch(3, 5)
             await self.expect(resource, first, 200)
             await self.expect(resource, put(5, 8, "z"), 200)
-            rev = control.state.rev
-            table: list[tuple[str, Operate, int]] = [
+            revision = control.state.revision
+            table: list[tuple[str, ApiCall, int]] = [
                 ("the newest again", put(5, 8, "z"), 200),
                 ("a PATCH again after others", first, 200),
                 ("a PUT again after others", put(0, 3), 200),
                 ("another on a version that had its change", put(3, 5), 412),
-                ("the same body on another version", Operate("PATCH", "/config", "5", first.body), 412),
-                ("the same body by another method", Operate("PUT", "/config", "3", first.body), 400),
+                ("the same body on another version", ApiCall("PATCH", "/config", "5", first.body), 412),
+                ("the same body by another method", ApiCall("PUT", "/config", "3", first.body), 400),
                 ("the number of the newest, other content", put(5, 8, "y"), 412),
                 ("a version that never was", put(4, 9), 412),
                 ("a version that is still to come", put(9, 12), 412),
                 ("a number that is not higher", put(8, 8, "y"), 400),
-                ("cut short", Operate("PUT", "/config", "8", put(8, 9).body[:-1]), 400),
+                ("cut short", ApiCall("PUT", "/config", "8", put(8, 9).body[:-1]), 400),
                 ("no If-Match", put("", 9), 400),
                 ("an If-Match that is no number", put("x", 9), 400),
-                ("a time-out of 0", Operate("PUT", "/config", "8", put(8, 9).body.replace(b": 1,", b": 0,")), 400),
-                ("another method", Operate("POST", "/config", "8", put(8, 9).body), 405),
+                ("a time-out of 0", ApiCall("PUT", "/config", "8", put(8, 9).body.replace(b": 1,", b": 0,")), 400),
+                ("another method", ApiCall("POST", "/config", "8", put(8, 9).body), 405),
             ]
             for what, call, status in table:
                 with self.subTest(what):
                     await self.expect(resource, call, status)
-            self.assertEqual(rev, control.state.rev, "a repeat or a refusal has left a trace")
-            read = await self.expect(resource, Operate("GET", "/config", "", b""), 200)
+            self.assertEqual(revision, control.state.revision, "a repeat or a refusal has left a trace")
+            read = await self.expect(resource, ApiCall("GET", "/config", "", b""), 200)
             self.assertEqual(json.loads(put(5, 8, "z").body), json.loads(read.body))
 
         self.play(scene)
@@ -100,10 +101,10 @@
             tasks = [asyncio.ensure_future(resource.handle(put(0, 4))) for _ in range(3)]
             await settle()
             self.assertFalse(any(task.done() for task in tasks))
-            rev = control.state.rev
+            revision = control.state.revision
             control.commit()
             self.assertEqual([200] * 3, statuses(await asyncio.gather(*tasks)))
-            self.assertEqual(rev, control.state.rev)
+            self.assertEqual(revision, control.state.revision)
 
         self.play(scene)
 
@@ -126,7 +127,7 @@
         async def scene() -> None:
             control = StagedControl(instant=False)
             resource = ConfigurationResource(control, control.published)
-            limit = configuration.MAX_CHANGES_UNDER_WAY
+            limit = configuration.MAX_CHANGES_IN_PROGRESS
             tasks = [asyncio.ensure_future(resource.handle(put(0, n + 1))) for n in range(limit)]
             await settle()
             await self.expect(resource, put(0, 99), 503)
@@ -142,7 +143,7 @@
             resource = ConfigurationResource(control, control.published)
             await self.expect(resource, put(0, 3), 200)
             control.depose()
-            for call in (put(0, 3), put(0, 4), put(3, 2), put(3, 4), Operate("GET", "/config", "", b"")):
+            for call in (put(0, 3), put(0, 4), put(3, 2), put(3, 4), ApiCall("GET", "/config", "", b"")):
                 await self.expect(resource, call, 503)
 
         self.play(scene)
@@ -159,9 +160,9 @@
             for call in calls:
                 await self.expect(resource, call, 200)
             state = control.state
-            self.assertEqual(SMALL_RING, len(state.named("change")))
-            self.assertFalse(any(item.gone for item in state.items.values()))
-            self.assertLess(max(len(item.value) for key, item in state.items.items() if is_private(key)), 80)
+            self.assertEqual(SMALL_RING, len(state.records(AcceptedChange)))
+            self.assertFalse(any(item.is_tombstone for item in state.items.values()))
+            self.assertLess(max(len(item.value) for item in state.items.values() if is_private(item)), 80)
             for call in calls[-SMALL_RING:]:
                 await self.expect(resource, call, 200)
             for call in calls[:-SMALL_RING]:
@@ -216,12 +217,12 @@
 
         async def scene() -> None:
             control = StagedControl()
-            control.revise([("config", put(4, 7).body), ("taken", b'["4f2a"]')])
+            control.propose([("config", put(4, 7).body), ("taken", b'["4f2a"]')])
             resource = ConfigurationResource(control, control.published)
             await self.expect(resource, put(2, 4), 503)
             await self.expect(resource, put(4, 7), 200)
             await self.expect(resource, put(7, 9), 200)
-            self.assertIsNone(control.state.get("taken"))
+            self.assertTrue(control.state.items["taken"].is_tombstone)
             await self.expect(resource, put(2, 4), 503)
             await self.expect(resource, put(7, 8), 412)
 
--- a/tests/test_control_api_faults.py
+++ b/tests/test_control_api_faults.py
@@ -14,7 +14,7 @@
 
 from otterreach.controller.api import configuration
 from otterreach.controller.change_history import ChangeHistory
-from otterreach.controller.replication import Control
+from otterreach.controller.replication import ControlReplication
 from otterreach.simulation import client
 from otterreach.simulation.control import SLAS, controller
 from otterreach.simulation.loop import Process
@@ -180,8 +180,8 @@
         """The first change of the configuration in each round brings the trouble on its primary."""
         cluster = self
 
-        def revising(plain: Any) -> Any:
-            def revise(control: Control, changes: Any) -> Any:
+        def proposing(plain: Any) -> Any:
+            def propose(control: ControlReplication, changes: Any) -> Any:
                 changes = list(changes)
                 future = plain(control, changes)
                 if cluster.armed and any(key == "config" for key, _ in changes):
@@ -192,9 +192,9 @@
                     cluster.world.plainly(delay, cluster._strike, box)
                 return future
 
-            return revise
+            return propose
 
-        self.world.wrap(Control, "revise", revising)
+        self.world.wrap(ControlReplication, "propose", proposing)
 
     def _strike(self, box: Box) -> None:
         world, net = self.world, self.world.net
@@ -235,11 +235,15 @@
 
     def test_planted_faults_are_found(self) -> None:
         async def before_copies(control: Any, changes: Any) -> bool:
-            control.revise(changes)
+            control.propose(changes)
             return True
 
         planted: list[tuple[str, Any, str]] = [
-            ("answers on what may vanish", mock.patch.object(Control, "committed", Control.confirm), SLOW_DISKS),
+            (
+                "answers on what may vanish",
+                mock.patch.object(ControlReplication, "committed", ControlReplication.confirm),
+                SLOW_DISKS,
+            ),
             ("no history", mock.patch.object(ChangeHistory, "has", lambda history, change: False), "kill"),
             ("accepted before all copies have it", mock.patch.object(configuration, "write", before_copies), "freeze"),
         ]
--- a/tests/test_control_api_resources.py
+++ b/tests/test_control_api_resources.py
@@ -10,10 +10,11 @@
 from otterreach.controller.api.retirement import RetirementResource
 from otterreach.controller.api.servers import ServerResource
 from otterreach.controller.api.versions import VersionResource
-from otterreach.controller.messages import Operate
-from otterreach.controller.planner import Stores
-from otterreach.controller.survival import Place, SurviveLimits
-from tests.control_api_support import Case, StagedControl, farewell, heartbeat, settle, statuses
+from otterreach.controller.messages import ApiCall
+from otterreach.controller.planner import StoreMembers
+from otterreach.controller.survival import FailureDomain, SurviveLimits
+from otterreach.runtime.records import ModelVersion, RetirementRecord, ServerRecord, ServerState, VersionRecord
+from tests.control_api_support import Case, StagedControl, deregistration, heartbeat, settle, statuses
 
 
 class VersionTest(Case):
@@ -22,14 +23,14 @@
             control = StagedControl()
             resource = VersionResource(control)
 
-            def version(gen: Any) -> Operate:
-                return Operate("POST", "/version-put", "", json.dumps({"model": "m", "gen": gen}).encode())
+            def version(gen: Any) -> ApiCall:
+                return ApiCall("POST", "/version-put", "", json.dumps({"model": "m", "gen": gen}).encode())
 
             for gen, status in ((2, 200), (2, 200), (3, 200), (2, 200), (None, 400)):
                 await self.expect(resource, version(gen), status)
-            self.assertEqual({"gen": 3}, control.state.get("version/m"))
-            await self.expect(resource, Operate("POST", "/version-put", "", b"{"), 400)
-            await self.expect(resource, Operate("GET", "/version-put", "", b""), 405)
+            self.assertEqual(VersionRecord(3), control.state.record(VersionRecord, "m"))
+            await self.expect(resource, ApiCall("POST", "/version-put", "", b"{"), 400)
+            await self.expect(resource, ApiCall("GET", "/version-put", "", b""), 405)
 
         self.play(scene)
 
@@ -37,7 +38,7 @@
         async def scene() -> None:
             control = StagedControl(instant=False)
             resource = VersionResource(control)
-            call = Operate("POST", "/version-put", "", b'{"model":"m","gen":2}')
+            call = ApiCall("POST", "/version-put", "", b'{"model":"m","gen":2}')
             tasks = [asyncio.ensure_future(resource.handle(call)) for _ in range(2)]
             await settle()
             self.assertFalse(any(task.done() for task in tasks))
@@ -56,27 +57,27 @@
             living.add(f"s{n}#d{n}")
         control.commit()
 
-        def living_stores() -> Stores:
-            orders = control.state.named("retire")
-            retiring = {f"{node}#{order['disk']}" for node, order in orders.items()}
-            return Stores({name: Place("z", "r") for name in living}, frozenset(retiring & living))
+        def living_stores() -> StoreMembers:
+            orders = control.state.records(RetirementRecord)
+            retiring = {f"{node}#{order.disk}" for node, order in orders.items()}
+            return StoreMembers({name: FailureDomain("z", "r") for name in living}, frozenset(retiring & living))
 
         wanted = SurviveLimits(1)
         return control, RetirementResource(control, control.published, living_stores, wanted), living
 
     def member(self, control: StagedControl, node: str, disk: str) -> None:
-        control.revise(
+        control.propose(
             [(f"member/{node}", json.dumps({"role": "store", "disk": disk, "zone": "z", "region": "r"}).encode())]
         )
 
-    def call(self, node: str, method: str = "POST") -> Operate:
-        return Operate(method, f"/retire/{node}", "", b'{"overS":10}')
+    def call(self, node: str, method: str = "POST") -> ApiCall:
+        return ApiCall(method, f"/retire/{node}", "", b'{"overS":10}')
 
     def test_answers(self) -> None:
         async def scene() -> None:
             control, resource, _ = self.stage(4)
             partition = {"epoch": 1, "primary": "s0#d0", "backups": ["s1#d1"], "joining": []}
-            control.revise([("part/0", json.dumps(partition).encode())])
+            control.propose([("part/0", json.dumps(partition).encode())])
             await self.expect(resource, self.call("unknown"), 404)
             await self.expect(resource, self.call("unknown", "GET"), 404)
             await self.expect(resource, self.call("s0"), 200)
@@ -86,7 +87,7 @@
             await self.expect(resource, self.call("s1"), 200)
             progress = await self.expect(resource, self.call("s0", "GET"), 200)
             self.assertEqual({"state": "serving"}, json.loads(progress.body))
-            control.revise([("part/0", json.dumps(partition | {"primary": "s2#d2", "backups": ["s3#d3"]}).encode())])
+            control.propose([("part/0", json.dumps(partition | {"primary": "s2#d2", "backups": ["s3#d3"]}).encode())])
             progress = await self.expect(resource, self.call("s0", "GET"), 200)
             self.assertEqual({"state": "done"}, json.loads(progress.body))
 
@@ -101,7 +102,7 @@
             progress = await self.expect(resource, self.call("s0", "GET"), 200)
             self.assertEqual({"state": "serving"}, json.loads(progress.body))
             await self.expect(resource, self.call("s0"), 200)
-            self.assertEqual({"disk": "new"}, control.state.get("retire/s0"))
+            self.assertEqual(RetirementRecord("new"), control.state.record(RetirementRecord, "s0"))
 
         self.play(scene)
 
@@ -129,8 +130,14 @@
         self.play(scene)
 
 
+def server_of(control: StagedControl, ident: str) -> ServerRecord:
+    record = control.state.record(ServerRecord, ident)
+    assert record is not None
+    return record
+
+
 class ServerTest(Case):
-    def scene(self, *calls: Operate) -> StagedControl:
+    def scene(self, *calls: ApiCall) -> StagedControl:
         """Each call is acknowledged, in this order."""
         control = StagedControl()
 
@@ -144,41 +151,47 @@
 
     def test_draining_is_for_good(self) -> None:
         control = self.scene(heartbeat("a", 1), heartbeat("a", 5, "draining"), heartbeat("a", 6), heartbeat("a", 3))
-        self.assertEqual("draining", control.state.get("server/a")["state"])
+        self.assertEqual(ServerState.DRAINING, server_of(control, "a").state)
 
     def test_late_heartbeats_do_not_bring_it_back(self) -> None:
         for calls in (
-            (heartbeat("a", 1), farewell("a"), heartbeat("a", 2)),
-            (heartbeat("a", 1), heartbeat("a", 2, "draining"), farewell("a"), heartbeat("a", 3, "draining")),
-            (farewell("a"), heartbeat("a", 2)),  # none of its heartbeats had come
-            (heartbeat("a", 1), farewell("a"), heartbeat("b", 1), heartbeat("a", 9), farewell("a")),
+            (heartbeat("a", 1), deregistration("a"), heartbeat("a", 2)),
+            (heartbeat("a", 1), heartbeat("a", 2, "draining"), deregistration("a"), heartbeat("a", 3, "draining")),
+            (deregistration("a"), heartbeat("a", 2)),  # none of its heartbeats had come
+            (heartbeat("a", 1), deregistration("a"), heartbeat("b", 1), heartbeat("a", 9), deregistration("a")),
         ):
-            self.assertIsNone(self.scene(*calls).state.get("server/a"))
+            self.assertIsNone(self.scene(*calls).state.record(ServerRecord, "a"))
 
     def test_a_late_one_changes_nothing(self) -> None:
         control = self.scene(heartbeat("a", 4, address="10.0.0.1:80"), heartbeat("a", 2))
-        self.assertEqual("10.0.0.1:80", control.state.get("server/a")["addr"])
+        self.assertEqual("10.0.0.1:80", server_of(control, "a").address)
 
     def test_versions_only_rise(self) -> None:
         """A load was noted before the server told of it."""
         control = self.scene(heartbeat("a", 1, gen=3), heartbeat("a", 2, gen=2), heartbeat("a", 3, "draining", gen=1))
-        server = control.state.get("server/a")
-        self.assertEqual(([{"name": "m", "gen": 3}], "draining"), (server["models"], server["state"]))
+        server = server_of(control, "a")
+        self.assertEqual(((ModelVersion("m", 3),), ServerState.DRAINING), (server.models, server.state))
 
     def test_the_next_at_an_address_takes_its_place(self) -> None:
         control = self.scene(heartbeat("a", 1), heartbeat("b", 1), heartbeat("a", 2))
-        self.assertEqual(["b"], list(control.state.named("server")))
+        self.assertEqual(["b"], list(control.state.records(ServerRecord)))
 
     def test_nothing_new_writes_nothing(self) -> None:
         once = self.scene(heartbeat("a", 1))
         often = self.scene(*(heartbeat("a", n) for n in range(1, 9)))
-        self.assertEqual(once.state.rev, often.state.rev)
+        self.assertEqual(once.state.revision, often.state.revision)
 
     def test_a_repeat_waits_for_the_first(self) -> None:
         async def scene() -> None:
             control = StagedControl(instant=False)
             resource = ServerResource(control)
-            calls = [heartbeat("a", 1), heartbeat("a", 1), farewell("a"), farewell("a"), heartbeat("a", 2)]
+            calls = [
+                heartbeat("a", 1),
+                heartbeat("a", 1),
+                deregistration("a"),
+                deregistration("a"),
+                heartbeat("a", 2),
+            ]
             tasks = [asyncio.ensure_future(resource.handle(call)) for call in calls]
             await settle()
             self.assertFalse(any(task.done() for task in tasks))
@@ -191,8 +204,8 @@
         async def scene() -> None:
             control = StagedControl()
             for data in (b"", b"{}", b"[]", b'{"state":"up"}'):
-                await self.expect(ServerResource(control), Operate("PUT", "/servers/a", "", data), 400)
-            self.assertEqual(0, control.state.rev)
+                await self.expect(ServerResource(control), ApiCall("PUT", "/servers/a", "", data), 400)
+            self.assertEqual(0, control.state.revision)
 
         self.play(scene)
 
--- a/tests/test_control_api_router.py
+++ b/tests/test_control_api_router.py
@@ -8,8 +8,8 @@
 
 from otterreach.controller.api import router
 from otterreach.controller.api.router import ApiRouter
-from otterreach.controller.messages import Operate
-from otterreach.controller.planner import Stores
+from otterreach.controller.messages import ApiCall
+from otterreach.controller.planner import StoreMembers
 from otterreach.runtime.codes import Code
 from otterreach.runtime.store import ReplicatedStore
 from otterreach.sidecar import http1
@@ -29,13 +29,13 @@
         settings: Any = type("Settings", (), {"survive_nodes": 1, "survive_zones": 0, "survive_regions": 0})
         follower, heard = Follower(control.published), list[str]()
         parts: Any = control, follower
-        return ApiRouter(settings, parts[0], parts[1], lambda: Stores({}), heard.append), follower, heard
+        return ApiRouter(settings, parts[0], parts[1], lambda: StoreMembers({}), heard.append), follower, heard
 
-    def request(self, call: Operate) -> http1.Request:
+    def request(self, call: ApiCall) -> http1.Request:
         headers = {b"if-match": call.match.encode()}
         return http1.Request(call.method.encode(), call.path.encode(), headers, call.body, True)
 
-    async def status(self, api: ApiRouter, call: Operate) -> int:
+    async def status(self, api: ApiRouter, call: ApiCall) -> int:
         return (await api.handle(self.request(call))).status
 
     def test_answered_within_the_callers_second(self) -> None:
@@ -74,13 +74,13 @@
             self.assertEqual(503, await self.status(api, put(0, 1)))
             self.assertLess(loop.time() - began, 0.2, "the primary is not heard any more: nobody waits for it")
             control.primary_address = "10.0.0.1:7000"
-            refused = await control.endpoint.handlers[Operate](None, put(0, 1))
+            refused = await control.endpoint.handlers[ApiCall](None, put(0, 1))
             self.assertEqual(Code.NOT_PRIMARY, refused.code)
 
         self.play(scene)
 
     def test_a_large_body_has_more_time(self) -> None:
-        small, large = put(0, 1), Operate("PUT", "/config", "0", bytes(8_000_000))
+        small, large = put(0, 1), ApiCall("PUT", "/config", "0", bytes(8_000_000))
         self.assertLess(router.answer_within_s(small) + router.FORWARD_EXTRA_S, 0.9)
         self.assertGreater(router.answer_within_s(large), 4.0)
 
@@ -92,7 +92,7 @@
             control.is_primary = False  # from here on this is another controller, with a copy
             self.assertEqual(200, await self.status(api, heartbeat("a", 2)))
             self.assertEqual(503, await self.status(api, heartbeat("a", 3, "draining")))
-            follower.age = router.COPY_AGE_S + 0.1
+            follower.age = router.MAX_STATE_AGE_S + 0.1
             self.assertEqual(503, await self.status(api, heartbeat("a", 4)))
             self.assertEqual(["a"] * 4, heard)
 
@@ -101,8 +101,8 @@
     def test_unknown_paths(self) -> None:
         async def scene() -> None:
             api, _, _ = self.stage(StagedControl())
-            self.assertEqual(404, await self.status(api, Operate("GET", "/what", "", b"")))
-            self.assertEqual(404, (await api._decide(Operate("GET", "/what", "", b""))).status)
+            self.assertEqual(404, await self.status(api, ApiCall("GET", "/what", "", b"")))
+            self.assertEqual(404, (await api._decide(ApiCall("GET", "/what", "", b""))).status)
 
         self.play(scene)
 
--- a/tests/test_control_api_schedules.py
+++ b/tests/test_control_api_schedules.py
@@ -16,7 +16,8 @@
 from hypothesis import strategies as st
 
 from otterreach.controller.api.configuration import ConfigurationResource
-from otterreach.controller.messages import Operate
+from otterreach.controller.messages import ApiCall
+from otterreach.runtime.configuration import ConfigurationRecord
 from tests import virtual
 from tests.control_api_support import StagedControl, patch, put, settle
 
@@ -70,7 +71,7 @@
         if int(CHANGES[number].match) in self.known_versions():
             self.tasks.append(asyncio.ensure_future(self._ask(number, CHANGES[number])))
 
-    async def _ask(self, number: int, call: Operate) -> None:
+    async def _ask(self, number: int, call: ApiCall) -> None:
         self.answers[number].append((await self.resource.handle(call)).status)
 
     async def send_all_again(self) -> None:
@@ -92,8 +93,8 @@
             await schedule.send_all_again()
             self.assertEqual(accepted, self.check(schedule))
             newest = max((RESULTS[number] for number in accepted), default=0)
-            config = schedule.control.published.get("config")
-            self.assertGreaterEqual(config["gen"] if config else 0, newest)
+            record = schedule.control.published.record(ConfigurationRecord)
+            self.assertGreaterEqual(record.version if record else 0, newest)
 
         virtual.run(scene)
 
--- a/tests/test_control_primary.py
+++ b/tests/test_control_primary.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from otterreach.controller.epochs import ControllerInfo, EpochConfiguration
+from otterreach.controller.local_replica import LocalReplica, Mode
 from otterreach.controller.messages import AppendItems
 from otterreach.controller.primary import Primary
-from otterreach.controller.replica_state import Mode, ReplicaState
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done
 from otterreach.runtime.store import ReplicatedStore
@@ -23,7 +23,7 @@
     """Takes no part: nothing is published to anyone."""
 
     def __init__(self) -> None:
-        self.store, self.relay, self.primary, self.root_at = ReplicatedStore(), self, "", 0.0
+        self.store, self.relay, self.primary, self.fresh_at = ReplicatedStore(), self, "", 0.0
         self.published: list[Any] = []
 
     def publish(self, items: list[Any]) -> None:
@@ -58,7 +58,7 @@
     """A primary with one backup."""
 
     def __init__(self) -> None:
-        self.replica = ReplicaState(SETTINGS, VirtualJournal(Disk(Random(1))))  # type: ignore[arg-type]
+        self.replica = LocalReplica(SETTINGS, VirtualJournal(Disk(Random(1))))  # type: ignore[arg-type]
         self.replica.id = "me"
         self.endpoint, self.follower = Endpoint(), Follower()
         parts: Any = self.endpoint, self.follower, Election()
@@ -81,7 +81,7 @@
     def test_at_all_members(self) -> None:
         async def scene() -> None:
             stage = Stage()
-            write = stage.primary.revise([("config", b"1")])
+            write = stage.primary.propose([("config", b"1")])
             stage.endpoint.answers.put_nowait(Done())
             self.assertTrue(await write)
 
@@ -92,7 +92,7 @@
 
         async def scene() -> None:
             stage = Stage()
-            write = stage.primary.revise([("config", b"1")])
+            write = stage.primary.propose([("config", b"1")])
             await asyncio.sleep(0.01)
             stage.step_down()
             stage.lead(3)
@@ -101,7 +101,7 @@
             self.assertEqual(1, len(stage.endpoint.appended), "appended once more in the later term")
             self.assertTrue(write.done())
             self.assertFalse(write.result())
-            later = stage.primary.revise([("config", b"2")])
+            later = stage.primary.propose([("config", b"2")])
             stage.endpoint.answers.put_nowait(Done())
             self.assertTrue(await later)
             self.assertEqual([1, 3], [append.number for append in stage.endpoint.appended])
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,21 +1,35 @@
-"""What the primary controller does for all: members, duties, silent servers, retiring (controller/node.py)."""
+"""The primary controller's work: members, order leases, silent servers, job store nodes that leave."""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import unittest
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from otterreach.controller.messages import Sighting, Sightings
-from otterreach.controller.node import FRONT_GONE_S, ControllerNode
+from otterreach.controller.failure_detector import FailureDetector
+from otterreach.controller.member_registry import PROXY_FORGOTTEN_S, MemberRegistry
+from otterreach.controller.messages import LastHeartbeat, LivenessReport
+from otterreach.controller.order_leases import OrderLeases
+from otterreach.controller.server_registry import ServerRegistry
+from otterreach.controller.store_registry import StoreRegistry
 from otterreach.controller.survival import SurviveLimits
-from otterreach.jobstore.messages import DiskStalled, Leaving
-from otterreach.proxy.messages import Loaded, Release
+from otterreach.controller.watcher import Watcher
+from otterreach.jobstore.messages import DiskStalled, StoreDraining
+from otterreach.proxy.messages import LeaseRelease, ModelLoaded
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.node import WATCHERS, Announce, Farewell, Heartbeat, ring_of
-from otterreach.runtime.rpc import Done
+from otterreach.runtime.node import WATCHERS, Heartbeat, MemberAnnouncement, MemberShutdown, watchers_in_order
+from otterreach.runtime.records import (
+    ItemChange,
+    ModelVersion,
+    OrderLeaseRecord,
+    PartitionRecord,
+    Record,
+    RetirementRecord,
+    ServerRecord,
+    put,
+)
+from otterreach.runtime.rpc import Done, Endpoint
 from otterreach.runtime.settings import read
 from otterreach.runtime.store import Item, ReplicatedStore
 from tests.virtual import VirtualLoop
@@ -32,68 +46,75 @@
 )
 
 
-class Control:
-    """Stands in for replication: what is revised is in force at once."""
+class ControlStandIn:
+    """Stands in for ControlReplication: what is proposed is in force at once."""
 
     def __init__(self) -> None:
-        self.state, self.is_primary, self.primary_address, self.rev = ReplicatedStore(), True, "", 0
+        self.state = ReplicatedStore()
+        self.is_primary = True
+        self.revision = 0
         self.is_committed = True
 
-    def revise(self, changes: list[tuple[str, bytes]]) -> asyncio.Future[bool]:
+    def propose(self, changes: list[ItemChange]) -> asyncio.Future[bool]:
         for key, value in changes:
-            self.rev += 1
-            self.state.apply([Item(key, self.rev, value)])
+            self.revision += 1
+            self.state.apply([Item(key, self.revision, value)])
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         future.set_result(True)
         return future
 
-    async def committed(self) -> bool:
-        return self.is_committed
+    async def done_when_committed(self) -> Done | Failure:
+        return Done() if self.is_committed else Failure(Code.NOT_SYNCED, "not at all replicas")
+
+    def not_primary(self) -> Failure:
+        return Failure(Code.NOT_PRIMARY, "")
 
 
 class Stage:
+    """The parts of a ControllerNode that a primary runs."""
+
     def __init__(self) -> None:
-        self.controller = ControllerNode.__new__(ControllerNode)
-        controller: Any = self.controller
-        self.control = Control()
-        controller.settings, controller.control, controller.loop = SETTINGS, self.control, asyncio.get_running_loop()
-        controller.heard, controller.heard_servers, controller._leaving, controller._lost = {}, {}, {}, {}
-        controller._stalled, controller._ending, controller._left = {}, {}, {}
-        controller.limits = SurviveLimits(1)
+        self.control = ControlStandIn()
+        control: Any = self.control
+        endpoint = Endpoint()
+        limits = SurviveLimits(1)
+        clock = asyncio.get_running_loop().time
+        self.detector = FailureDetector(clock)
+        self.watcher = Watcher(SETTINGS, endpoint, control, self.detector)
+        self.stores = StoreRegistry(endpoint, control, self.detector, limits, clock)
+        self.members = MemberRegistry(endpoint, control, self.detector, self.stores.forget_draining)
+        self.servers = ServerRegistry(SETTINGS, endpoint, control, self.detector)
+        self.leases = OrderLeases(SETTINGS, endpoint, control, self.members, clock)
 
     async def member(self, node: str, role: str, disk: str = "") -> None:
         link: Any = None
-        await self.controller._announce(link, Announce(node, disk, role, f"{node}:1", "z", "r"))
-        await self.beat(node, disk)
+        announcement = MemberAnnouncement(node, disk, role, f"{node}:1", "z", "r")
+        await self.members.handle_announcement(link, announcement)
+        await self.heartbeat(node, disk)
 
-    async def beat(self, node: str, disk: str = "") -> None:
+    async def heartbeat(self, node: str, disk: str = "") -> None:
         link: Any = None
-        await self.controller._heartbeat(link, Heartbeat(node, disk))
-
-    def put(self, key: str, value: Any) -> None:
-        self.control.revise([(key, json.dumps(value).encode())])
-
-    def server(self, ident: str, gen: int = 1) -> None:
-        self.put(
-            f"server/{ident}",
-            {
-                "backend": "lm",
-                "addr": f"{ident}:1",
-                "az": "z",
-                "cap": 4,
-                "state": "up",
-                "models": [{"name": "m", "gen": gen}],
-                "warm_ms": 0,
-                "calls": 1,
-            },
-        )
-
-    def duty(self, ident: str) -> Any:
-        self.controller._plan_duties()
-        return self.control.state.get(f"duty/{ident}")
-
-
-class RegistrarTest(unittest.TestCase):
+        await self.watcher.handle_heartbeat(link, Heartbeat(node, disk))
+
+    def put(self, record: Record, name: str) -> None:
+        self.control.propose([put(record, name)])
+
+    def server(self, ident: str, version: int = 1) -> None:
+        self.put(ServerRecord("lm", f"{ident}:1", "z", 4, "up", (ModelVersion("m", version),), 0, 1), ident)
+
+    def lease(self, ident: str) -> OrderLeaseRecord:
+        self.leases.assign_leases()
+        lease = self.control.state.record(OrderLeaseRecord, ident)
+        assert lease is not None
+        return lease
+
+    def server_record(self, ident: str) -> ServerRecord:
+        record = self.control.state.record(ServerRecord, ident)
+        assert record is not None
+        return record
+
+
+class PrimaryWorkTest(unittest.TestCase):
     def play(self, scene: Any) -> None:
         loop = VirtualLoop()
         self.addCleanup(loop.close)
@@ -108,15 +129,15 @@
             for node in ("front-1", "front-2"):
                 await stage.member(node, "front")
             stage.server("a")
-            first = stage.duty("a")
-            self.assertEqual(first["wait_ms"], 0)
-            other = ({"front-1", "front-2"} - {first["holder"]}).pop()
+            first = stage.lease("a")
+            self.assertEqual(first.wait_ms, 0)
+            other = ({"front-1", "front-2"} - {first.holder}).pop()
             for _ in range(5):
                 await asyncio.sleep(0.25)
-                await stage.beat(other)
-            second = stage.duty("a")
-            self.assertEqual(second["holder"], other)
-            self.assertGreater(second["wait_ms"], 3000)
+                await stage.heartbeat(other)
+            second = stage.lease("a")
+            self.assertEqual(second.holder, other)
+            self.assertGreater(second.wait_ms, 3000)
 
         self.play(scene)
 
@@ -126,12 +147,12 @@
             for node in ("front-1", "front-2"):
                 await stage.member(node, "front")
             stage.server("a")
-            holder = stage.duty("a")["holder"]
-            self.assertEqual(await stage.controller._release(link, Release(holder, "a", 10**9)), Done())
-            new = stage.duty("a")
-            self.assertNotEqual(new["holder"], holder)
-            self.assertEqual(new["wait_ms"], 0)
-            reply = await stage.controller._release(link, Release(new["holder"], "a", 500))
+            holder = stage.lease("a").holder
+            self.assertEqual(await stage.leases.handle_release(link, LeaseRelease(holder, "a", 10**9)), Done())
+            new = stage.lease("a")
+            self.assertNotEqual(new.holder, holder)
+            self.assertEqual(new.wait_ms, 0)
+            reply = await stage.leases.handle_release(link, LeaseRelease(new.holder, "a", 500))
             self.assertIsInstance(reply, Failure)  # the only other one has just let go
 
         self.play(scene)
@@ -139,10 +160,10 @@
     def test_a_load_is_noted_upwards_only(self) -> None:
         async def scene(stage: Stage) -> None:
             link: Any = None
-            stage.server("a", gen=3)
-            await stage.controller._loaded(link, Loaded("a", "m", 4))
-            await stage.controller._loaded(link, Loaded("a", "m", 2))
-            self.assertEqual(stage.control.state.get("server/a")["models"], [{"name": "m", "gen": 4}])
+            stage.server("a", version=3)
+            await stage.servers.handle_model_loaded(link, ModelLoaded("a", "m", 4))
+            await stage.servers.handle_model_loaded(link, ModelLoaded("a", "m", 2))
+            self.assertEqual(stage.server_record("a").models, (ModelVersion("m", 4),))
 
         self.play(scene)
 
@@ -151,13 +172,13 @@
 
         async def scene(stage: Stage) -> None:
             link: Any = None
-            announce = Announce("front-1", "", "front", "front-1:1", "z", "r")
-            stage.server("a", gen=3)
+            announce = MemberAnnouncement("front-1", "", "front", "front-1:1", "z", "r")
+            stage.server("a", version=3)
             calls: list[Callable[[], Awaitable[Any]]] = [
-                lambda: stage.controller._announce(link, announce),
-                lambda: stage.controller._loaded(link, Loaded("a", "m", 3)),
-                lambda: stage.controller._loaded(link, Loaded("unknown", "m", 3)),
-                lambda: stage.controller._release(link, Release("front-1", "a", 500)),
+                lambda: stage.members.handle_announcement(link, announce),
+                lambda: stage.servers.handle_model_loaded(link, ModelLoaded("a", "m", 3)),
+                lambda: stage.servers.handle_model_loaded(link, ModelLoaded("unknown", "m", 3)),
+                lambda: stage.leases.handle_release(link, LeaseRelease("front-1", "a", 500)),
             ]
             self.assertEqual(await calls[0](), Done())
             for call in calls:
@@ -168,50 +189,52 @@
 
         self.play(scene)
 
-    def test_a_silent_carrier_is_forgotten_and_a_store_that_keeps_something_is_not(self) -> None:
+    def test_a_silent_proxy_is_forgotten_and_a_store_that_keeps_something_is_not(self) -> None:
         async def scene(stage: Stage) -> None:
             await stage.member("front-1", "front")
             await stage.member("store-1", "store", "d1")
-            stage.put("part/0", {"epoch": 1, "primary": "store-1#d1", "backups": [], "joining": []})
-            await asyncio.sleep(FRONT_GONE_S * 10)
-            stage.controller._plan_members()
-            self.assertEqual(set(stage.control.state.named("member")), {"store-1"})
+            stage.put(PartitionRecord(1, "store-1#d1"), "0")
+            await asyncio.sleep(PROXY_FORGOTTEN_S * 10)
+            stage.members.forget_silent_members()
+            self.assertEqual(set(stage.members.records()), {"store-1"})
             await stage.member("front-1", "front")
-            self.assertIn("front-1", stage.control.state.named("member"))
+            self.assertIn("front-1", stage.members.records())
 
         self.play(scene)
 
     def test_retiring_means_the_disk_that_was_there(self) -> None:
         async def scene(stage: Stage) -> None:
             await stage.member("store-1", "store", "d1")
-            stage.put("retire/store-1", {"disk": "d1"})
-            self.assertEqual(stage.controller.stores().retiring, frozenset({"store-1#d1"}))
+            stage.put(RetirementRecord("d1"), "store-1")
+            self.assertEqual(stage.stores.members().leaving, frozenset({"store-1#d1"}))
             await stage.member("store-1", "store", "d2")
-            self.assertEqual(stage.controller.stores().usable, ["store-1#d2"])
+            self.assertEqual(stage.stores.members().usable, ["store-1#d2"])
 
         self.play(scene)
 
-    def test_one_that_says_farewell_counts_as_dead_at_once_and_as_alive_when_it_is_back(self) -> None:
+    def test_one_that_announces_its_shutdown_counts_as_dead_at_once_and_as_alive_when_it_is_back(self) -> None:
         async def scene(stage: Stage) -> None:
             link: Any = None
             await stage.member("store-1", "store", "d1")
-            self.assertEqual(stage.controller.stores().usable, ["store-1#d1"])
-            await stage.controller._farewell(link, Farewell("store-1", "d1"))
-            self.assertEqual(stage.controller.stores().usable, [])
-            await stage.beat("store-1", "d1")
-            self.assertEqual(stage.controller.stores().usable, ["store-1#d1"])
+            self.assertEqual(stage.stores.members().usable, ["store-1#d1"])
+            await stage.members.handle_shutdown(link, MemberShutdown("store-1", "d1"))
+            self.assertEqual(stage.stores.members().usable, [])
+            await stage.heartbeat("store-1", "d1")
+            self.assertEqual(stage.stores.members().usable, ["store-1#d1"])
 
         self.play(scene)
 
-    def test_what_watchers_heard_before_a_farewell_does_not_bring_a_member_back(self) -> None:
+    def test_what_watchers_heard_before_a_shutdown_does_not_bring_a_member_back(self) -> None:
         async def scene(stage: Stage) -> None:
             link: Any = None
             await stage.member("store-1", "store", "d1")
             await asyncio.sleep(0.1)
-            await stage.controller._farewell(link, Farewell("store-1", "d1"))
+            await stage.members.handle_shutdown(link, MemberShutdown("store-1", "d1"))
             await asyncio.sleep(0.1)
-            await stage.controller._sightings(link, Sightings("core-2", [Sighting("store-1#d1", 150)], []))
-            self.assertEqual(stage.controller.stores().usable, [])
+            await stage.watcher.handle_liveness_report(
+                link, LivenessReport("core-2", [LastHeartbeat("store-1#d1", 150)], [])
+            )
+            self.assertEqual(stage.stores.members().usable, [])
 
         self.play(scene)
 
@@ -219,50 +242,50 @@
         async def scene(stage: Stage) -> None:
             link: Any = None
             await stage.member("store-1", "store", "d1")
-            await stage.controller._disk_stalled(link, DiskStalled("store-1", "d1", 700))
-            self.assertEqual(stage.controller.stores().places, {})
+            await stage.stores.handle_disk_stalled(link, DiskStalled("store-1", "d1", 700))
+            self.assertEqual(stage.stores.members().domains, {})
             for _ in range(5):
                 await asyncio.sleep(0.25)
-                await stage.beat("store-1", "d1")
-            self.assertEqual(stage.controller.stores().usable, ["store-1#d1"])
+                await stage.heartbeat("store-1", "d1")
+            self.assertEqual(stage.stores.members().usable, ["store-1#d1"])
 
         self.play(scene)
 
-    def test_one_that_is_about_to_end_is_treated_as_retiring_if_others_can_take_its_copies(self) -> None:
+    def test_one_that_is_about_to_end_is_treated_as_retiring_if_others_can_take_its_replicas(self) -> None:
         async def scene(stage: Stage) -> None:
             link: Any = None
             for node in ("store-1", "store-2"):
                 await stage.member(node, "store", "d")
-            reply = await stage.controller._store_leaving(link, Leaving("store-1", "d"))
+            reply = await stage.stores.handle_draining(link, StoreDraining("store-1", "d"))
             self.assertIs(Code.TOO_FEW_LEFT, getattr(reply, "code", None))
             await stage.member("store-3", "store", "d")
-            self.assertEqual(await stage.controller._store_leaving(link, Leaving("store-1", "d")), Done())
-            self.assertEqual(stage.controller.stores().usable, ["store-2#d", "store-3#d"])
+            self.assertEqual(await stage.stores.handle_draining(link, StoreDraining("store-1", "d")), Done())
+            self.assertEqual(stage.stores.members().usable, ["store-2#d", "store-3#d"])
             for _ in range(7):
                 await asyncio.sleep(0.25)
                 for node in ("store-1", "store-2", "store-3"):
-                    await stage.beat(node, "d")
-            self.assertEqual(len(stage.controller.stores().usable), 3)
+                    await stage.heartbeat(node, "d")
+            self.assertEqual(len(stage.stores.members().usable), 3)
 
         self.play(scene)
 
     def test_silent_servers_are_marked_and_heard_ones_are_not(self) -> None:
         async def scene(stage: Stage) -> None:
             stage.server("a")
-            stage.controller._plan_servers()
+            stage.servers.mark_silent_servers()
             await asyncio.sleep(10)
-            stage.controller._plan_servers()
-            self.assertTrue(stage.control.state.get("server/a")["silent"])
-            stage.controller._server_heard("a")
-            stage.controller._plan_servers()
-            self.assertFalse(stage.control.state.get("server/a")["silent"])
+            stage.servers.mark_silent_servers()
+            self.assertIs(True, stage.server_record("a").silent)
+            stage.detector.record_server_heartbeat("a")
+            stage.servers.mark_silent_servers()
+            self.assertIs(False, stage.server_record("a").silent)
 
         self.play(scene)
 
     def test_the_ring_is_the_same_everywhere_and_spreads_members(self) -> None:
         controllers = [f"10.0.0.{n}:7000" for n in range(5)]
-        self.assertEqual(ring_of("front-1", controllers), ring_of("front-1", controllers[::-1]))
-        firsts = {ring_of(f"front-{n}", controllers)[0] for n in range(60)}
+        self.assertEqual(watchers_in_order("front-1", controllers), watchers_in_order("front-1", controllers[::-1]))
+        firsts = {watchers_in_order(f"front-{n}", controllers)[0] for n in range(60)}
         self.assertGreater(len(firsts), WATCHERS)
 
 
--- a/tests/test_controller_contact.py
+++ b/tests/test_controller_contact.py
@@ -7,8 +7,9 @@
 from typing import Any
 from unittest import mock
 
-from otterreach.controller.contact import WitnessContacts
 from otterreach.controller.election import Election
+from otterreach.controller.formation import Formation
+from otterreach.controller.witness_contacts import WitnessContacts
 from otterreach.simulation.world import Box
 from tests.controller_world import Cluster, configuration_of
 
@@ -189,25 +190,29 @@
 class ElectionCutTest(unittest.TestCase):
     """The candidate is cut off between two messages of its election."""
 
-    def play(self, step: str, before: bool) -> None:
+    def play(self, owner: type, step: str, before: bool) -> None:
         cluster = Cluster()
         cut_off: list[Box] = []
 
         def around(plain: Any) -> Any:
-            async def cutting(election: Election, *args: Any, **named: Any) -> Any:
+            async def cutting(part: Election | Formation, *args: Any, **named: Any) -> Any:
                 probe = named.get("probe", False)
                 due = armed and not cut_off and not probe
                 if due and before:
-                    isolate(election)
-                result = await plain(election, *args, **named)
+                    isolate(part)
+                result = await plain(part, *args, **named)
                 if due and not before:
-                    isolate(election)
+                    isolate(part)
                 return result
 
             return cutting
 
-        def isolate(election: Election) -> None:
-            box = next(b for b in cluster.boxes if b.object and cluster.control(b).election is election)
+        def isolate(part: Election | Formation) -> None:
+            box = next(
+                b
+                for b in cluster.boxes
+                if b.object and part in (cluster.control(b).election, cluster.control(b).formation)
+            )
             cut_off.append(box)
             cluster.isolate(box)
 
@@ -235,23 +240,23 @@
             status, _, read = await cluster.get(candidate)
             self.assertEqual((status, read), (200, gen))
 
-        cluster.world.wrap(Election, step, around)
+        cluster.world.wrap(owner, step, around)
         cluster.play(scene)
 
     def test_before_it_asks_for_promises(self) -> None:
-        self.play("_ask_promises", before=True)
+        self.play(Election, "_ask_for_promises", before=True)
 
     def test_after_the_promises(self) -> None:
-        self.play("_ask_promises", before=False)
+        self.play(Election, "_ask_for_promises", before=False)
 
     def test_after_the_snapshots(self) -> None:
-        self.play("_install_snapshots", before=False)
+        self.play(Formation, "_install_snapshots", before=False)
 
     def test_before_the_configuration_is_sent(self) -> None:
-        self.play("_accept_configuration", before=True)
+        self.play(Election, "_accept_configuration", before=True)
 
     def test_after_the_configuration_is_accepted(self) -> None:
-        self.play("_accept_configuration", before=False)
+        self.play(Election, "_accept_configuration", before=False)
 
 
 if __name__ == "__main__":
--- a/tests/test_controller_membership.py
+++ b/tests/test_controller_membership.py
@@ -24,13 +24,13 @@
 
 def unmet(cluster: Cluster) -> list[str]:
     """The kinds of allowed losses that the machines which run would not bear now."""
-    election = cluster.control(cluster.primary).election
+    formation = cluster.control(cluster.primary).formation
     configuration = configuration_of(cluster)
     up = {cluster.control(box).id for box in cluster.boxes if box.up and box.object}
-    places = election.places(configuration.witnesses)
+    places = formation.domains(configuration.witnesses)
     replicas = [places[m] for m in configuration.members if m in up]
-    missing = unmet_by_replicas(replicas, election.limits)
-    return missing + unmet_by_voters([places[w] for w in places], election.limits)
+    missing = unmet_by_replicas(replicas, formation.limits)
+    return missing + unmet_by_voters([places[w] for w in places], formation.limits)
 
 
 async def lead(cluster: Cluster, within_s: float = TAKE_OVER_S) -> float:
--- a/tests/test_disk_room.py
+++ b/tests/test_disk_room.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from unittest import mock
 
-from otterreach.jobstore.disk_room import AGAIN_S, LONGEST_S, takes_writes, wait_for_room
+from otterreach.jobstore.disk_probe import MAX_WAIT_S, RETRY_S, takes_writes, wait_until_writable
 from tests.virtual import VirtualLoop
 
 
@@ -26,7 +26,7 @@
 
         async def scene() -> float:
             began = loop.time()
-            await wait_for_room(self.folder)
+            await wait_until_writable(self.folder)
             return loop.time() - began
 
         async def at_once(executor: None, step: object, *args: object) -> bool:
@@ -46,8 +46,8 @@
 
     def test_the_start_waits_for_room_but_not_for_ever(self) -> None:
         self.assertEqual(0.0, self.waits([True]))
-        self.assertAlmostEqual(2 * AGAIN_S, self.waits([False, False, True]))
-        self.assertLess(self.waits([]), LONGEST_S + 2 * AGAIN_S)
+        self.assertAlmostEqual(2 * RETRY_S, self.waits([False, False, True]))
+        self.assertLess(self.waits([]), MAX_WAIT_S + 2 * RETRY_S)
 
 
 if __name__ == "__main__":
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -8,8 +8,9 @@
 
 from otterreach.controller.election import Election
 from otterreach.controller.epochs import ControllerInfo, EpochConfiguration
+from otterreach.controller.formation import Formation
+from otterreach.controller.local_replica import LocalReplica
 from otterreach.controller.messages import Prepare, Promise
-from otterreach.controller.replica_state import ReplicaState
 from otterreach.simulation.disk import Disk, VirtualJournal
 from otterreach.simulation.loop import VirtualLoop
 from otterreach.simulation.world import Box, World
@@ -39,14 +40,14 @@
             async def idle(box: Box) -> None: ...
 
             box = World(1).add("core-0", "core", 0, idle)
-            replica = ReplicaState(box.settings(), cast(Any, VirtualJournal(Disk(Random(1)))))
+            replica = LocalReplica(box.settings(), cast(Any, VirtualJournal(Disk(Random(1)))))
             replica.id = OWN
             infos = [ControllerInfo(ident, ident, ident, "hall-a") for ident in (OWN, "b", "c")]
             base = EpochConfiguration(NUMBER, "b", [OWN], infos)
             replica.adopt_configuration(base)
             if promise_during_probe:
                 witnesses.during_probe = lambda: replica.promise(promise_during_probe)
-            election = Election(replica, cast(Any, witnesses), Random(1), lambda _: None)
+            election = Election(replica, cast(Any, witnesses), Formation(replica, cast(Any, witnesses)), lambda _: None)
             promised = await election._collect_promises(base, NUMBER + 1, transfer=False)
             return promised, replica.promised
 
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -107,7 +107,7 @@
 def test_peer_figures_of_any_kind(figure: float) -> None:
     """Operators carry messages as they like: what a peer tells may be anything."""
     car = Sidecar([listed(1), listed(2)], allowed__peers=True)
-    seen = (api.Sighting(1, figure, figure, -(10**18)), api.Sighting(7, figure, figure, 10**18))
+    seen = (api.LastHeartbeat(1, figure, figure, -(10**18)), api.LastHeartbeat(7, figure, figure, 10**18))
     for _ in range(50):
         car.balancer.handle(car.now, api.PeerMessage(1, figure, seen))
         for send in sends(car.request()):
--- a/tests/test_hostile_peers.py
+++ b/tests/test_hostile_peers.py
@@ -17,11 +17,12 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
+from otterreach.controller.messages import Prepare
 from otterreach.proxy.pools import Address, Connection, Factory
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.http import JsonServer, Reply
 from otterreach.runtime.http_client import JsonClient
-from otterreach.runtime.rpc import HEADER, Done, Endpoint, Link, Refused
+from otterreach.runtime.rpc import HEADER, Endpoint, Link
 from otterreach.sidecar import http1
 from tests import virtual
 from tests.proxy_support import Call, Caller, FakeServer, ServerEnd, World, route
@@ -635,15 +636,15 @@
         turn += 1
         return script[(turn - 1) % len(script)]
 
-    async def answer(link: Link, ask: Refused) -> Failure:
-        runs[ask.reason] += 1
-        await asyncio.sleep(ask.code / 1000)
-        return Failure(Code.UNKNOWN_ITEM, ask.reason)
+    async def answer(link: Link, request: Prepare) -> Failure:
+        runs[request.candidate] += 1
+        await asyncio.sleep(request.number / 1000)
+        return Failure(Code.UNKNOWN_ITEM, request.candidate)
 
     async def one_line(endpoint: Endpoint, number: int, line: list[tuple[float, float]]) -> None:
         for place, (timeout_s, takes_s) in enumerate(line):
             name = f"{number}-{place}"
-            reply = await endpoint.call("10.0.0.1:5", Refused(int(takes_s * 1000), name), timeout_s)
+            reply = await endpoint.call("10.0.0.1:5", Prepare(int(takes_s * 1000), name), timeout_s)
             assert isinstance(reply, Failure)
             if reply.code is Code.UNKNOWN_ITEM:
                 assert reply.reason == name
@@ -652,8 +653,8 @@
 
     async def main() -> None:
         far, near = Endpoint(), Endpoint()
-        far.on(Refused, answer)
-        near.on(Done, answer)
+        far.on(Prepare, answer)
+        near.on(Prepare, answer)
         await far.listen("10.0.0.9", 5)
         loop.listeners[("10.0.0.1", 5)] = lambda: FrameNear(loop, next_meddle)
         await asyncio.gather(*(one_line(near, n, line) for n, line in enumerate(lines)))
--- a/tests/test_jobstore_copies.py
+++ b/tests/test_jobstore_copies.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from otterreach.controller.survival import SurviveLimits
-from otterreach.jobstore.messages import Entry, JobAppend, PartEpochs, PartPing, Results
-from otterreach.jobstore.partition import Copy, CopyState
-from otterreach.jobstore.replication import FRESH_S
+from otterreach.jobstore.messages import AppendEntries, Entry, JobResults, PartitionEpochs, PartitionPing
+from otterreach.jobstore.partition_replica import PartitionReplica, ReplicaState
+from otterreach.jobstore.replication_context import MAX_CONFIRMATION_AGE_S
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done
 from tests.jobstore_world import Client, Store, World, lot
@@ -32,7 +32,7 @@
 
 
 def results_of(reply: Any) -> list[dict[str, Any]]:
-    assert isinstance(reply, Results), reply
+    assert isinstance(reply, JobResults), reply
     found: list[dict[str, Any]] = json.loads(b"[" + reply.body + b"]")
     return found
 
@@ -120,7 +120,7 @@
             await client.submit("a")
             primary, backup = world.primary_of("a"), world.backup_of("a")
             world.net.cut(primary.address, backup.address)
-            await asyncio.sleep(FRESH_S + 0.01)
+            await asyncio.sleep(MAX_CONFIRMATION_AGE_S + 0.01)
             reply = await client.read("a")
             self.assertIsInstance(reply, Failure)
             self.assertIs(Code.NOT_SYNCED, reply.code)
@@ -128,7 +128,7 @@
             self.assertIsNot(Code.UNKNOWN_JOB, getattr(unknown, "code", None))
             world.net.join()
             await asyncio.sleep(0.5)
-            self.assertIsInstance(await client.read("a"), Results)
+            self.assertIsInstance(await client.read("a"), JobResults)
 
         play(scene)
 
@@ -212,11 +212,11 @@
             backup.wipe()
             backup.start()
             self.assertNotEqual(before, backup.node.member)
-            self.assertFalse(backup.copy("a").whole)
+            self.assertFalse(backup.copy("a").is_complete)
             world.believe(backup)
             await asyncio.sleep(2.0)
             primary = world.primary_of("a")
-            self.assertNotIn(before, world.parts()[primary.copy("a").part].members)
+            self.assertNotIn(before, world.parts()[primary.copy("a").partition].members)
             copy = world.backup_of("a").copy("a")
             self.assertEqual(primary.copy("a").position, copy.position)
             self.assertEqual(primary.copy("a").jobs.digests(), copy.jobs.digests())
@@ -244,9 +244,12 @@
             world.controller.handlers.clear()  # PartSynced is heard by nobody
             primary, backup = world.primary_of("a"), world.backup_of("a")
             learner = next(s for s in world.stores.values() if s not in (primary, backup))
-            part = primary.copy("a").part
+            part = primary.copy("a").partition
             record = world.parts()[part]
-            world.put(f"part/{part}", {**record.json(), "epoch": record.epoch + 1, "joining": [learner.node.member]})
+            world.put(
+                f"part/{part}",
+                {**json.loads(record.encode()), "epoch": record.epoch + 1, "joining": [learner.node.member]},
+            )
             await asyncio.sleep(0.5)
             self.assertEqual({learner.node.member}, primary.copy("a").in_sync)
             learner.stop()
@@ -305,10 +308,10 @@
             old.start()
             world.believe(old)
             await asyncio.sleep(15.0)
-            part = old.copy("a").part
+            part = old.copy("a").partition
             record = world.parts()[part]
             self.assertNotIn(old.node.member, (*record.members, *record.learners))
-            self.assertIs(CopyState.ABSENT, old.copy("a").state)
+            self.assertIs(ReplicaState.ABSENT, old.copy("a").state)
             self.assertFalse(old.copy("a").jobs.jobs)
 
         play(scene)
@@ -334,13 +337,13 @@
             store.wipe()
             world.believe(store, lives=False)
         for job in jobs:
-            self.assertIsInstance(await self._read(world, client, job), Results)
+            self.assertIsInstance(await self._read(world, client, job), JobResults)
         for store in gone:
             store.start()
             world.believe(store)
         await self._full_strength(world)
         for job in jobs:
-            self.assertIsInstance(await self._read(world, client, job), Results)
+            self.assertIsInstance(await self._read(world, client, job), JobResults)
         world.check()
 
     async def _read(self, world: World, client: Client, job: str) -> Any:
@@ -355,7 +358,7 @@
             await asyncio.sleep(0.1)
             world.plan()
             known = world.known()
-            if all(known.outlast(r.members, world.limits) and not r.learners for r in world.parts().values()):
+            if all(known.survive(r.members, world.limits) and not r.learners for r in world.parts().values()):
                 return
         self.fail("never spread again")
 
@@ -388,10 +391,10 @@
             copy = backup.copy("a")
             epoch = copy.epoch + 1
             await client.ask(backup, ask_of(backup, copy, epoch=epoch))
-            reply = await client.ask(backup, PartPing(backup.node.member, [copy.part], [epoch]))
-            self.assertEqual(PartEpochs([epoch]), reply)
+            reply = await client.ask(backup, PartitionPing(backup.node.member, [copy.partition], [epoch]))
+            self.assertEqual(PartitionEpochs([epoch]), reply)
             await asyncio.sleep(0.3)
-            self.assertIs(CopyState.FENCED, primary.copy("a").state)
+            self.assertIs(ReplicaState.FENCED, primary.copy("a").state)
             backup.stop(power=True)
             backup.start()
             self.assertEqual(epoch, backup.copy("a").epoch)
@@ -399,9 +402,9 @@
         play(scene)
 
 
-def ask_of(store: Store, copy: Copy, **changes: Any) -> JobAppend:
+def ask_of(store: Store, copy: PartitionReplica, **changes: Any) -> AppendEntries:
     values: dict[str, Any] = {
-        "part": copy.part,
+        "partition": copy.partition,
         "epoch": copy.epoch,
         "member": store.node.member,
         "session": 5,
@@ -410,7 +413,7 @@
         "records": [],
         **changes,
     }
-    return JobAppend(**values)
+    return AppendEntries(**values)
 
 
 class JournalTest(unittest.TestCase):
@@ -421,12 +424,16 @@
                 await client.finish(name, 1)
             await client.end("b")
             store = world.primary_of("a")
-            before = {c.part: (c.position, c.epoch, c.jobs.digests()) for c in store.store_node.replication.copies}
+            before = {
+                c.partition: (c.position, c.epoch, c.jobs.digests()) for c in store.store_node.replication.replicas
+            }
             results = results_of(await client.read("a"))
-            await store.journal.rewrite(store.store_node.live)
+            await store.journal.rewrite(store.store_node.live_slices)
             store.stop(power=True)
             store.start()
-            after = {c.part: (c.position, c.epoch, c.jobs.digests()) for c in store.store_node.replication.copies}
+            after = {
+                c.partition: (c.position, c.epoch, c.jobs.digests()) for c in store.store_node.replication.replicas
+            }
             self.assertEqual(before, after)
             await world.serving("a")
             self.assertEqual(results, results_of(await client.read("a")))
@@ -441,7 +448,7 @@
                 await client.submit(name)
             store = world.primary_of("a")
             store.journal.slice_s = 0.5
-            rewriting = asyncio.ensure_future(store.journal.rewrite(store.store_node.live))
+            rewriting = asyncio.ensure_future(store.journal.rewrite(store.store_node.live_slices))
             for n in range(40):
                 await client.submit(f"more-{n}")
                 await client.finish(f"more-{n}", 1)
@@ -450,10 +457,14 @@
             self.assertFalse(rewriting.done())
             self.assertTrue(await rewriting)
             await store.journal.sync()
-            before = {c.part: (c.position, c.epoch, c.jobs.digests()) for c in store.store_node.replication.copies}
+            before = {
+                c.partition: (c.position, c.epoch, c.jobs.digests()) for c in store.store_node.replication.replicas
+            }
             store.stop(power=True)
             store.start()
-            after = {c.part: (c.position, c.epoch, c.jobs.digests()) for c in store.store_node.replication.copies}
+            after = {
+                c.partition: (c.position, c.epoch, c.jobs.digests()) for c in store.store_node.replication.replicas
+            }
             self.assertEqual(before, after)
 
         play(scene)
@@ -464,10 +475,10 @@
             await client.submit("b", body=lot("b"))
             await client.end("a")
             await asyncio.sleep(119)
-            self.assertIsInstance(await client.read("a"), Results)
+            self.assertIsInstance(await client.read("a"), JobResults)
             await asyncio.sleep(10)
             self.assertIs(Code.UNKNOWN_JOB, (await client.read("a")).code)
-            self.assertIsInstance(await client.read("b"), Results)
+            self.assertIsInstance(await client.read("b"), JobResults)
             self.assertIsNone(world.backup_of("a").copy("a").jobs.get("a"))
 
         play(scene)
--- a/tests/test_jobstore_disks.py
+++ b/tests/test_jobstore_disks.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from otterreach.jobstore.disk_watch import STALLED_S, DiskWatch
-from otterreach.jobstore.messages import JobAppend, PartEpochs, PartPing, Pong, ProxyPing, Results
+from otterreach.jobstore.disk_monitor import STALLED_S, DiskMonitor
+from otterreach.jobstore.messages import AppendEntries, JobResults, PartitionEpochs, PartitionPing, ProxyPing, ProxyPong
 from otterreach.jobstore.node import FAILED_STAY_S
-from otterreach.jobstore.placement import part_of
+from otterreach.jobstore.placement import partition_of
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done
 from tests.jobstore_world import Client, Store, World
@@ -59,7 +59,7 @@
             old = world.backup_of("a")
             old.journal.disk.stalled = True
             self.assertLess(await write(world, client, "a33"), TAKEOVER_S)
-            self.assertNotIn(old.node.member, world.parts()[old.copy("a").part].members)
+            self.assertNotIn(old.node.member, world.parts()[old.copy("a").partition].members)
             old.journal.disk.stalled = False
 
         play_pair("a", "a33", scene)
@@ -71,12 +71,12 @@
             stuck = asyncio.ensure_future(client.submit("a33", old, timeout_s=3.0))
             await asyncio.sleep(STALLED_S / 2)
             copy = old.copy("a")
-            self.assertIsInstance(await client.read("a", store=old), Results)
+            self.assertIsInstance(await client.read("a", store=old), JobResults)
             pong = await client.ask(old, ProxyPing("client", "client:7000", 0, 0, 0))
-            self.assertIsInstance(pong, Pong)
-            self.assertIn(copy.part, [held.part for held in pong.held])
-            epochs = await client.ask(old, PartPing(old.node.member, [copy.part], [copy.epoch]))
-            self.assertIsInstance(epochs, PartEpochs)
+            self.assertIsInstance(pong, ProxyPong)
+            self.assertIn(copy.partition, [served.partition for served in pong.served])
+            epochs = await client.ask(old, PartitionPing(old.node.member, [copy.partition], [copy.epoch]))
+            self.assertIsInstance(epochs, PartitionEpochs)
             await stuck
             old.journal.disk.stalled = False
 
@@ -128,13 +128,13 @@
                 return True
 
         async def scene() -> None:
-            watch = DiskWatch(Waiting(), loop.time)
+            watch = DiskMonitor(Waiting(), loop.time)
             node: Any = None
             sync = asyncio.ensure_future(watch.sync())
             await asyncio.sleep(0.05)
-            watch._look(node)
+            watch._check(node)
             loop.stand_still(3.0)
-            watch._look(node)  # would report if it blamed the disk
+            watch._check(node)  # would report if it blamed the disk
             self.assertTrue(watch.usable)
             self.assertTrue(await sync)
 
@@ -152,7 +152,7 @@
             self.assertIsInstance(refused, Failure)
             self.assertIsNot(Code.UNKNOWN_JOB, refused.code)
             self.assertLess(await write(world, client, "a33"), TAKEOVER_S)
-            self.assertIsInstance(await client.read("a"), Results)
+            self.assertIsInstance(await client.read("a"), JobResults)
             await asyncio.sleep(1.0)
             self.assertFalse(old.store_node.replication.leaders)
 
@@ -198,7 +198,7 @@
             await asyncio.sleep(0.5)
             self.assertTrue(backup.node.stopping.is_set())
             copy = backup.copy("a")
-            question = JobAppend(copy.part, copy.epoch, backup.node.member, 5, copy.index, copy.chain, [])
+            question = AppendEntries(copy.partition, copy.epoch, backup.node.member, 5, copy.index, copy.chain, [])
             self.assertIs(Code.DISK_FAILED, getattr(await client.ask(backup, question), "code", None))
 
         play(scene)
@@ -212,7 +212,7 @@
 
 def play_pair(one: str, other: str, scene: Scene) -> None:
     """Play with two batch jobs of the same partition."""
-    assert part_of(one) == part_of(other), "not of one partition"
+    assert partition_of(one) == partition_of(other), "not of one partition"
     play(scene)
 
 
--- a/tests/test_jobstore_dispatch.py
+++ b/tests/test_jobstore_dispatch.py
@@ -10,10 +10,10 @@
 from math import ceil
 from typing import Any
 
-from otterreach.jobstore.dispatch import AHEAD, SETTLE_S
-from otterreach.jobstore.jobs import JobState
-from otterreach.jobstore.messages import GiveBack, Results, Running
-from otterreach.jobstore.placement import part_of
+from otterreach.jobstore.dispatcher import MAX_LOAD, SETTLE_S
+from otterreach.jobstore.job import JobState
+from otterreach.jobstore.messages import JobResults, ReturnItems, RunningItems
+from otterreach.jobstore.placement import partition_of
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done
 from tests.jobstore_world import ROUTE, Client, Runner, World, lot
@@ -36,7 +36,7 @@
 
 
 def states(reply: Any) -> list[tuple[str, str]]:
-    assert isinstance(reply, Results), reply
+    assert isinstance(reply, JobResults), reply
     return [(r["id"], r["state"]) for r in json.loads(b"[" + reply.body + b"]")]
 
 
@@ -74,7 +74,7 @@
             (runner,) = await proxies(world, 1, slots=3, run_s=None)
             await client.submit("a", body=lot("a", 40, 1))
             await asyncio.sleep(0.5)
-            self.assertEqual([f"a-{n}" for n in range(ceil(3 * AHEAD))], [item for _, item in runner.assigned])
+            self.assertEqual([f"a-{n}" for n in range(ceil(3 * MAX_LOAD))], [item for _, item in runner.assigned])
             await client.finish("a", 0)
             del runner.works["a", "a-0"]
             await asyncio.sleep(0.1)
@@ -84,23 +84,23 @@
 
     def test_what_is_due_first_goes_first(self) -> None:
         async def scene(world: World, client: Client) -> None:
-            late, soon = "late", next(f"soon{n}" for n in range(99) if part_of(f"soon{n}") == part_of("late"))
+            late, soon = "late", next(f"soon{n}" for n in range(99) if partition_of(f"soon{n}") == partition_of("late"))
             world.put("config", {"routes": [{**ROUTE, "dueMs": 90000}, {**ROUTE, "name": "r-soon", "dueMs": 1000}]})
             await asyncio.sleep(0.1)
             await client.submit(late, body=lot(late, 4, 1))
             store = world.primary_of(late)
-            job = store.store_node.dispatch.open[late]
+            job = store.store_node.dispatcher.open_jobs[late]
             await client.submit(soon, body=lot(soon, 4, 1))
-            store.store_node.dispatch.open[soon].route = "r-soon"
+            store.store_node.dispatcher.open_jobs[soon].route = "r-soon"
             (runner,) = await proxies(world, 1, slots=2, run_s=None)
-            self.assertEqual(90.0, store.store_node.terms(job).due_s)
-            self.assertEqual([soon] * ceil(2 * AHEAD), [name for name, _ in runner.assigned])
+            self.assertEqual(90.0, store.store_node.deadlines(job).due_s)
+            self.assertEqual([soon] * ceil(2 * MAX_LOAD), [name for name, _ in runner.assigned])
 
         play(scene)
 
     def test_groups_that_no_trainer_waits_for_come_last(self) -> None:
         async def scene(world: World, client: Client) -> None:
-            other = next(f"b{n}" for n in range(99) if part_of(f"b{n}") == part_of("a"))
+            other = next(f"b{n}" for n in range(99) if partition_of(f"b{n}") == partition_of("a"))
             await client.submit("a", body=lot("a", 12, 2, step=1, desired=2))
             await client.submit(other, body=lot(other, 4, 2, step=1, desired=2))
             (runner,) = await proxies(world, 1, slots=6, run_s=None)
@@ -151,7 +151,7 @@
             first.slots = 0
             link = first.endpoint.linked(world.primary_of("a").address)
             assert link is not None
-            link.send(GiveBack("a", [item for _, item in first.works]))
+            link.send(ReturnItems("a", [item for _, item in first.works]))
             first.works.clear()
             await asyncio.sleep(0.1)
             self.assertEqual(8, len(second.works))
@@ -170,7 +170,7 @@
             world.believe(old, lives=False)
             new = await world.serving("a")
             for runner in (first, second):
-                told = Running(part_of("a"), runner.name, [f"{job} {item}" for job, item in runner.works])
+                told = RunningItems(partition_of("a"), runner.name, [f"{job} {item}" for job, item in runner.works])
                 reply = await runner.endpoint.call(new.address, told, 1.0)
                 self.assertEqual(Done(), reply)
                 runner.assigned.clear()
@@ -217,7 +217,7 @@
             await client.submit("a")
             await asyncio.sleep(0.1)
             store = world.primary_of("a")
-            store.store_node.dispatch.open["a"].state = JobState.ENDED
+            store.store_node.dispatcher.open_jobs["a"].state = JobState.ENDED
             runner.assigned.clear()
             link = runner.endpoint.linked(store.address)
             assert link is not None
--- a/tests/test_jobstore_install.py
+++ b/tests/test_jobstore_install.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from otterreach.jobstore.installation import PIECE, pieces_of
+from otterreach.jobstore.installation import CHUNK_BYTES, chunks_of
 from otterreach.jobstore.messages import Entry
-from otterreach.jobstore.partition import CopyState
-from otterreach.jobstore.placement import PARTITIONS, part_of
+from otterreach.jobstore.partition_replica import ReplicaState
+from otterreach.jobstore.placement import PARTITIONS, partition_of
 from otterreach.runtime.rpc import Done
 from tests.jobstore_world import Client, Store, World
 from tests.virtual import run
@@ -31,7 +31,7 @@
 
 def names_of(part: int, count: int) -> list[str]:
     """Batch jobs of one partition."""
-    return [name for name in (f"job{n}" for n in range(PARTITIONS * count * 8)) if part_of(name) == part][:count]
+    return [name for name in (f"job{n}" for n in range(PARTITIONS * count * 8)) if partition_of(name) == part][:count]
 
 
 def play(scene: Scene, jobs: int = 16, size: int = 40_000) -> None:
@@ -41,7 +41,7 @@
         world = World(3)
         client = Client(world)
         await world.serving(BIG)
-        for job in names_of(part_of(BIG), jobs):
+        for job in names_of(partition_of(BIG), jobs):
             assert await client.submit(job, body=big_job(job, 10, size), timeout_s=10.0) == Done()
         await scene(world, client)
         world.check()
@@ -56,16 +56,16 @@
 
 
 def ask_to_join(world: World, store: Store) -> None:
-    record = world.parts()[part_of(BIG)]
-    json_record = {**record.json(), "epoch": record.epoch + 1, "joining": [store.node.member]}
-    world.put(f"part/{part_of(BIG)}", json_record)
+    record = world.parts()[partition_of(BIG)]
+    json_record = {**json.loads(record.encode()), "epoch": record.epoch + 1, "joining": [store.node.member]}
+    world.put(f"part/{partition_of(BIG)}", json_record)
 
 
 async def joined(world: World, store: Store, within_s: float) -> float:
     """Until the store is a member. Returns how long it took."""
     loop = asyncio.get_running_loop()
     began = loop.time()
-    while store.node.member not in world.parts()[part_of(BIG)].members:
+    while store.node.member not in world.parts()[partition_of(BIG)].members:
         assert loop.time() - began < within_s, "never a member"
         await asyncio.sleep(0.05)
     return loop.time() - began
@@ -95,7 +95,7 @@
             await joined(world, learner, 60.0)
             whole = sum(len(entry.body) for entry in learner.copy(BIG).jobs.snapshot(0.0))
             sent = world.net.sent[learner.address] - before
-            self.assertLess(sent, whole + 7 * 2 * PIECE)
+            self.assertLess(sent, whole + 7 * 2 * CHUNK_BYTES)
 
         play(scene)
 
@@ -107,19 +107,19 @@
             others = [
                 name
                 for name in (f"small{n}" for n in range(400))
-                if part_of(name) != part_of(BIG)
+                if partition_of(name) != partition_of(BIG)
                 and world.primary_of(name) is primary
                 and world.backup_of(name) is learner
             ]
             ask_to_join(world, learner)
             slowest, count, loop = 0.0, 0, asyncio.get_running_loop()
-            while learner.node.member not in world.parts()[part_of(BIG)].members:
+            while learner.node.member not in world.parts()[partition_of(BIG)].members:
                 began = loop.time()
                 name = others[count]
                 self.assertEqual(Done(), await client.submit(name, primary))
                 slowest, count = max(slowest, loop.time() - began), count + 1
                 leaders = primary.store_node.replication.leaders.values()
-                self.assertTrue(all(one.fresh for one in leaders if one.copy.part != part_of(BIG)))
+                self.assertTrue(all(one.is_confirmed for one in leaders if one.replica.partition != partition_of(BIG)))
             self.assertGreater(count, 5)
             self.assertLess(slowest, 0.3)
             self.assertEqual([], world.lost)
@@ -131,7 +131,7 @@
             learner = third(world)
             world.net.thin[learner.address] = MBIT_30
             ask_to_join(world, learner)
-            job = names_of(part_of(BIG), 1)[0]
+            job = names_of(partition_of(BIG), 1)[0]
             await asyncio.sleep(0.1)
             await world.serving(BIG)
             for n in range(10):
@@ -153,15 +153,15 @@
             await asyncio.sleep(8.0)
             staged = learner.copy(BIG).staged
             assert staged is not None
-            self.assertGreater(staged.next, 1)
+            self.assertGreater(staged.next_chunk, 1)
             learner.stop(power=True)
             learner.start()
-            self.assertFalse(learner.copy(BIG).whole)
+            self.assertFalse(learner.copy(BIG).is_complete)
             await asyncio.sleep(0.5)
-            self.assertIs(CopyState.LEARNER, learner.copy(BIG).state)
+            self.assertIs(ReplicaState.LEARNER, learner.copy(BIG).state)
             world.net.thin.clear()
             await joined(world, learner, 20.0)
-            self.assertTrue(learner.copy(BIG).whole)
+            self.assertTrue(learner.copy(BIG).is_complete)
 
         play(scene)
 
@@ -169,12 +169,12 @@
         for sizes, counts in (
             ([], [0]),
             ([10], [1]),
-            ([PIECE, 1], [1, 1]),
-            ([PIECE * 3, 5, 5], [1, 2]),
-            ([PIECE // 2, PIECE // 2, 1], [2, 1]),
+            ([CHUNK_BYTES, 1], [1, 1]),
+            ([CHUNK_BYTES * 3, 5, 5], [1, 2]),
+            ([CHUNK_BYTES // 2, CHUNK_BYTES // 2, 1], [2, 1]),
         ):
             with self.subTest(sizes):
-                pieces = list(pieces_of(Entry(1, bytes(size)) for size in sizes))
+                pieces = list(chunks_of(Entry(1, bytes(size)) for size in sizes))
                 self.assertEqual(counts, [len(piece) for piece in pieces])
 
 
--- a/tests/test_jobstore_jobs.py
+++ b/tests/test_jobstore_jobs.py
@@ -7,20 +7,11 @@
 import unittest
 from typing import Any
 
-from otterreach.jobstore.jobs import (
-    READ_BYTES,
-    ItemState,
-    Job,
-    Jobs,
-    JobState,
-    drop_record,
-    encode_result,
-    end_record,
-    read_job,
-    result_record,
-    submit_record,
-)
-from otterreach.jobstore.messages import Finished
+from otterreach.jobstore.job import MAX_READ_BYTES, ItemState, Job, JobState
+from otterreach.jobstore.job_entries import drop_entry, end_entry, result_entry, submit_entry
+from otterreach.jobstore.job_json import encode_result, read_job
+from otterreach.jobstore.job_table import JobTable
+from otterreach.jobstore.messages import ItemFinished
 from otterreach.runtime.codes import Code, Failure
 from tests.jobstore_world import body_of, lot
 
@@ -31,17 +22,17 @@
     return found
 
 
-def jobs_with(*entries: Any) -> Jobs:
-    jobs = Jobs()
+def jobs_with(*entries: Any) -> JobTable:
+    jobs = JobTable()
     for index, entry in enumerate(entries, 1):
         change = jobs.apply(entry, index, 0.0)
         if change:
-            jobs.settle(change)
+            jobs.commit(change)
     return jobs
 
 
 def result(job: str, n: int, text: bytes = b"{}") -> Any:
-    return result_record(job, f"{job}-{n}", text)
+    return result_entry(job, f"{job}-{n}", text)
 
 
 class ReadTest(unittest.TestCase):
@@ -70,7 +61,7 @@
     def test_plain_items_need_no_group_scorer_or_model(self) -> None:
         job = job_of(json.dumps({"reqs": [{"id": "i", "path": "/p", "body": "aGk="}]}).encode())
         self.assertEqual(b"hi", job.items["i"].body)
-        self.assertFalse(job.sampled)
+        self.assertFalse(job.has_versions)
         self.assertEqual(("", 0), (job.model, job.min_version))
 
     def test_whole_groups_stand_together(self) -> None:
@@ -83,7 +74,7 @@
 class RecordsTest(unittest.TestCase):
     def test_positions_are_given_once(self) -> None:
         jobs = jobs_with(
-            submit_record("a", "h", "r", lot("a")),
+            submit_entry("a", "h", "r", lot("a")),
             result("a", 1, b'"x"'),
             result("a", 1, b'"y"'),
             result("a", 9, b'"z"'),
@@ -95,35 +86,35 @@
         self.assertEqual((2, b""), job.read(2))
 
     def test_not_seen_before_it_is_settled(self) -> None:
-        jobs = jobs_with(submit_record("a", "h", "r", lot("a")))
+        jobs = jobs_with(submit_entry("a", "h", "r", lot("a")))
         change = jobs.apply(result("a", 2), 2, 0.0)
         assert change is not None
         job = jobs.jobs["a"]
         self.assertEqual((0, b""), job.read(0))
         self.assertEqual(body_of("a", 2), job.items["a-2"].body)
-        jobs.settle(change)
+        jobs.commit(change)
         self.assertEqual((1, b"{}"), job.read(0))
         self.assertEqual(b"", job.items["a-2"].body)
 
     def test_an_answer_is_bounded_and_holds_one_at_least(self) -> None:
-        big = b'"' + b"x" * (READ_BYTES + 10) + b'"'
-        jobs = jobs_with(submit_record("a", "h", "r", lot("a")), result("a", 0, big), result("a", 1), result("a", 2))
+        big = b'"' + b"x" * (MAX_READ_BYTES + 10) + b'"'
+        jobs = jobs_with(submit_entry("a", "h", "r", lot("a")), result("a", 0, big), result("a", 1), result("a", 2))
         job = jobs.jobs["a"]
         self.assertEqual((1, big), job.read(0))
         self.assertEqual((3, b"{},{}"), job.read(1))
 
     def test_end_and_drop(self) -> None:
-        jobs = jobs_with(submit_record("a", "h", "r", lot("a")), result("a", 0), end_record("a"), end_record("a"))
+        jobs = jobs_with(submit_entry("a", "h", "r", lot("a")), result("a", 0), end_entry("a"), end_entry("a"))
         job = jobs.jobs["a"]
         self.assertIs(JobState.ENDED, job.state)
         self.assertEqual(b"", job.items["a-1"].body)
         self.assertEqual((1, b"{}"), job.read(0))
-        jobs.apply(drop_record("a"), 5, 0.0)
+        jobs.apply(drop_entry("a"), 5, 0.0)
         self.assertEqual(({}, 0), (jobs.jobs, jobs.size))
 
     def test_a_snapshot_gives_the_same(self) -> None:
-        entries = [submit_record(name, "h", "r", lot(name, 6, step=2, model="m", minVersion=3)) for name in "abc"]
-        jobs = jobs_with(*entries, result("a", 5, b"5"), result("a", 0, b"0"), result("b", 1, b"1"), end_record("b"))
+        entries = [submit_entry(name, "h", "r", lot(name, 6, step=2, model="m", minVersion=3)) for name in "abc"]
+        jobs = jobs_with(*entries, result("a", 5, b"5"), result("a", 0, b"0"), result("b", 1, b"1"), end_entry("b"))
         again = jobs_with(*jobs.snapshot(7.0))
         self.assertEqual(jobs.digests(), again.digests())
         self.assertEqual(jobs.size, again.size)
@@ -138,14 +129,14 @@
         self.assertEqual(list(jobs.snapshot(7.0)), list(again.snapshot(7.0 - 7.0)))
 
     def test_digests_tell_copies_apart(self) -> None:
-        one = jobs_with(submit_record("a", "h", "r", lot("a")), result("a", 0, b"1"))
-        for other in (result("a", 0, b"2"), result("a", 1, b"1"), end_record("a")):
-            changed = jobs_with(submit_record("a", "h", "r", lot("a")), other)
+        one = jobs_with(submit_entry("a", "h", "r", lot("a")), result("a", 0, b"1"))
+        for other in (result("a", 0, b"2"), result("a", 1, b"1"), end_entry("a")):
+            changed = jobs_with(submit_entry("a", "h", "r", lot("a")), other)
             self.assertNotEqual(one.digests(), changed.digests())
 
 
 class ResultTest(unittest.TestCase):
-    def finished(self, **changes: Any) -> Finished:
+    def finished(self, **changes: Any) -> ItemFinished:
         values: dict[str, Any] = {
             "state": "done",
             "reason": "",
@@ -154,7 +145,7 @@
             "score": "s.1",
             **changes,
         }
-        return Finished("a", "a-0", **values)
+        return ItemFinished("a", "a-0", **values)
 
     def test_what_readers_get(self) -> None:
         plain, sample = job_of(lot("a")), job_of(lot("a", step=0, model="m", minVersion=6))
@@ -180,7 +171,7 @@
     def test_bodies_come_back_as_they_came(self) -> None:
         data = bytes(range(256))
         rows = [{"id": "i", "path": "/p", "body": base64.b64encode(data).decode(), "headers": {"A": "b"}}]
-        jobs = jobs_with(submit_record("a", "h", "r", json.dumps({"reqs": rows}).encode()))
+        jobs = jobs_with(submit_entry("a", "h", "r", json.dumps({"reqs": rows}).encode()))
         again = jobs_with(*jobs.snapshot(0.0))
         self.assertEqual(data, again.jobs["a"].items["i"].body)
         self.assertEqual({"A": "b"}, json.loads(again.jobs["a"].items["i"].headers))
--- a/tests/test_jobstore_leaving.py
+++ b/tests/test_jobstore_leaving.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, cast
 
-from otterreach.jobstore.leaving import SHARE_OF_GRACE, give_on, is_named
-from otterreach.jobstore.messages import Results
+from otterreach.jobstore.graceful_shutdown import GRACE_SHARE, is_named, transfer_replicas
+from otterreach.jobstore.messages import JobResults
 from otterreach.runtime.codes import Code
 from otterreach.runtime.node import Node
 from otterreach.runtime.rpc import Done
@@ -35,7 +35,7 @@
 
 async def leave(world: World, store: Store) -> bool:
     """As on SIGTERM: give the copies on, then end; its disk is never seen again."""
-    done = await give_on(cast(Node, store.node))
+    done = await transfer_replicas(cast(Node, store.node))
     store.wipe()
     world.believe(store, lives=False)
     return done
@@ -46,7 +46,7 @@
     while True:
         reply = await client.read(job, store=await world.serving(job))
         if getattr(reply, "code", None) not in (Code.NOT_PRIMARY, Code.NOT_SYNCED):
-            return isinstance(reply, Results) and reply.total == 4 and reply.next_cursor == 1
+            return isinstance(reply, JobResults) and reply.total == 4 and reply.next_cursor == 1
 
 
 class LeavingTest(unittest.TestCase):
@@ -65,7 +65,7 @@
     def test_it_serves_until_others_have_its_places(self) -> None:
         async def scene(world: World, client: Client) -> None:
             leaving = world.primary_of("job1")
-            given = asyncio.ensure_future(give_on(cast(Node, leaving.node)))
+            given = asyncio.ensure_future(transfer_replicas(cast(Node, leaving.node)))
             slowest, loop = 0.0, asyncio.get_running_loop()
             n = 0
             while not given.done():
@@ -83,7 +83,7 @@
         async def scene(world: World, client: Client) -> None:
             loop = asyncio.get_running_loop()
             began = loop.time()
-            self.assertFalse(await give_on(cast(Node, world.primary_of("a").node)))
+            self.assertFalse(await transfer_replicas(cast(Node, world.primary_of("a").node)))
             self.assertLess(loop.time() - began, 0.5)
 
         play(scene, 2)
@@ -97,9 +97,9 @@
             world.net.cut(leaving.address, "core:7000")
             loop = asyncio.get_running_loop()
             began = loop.time()
-            self.assertFalse(await give_on(cast(Node, leaving.node)))
+            self.assertFalse(await transfer_replicas(cast(Node, leaving.node)))
             grace_s = leaving.node.settings.bounds.grace_s
-            self.assertLess(loop.time() - began, SHARE_OF_GRACE * grace_s + 1.1)
+            self.assertLess(loop.time() - began, GRACE_SHARE * grace_s + 1.1)
             for store in world.stores.values():
                 store.journal.disk.stalled = False
 
--- a/tests/test_jobstore_repair.py
+++ b/tests/test_jobstore_repair.py
@@ -9,7 +9,8 @@
 import unittest
 from dataclasses import dataclass
 
-from otterreach.controller.node import DEAD_S, PLAN_S
+from otterreach.controller.failure_detector import HEARTBEAT_TIMEOUT_S
+from otterreach.controller.node import PLAN_INTERVAL_S
 from otterreach.runtime.rpc import Done
 from tests.jobstore_world import Client, Store, World
 from tests.test_jobstore_install import MBIT_30, big_job
@@ -54,17 +55,17 @@
         world.plan()
         known = world.known()
         if all(
-            known.outlast(r.members, world.limits) and set(r.members) <= world.alive for r in world.parts().values()
+            known.survive(r.members, world.limits) and set(r.members) <= world.alive for r in world.parts().values()
         ):
             return loop.time() - began
-        await asyncio.sleep(PLAN_S)
+        await asyncio.sleep(PLAN_INTERVAL_S)
     raise AssertionError("never at full strength")
 
 
 async def lose(world: World, store: Store) -> None:
     """Its power and its disk go; the controller notices by its silence."""
     store.wipe()
-    await asyncio.sleep(DEAD_S + PLAN_S)
+    await asyncio.sleep(HEARTBEAT_TIMEOUT_S + PLAN_INTERVAL_S)
     world.believe(store, lives=False)
 
 
--- a/tests/test_jobstore_troubles.py
+++ b/tests/test_jobstore_troubles.py
@@ -10,14 +10,14 @@
 from random import Random
 from typing import Any
 
-from otterreach.jobstore.messages import EndJob, ReadItem, ReadJob, Results, Submit
-from otterreach.jobstore.placement import part_of
+from otterreach.jobstore.messages import EndJob, JobResults, ReadItem, ReadJob, SubmitJob
+from otterreach.jobstore.placement import partition_of
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done
 from tests.jobstore_world import Client, Runner, Store, World, body_of, lot
 from tests.virtual import run
 
-DEAD_S = 0.9
+HEARTBEAT_TIMEOUT_S = 0.9
 SETTLE_S = 1.0
 SEEDS = [int(s) for s in os.environ.get("STACKS_SEEDS", "1 2 503").split()]
 
@@ -59,7 +59,7 @@
                     self.away.pop(store.name, None)
                     if not known:
                         self.world.believe(store)
-                elif known and self.now() - self.away.setdefault(store.name, self.now()) > DEAD_S:
+                elif known and self.now() - self.away.setdefault(store.name, self.now()) > HEARTBEAT_TIMEOUT_S:
                     self.world.believe(store, lives=False)
             self.world.plan()
 
@@ -83,7 +83,7 @@
             self.spawn(self.submit(job, size))
 
     async def submit(self, job: str, size: int) -> None:
-        reply = await self.until(job, Submit(job, "h", "r-lot", lot(job, size, step=1, minVersion=1)))
+        reply = await self.until(job, SubmitJob(job, "h", "r-lot", lot(job, size, step=1, minVersion=1)))
         if not isinstance(reply, Done):
             self.wrong.append(f"{job}: submit gave {reply}")
             return
@@ -109,12 +109,12 @@
         due = len(self.seen.get(job, [])) if self.now() - self.accepted[job] > SETTLE_S else 0
         asked = self.now()
         reply = await self.client.endpoint.call(store.address, ReadJob(job, past, 300), 1.0)
-        if isinstance(reply, Results):
+        if isinstance(reply, JobResults):
             self.take(job, past, reply)
         elif reply.code is Code.UNKNOWN_JOB and asked - self.accepted[job] > SETTLE_S:
             self.wrong.append(f"{job}: {store.name} knows nothing of it ({due})")
 
-    def take(self, job: str, past: int, reply: Results) -> None:
+    def take(self, job: str, past: int, reply: JobResults) -> None:
         rows = [json.dumps(r).encode() for r in json.loads(b"[" + reply.body + b"]")]
         seen = self.seen.setdefault(job, [])
         if reply.total != self.sizes[job] or reply.next_cursor != past + len(rows):
@@ -222,7 +222,7 @@
             if all(self.sound(n) for n in range(16)):
                 return
         states = {
-            n: (p, [s.store_node.replication.copies[n].state.value for s in self.world.stores.values()])
+            n: (p, [s.store_node.replication.replicas[n].state.value for s in self.world.stores.values()])
             for n, p in self.world.parts().items()
             if not self.sound(n)
         }
@@ -234,7 +234,7 @@
         if len(members) < 2 or any(m not in self.world.alive for m in part.members):
             return False
         leader = members[0].store_node.replication.leaders.get(n)
-        return bool(leader and leader.fresh and leader.epoch == part.epoch)
+        return bool(leader and leader.is_confirmed and leader.epoch == part.epoch)
 
     # The day -------------------------------------------------------------------------------------
 
@@ -254,10 +254,10 @@
         for job, size in self.sizes.items():
             for _ in range(100):
                 reply = await self.until(job, ReadJob(job, 0, 0))
-                if not isinstance(reply, Results) or job in self.ended or reply.next_cursor == size:
+                if not isinstance(reply, JobResults) or job in self.ended or reply.next_cursor == size:
                     break
                 await asyncio.sleep(0.1)
-            assert isinstance(reply, Results), f"{job}: {reply}"
+            assert isinstance(reply, JobResults), f"{job}: {reply}"
             self.take(job, 0, reply)
             listed = [json.loads(row)["id"] for row in self.seen[job]]
             assert len(listed) == len(set(listed)), f"{job}: an item twice"
@@ -269,7 +269,7 @@
         for runner in self.runners:
             runner.slots = 0
         self.sizes["last"] = 2
-        await self.until("last", Submit("last", "h", "r-lot", lot("last", 2)))
+        await self.until("last", SubmitJob("last", "h", "r-lot", lot("last", 2)))
         reply = await self.until("last", ReadItem("last", "last-1"))
         assert reply.body == body_of("last", 1), reply
 
@@ -284,7 +284,7 @@
         await Play(seed).day(8)
 
     def test_parts_are_spread(self) -> None:
-        self.assertGreater(len({part_of(f"job{n}") for n in range(100)}), 12)
+        self.assertGreater(len({partition_of(f"job{n}") for n in range(100)}), 12)
 
 
 if __name__ == "__main__":
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -246,7 +246,7 @@
     assert car.balancer.handle(car.now, api.ClientGone(send.request)) == []
     assert car.balancer.handle(car.now, api.Timer(4_000_000)) == []
     assert car.balancer.handle(car.now, api.ProbeResult(99, Status.OK, 5, (1.0,))) == []
-    assert car.balancer.handle(car.now, api.PeerMessage(3, 0.2, (api.Sighting(99, 1.0, 0.0, 0),))) == []
+    assert car.balancer.handle(car.now, api.PeerMessage(3, 0.2, (api.LastHeartbeat(99, 1.0, 0.0, 0),))) == []
 
 
 def test_a_request_has_one_attempt_at_a_time_and_it_is_cancelled_when_the_client_goes() -> None:
@@ -896,11 +896,11 @@
     car.serve(20)
     at = car.balancer.endpoints[1].slow_at
     car.now += SECOND
-    old = api.Sighting(1, 9.0, 9.0, car.now - at + MS)
-    before_start = api.Sighting(2, 9.0, 9.0, 5 * SECOND)
+    old = api.LastHeartbeat(1, 9.0, 9.0, car.now - at + MS)
+    before_start = api.LastHeartbeat(2, 9.0, 9.0, 5 * SECOND)
     car.balancer.handle(car.now, api.PeerMessage(1, 0.0, (old, before_start)))
     assert car.balancer.endpoints[1].slow < 5 > car.balancer.endpoints[2].slow
-    car.balancer.handle(car.now, api.PeerMessage(1, 0.0, (api.Sighting(1, 9.0, 9.0, 0),)))
+    car.balancer.handle(car.now, api.PeerMessage(1, 0.0, (api.LastHeartbeat(1, 9.0, 9.0, 0),)))
     assert car.balancer.endpoints[1].slow == 9.0 == car.balancer.endpoints[1].queue
 
 
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -5,13 +5,15 @@
 import asyncio
 import json
 import unittest
+from collections.abc import Sequence
 from random import Random
 from typing import Any, cast
 
+from otterreach.controller.journal_records import JournalKind
+from otterreach.controller.local_replica import LocalReplica
 from otterreach.controller.messages import AppendItems
-from otterreach.controller.replica_state import ITEMS, ReplicaState
-from otterreach.controller.replication import REWRITE
-from otterreach.controller.tombstones import PERIODS, TombstoneClock, collected_rev
+from otterreach.controller.replication import REWRITE_LIMITS
+from otterreach.controller.tombstones import PERIODS, TombstoneClock, revision_to_collect
 from otterreach.runtime.codec import encode
 from otterreach.runtime.compaction import Compaction
 from otterreach.runtime.store import Item
@@ -34,27 +36,27 @@
     """The state of a primary and its journal; its processes end and begin, and at times the power goes."""
 
     def __init__(self) -> None:
-        self.disk, self.rev, self.longest = Disk(Random(3)), 0, 0
+        self.disk, self.revision, self.longest = Disk(Random(3)), 0, 0
         self.start()
 
     def start(self) -> None:
         self.journal = VirtualJournal(self.disk)
         records = self.journal.read()
-        self.replica = ReplicaState(SETTINGS, cast(Any, self.journal))
+        self.replica = LocalReplica(SETTINGS, cast(Any, self.journal))
         self.replica.load(records)
-        self.compaction = Compaction(self.journal, self.replica.live_records, self.replica.live_bytes, REWRITE)
+        self.compaction = Compaction(self.journal, self.replica.live_records, self.replica.live_bytes, REWRITE_LIMITS)
         self.clock = TombstoneClock(lambda: self.replica.store)
         self.clock.begin_period(self.replica.loop.time())
 
-    async def write(self, changes: list[tuple[str, bytes]]) -> None:
+    async def write(self, changes: Sequence[tuple[str, bytes]]) -> None:
         items = []
         for key, value in changes:
-            self.rev += 1
-            items.append(Item(key, self.rev, value))
+            self.revision += 1
+            items.append(Item(key, self.revision, value))
         self.replica.store.apply(items)
-        self.journal.append(ITEMS, encode(AppendItems(1, items)))
+        self.journal.append(JournalKind.ITEMS, encode(AppendItems(1, items)))
         assert await self.journal.sync()
-        self.replica.store.collect(collected_rev(self.replica.store))
+        self.replica.store.collect(revision_to_collect(self.replica.store))
         self.compaction.start_if_due()
         self.longest = max(self.longest, len(self.disk.data))
 
@@ -79,7 +81,7 @@
             live = store.bytes
             print(f"items {len(store.items)}, state {live} B, longest file {controller.longest} B", end=", ")
             self.assertLess(len(store.items), 4 * (PERIODS + 3) * 60 / CHANGE_S)
-            self.assertLess(controller.longest, REWRITE.bytes + 5 * live)
+            self.assertLess(controller.longest, REWRITE_LIMITS.bytes + 5 * live)
             receiver = Receiver()
             link = Link(receiver)
             began = loop.time()
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Duties: one holder for each server, a lease before each order, the next holder's wait (proxy/orders.py)."""
+"""Order leases: one holder for each server, a check before each order, the next holder's wait (proxy/orders.py)."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 from typing import Any
 from unittest import mock
 
-from otterreach.proxy.orders import LEASE_S, MARGIN_S, Orders, due, takeover_s
+from otterreach.proxy.orders import LEASE_S, MARGIN_S, WeightOrders, due_loads, takeover_wait_s
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.http import Reply
 from otterreach.runtime.http_client import NO_HEADERS
+from otterreach.runtime.records import ServerRecord, VersionRecord
 from otterreach.runtime.store import Item, ReplicatedStore
 from tests.virtual import VirtualLoop
 
@@ -24,6 +25,10 @@
     return SERVER | {"models": [{"name": "m", "gen": gen}]} | more
 
 
+def record(gen: int, **more: Any) -> ServerRecord:
+    return ServerRecord.decode(json.dumps(server(gen, **more)).encode())
+
+
 class Servers:
     """Stands in for the client: takes orders, has the version at the next report."""
 
@@ -72,26 +77,26 @@
     def setUp(self) -> None:
         self.loop = VirtualLoop()
         self.addCleanup(self.loop.close)
-        self.store, self.servers, self.age, self.rev = ReplicatedStore(), Servers(), 0.1, 0
+        self.store, self.servers, self.age, self.revision = ReplicatedStore(), Servers(), 0.1, 0
         self.told: list[Any] = []
 
     def put(self, key: str, value: Any) -> None:
-        self.rev += 1
-        self.store.apply([Item(key, self.rev, json.dumps(value).encode())])
+        self.revision += 1
+        self.store.apply([Item(key, self.revision, json.dumps(value).encode())])
 
-    def play(self, seconds: float) -> Orders:
+    def play(self, seconds: float) -> WeightOrders:
         told: list[Any] = self.told
 
-        async def ask_primary(ask: Any) -> Any:
+        async def call_primary(ask: Any) -> Any:
             told.append(ask)
             return True
 
-        async def run() -> Orders:
+        async def run() -> WeightOrders:
             follower = SimpleNamespace(age_s=lambda: self.age)
             node: Any = SimpleNamespace(
-                store=self.store, settings=SimpleNamespace(node="front-1"), follower=follower, ask_primary=ask_primary
+                store=self.store, settings=SimpleNamespace(node="front-1"), follower=follower, call_primary=call_primary
             )
-            orders = Orders(node, self.servers)
+            orders = WeightOrders(node, self.servers)
             task = asyncio.ensure_future(orders.run())
             await asyncio.sleep(seconds)
             task.cancel()
@@ -99,7 +104,7 @@
 
         return self.loop.run_until_complete(run())
 
-    def test_only_the_holder_orders_and_the_fence_is_the_duty_s_rev(self) -> None:
+    def test_only_the_holder_orders_and_the_fence_is_the_revision_of_the_lease(self) -> None:
         self.put("server/a", server(1))
         self.put("server/b", server(1, addr="127.0.0.1:2"))
         self.put("version/m", {"gen": 2})
@@ -127,8 +132,8 @@
         self.play(1.5)
         self.assertEqual(self.servers.orders, [])
 
-    def test_a_new_holder_waits_from_when_it_sees_the_duty(self) -> None:
-        wait_s = takeover_s(3.0, None)
+    def test_a_new_holder_waits_from_when_it_sees_the_lease(self) -> None:
+        wait_s = takeover_wait_s(3.0, None)
         self.put("server/a", server(1))
         self.put("version/m", {"gen": 2})
         self.put("duty/a", {"holder": "front-1", "wait_ms": int(wait_s * 1000)})
@@ -138,9 +143,9 @@
         self.assertEqual(len(self.servers.orders), 1)
 
     def test_the_wait_covers_the_old_holder_s_lease_and_the_users_bound(self) -> None:
-        self.assertGreaterEqual(takeover_s(3.0, None), 3.0 + LEASE_S)
-        self.assertEqual(takeover_s(3.0, 1e6), 0.0)
-        self.assertEqual(takeover_s(3.0, 1.0), 2.0 + MARGIN_S)
+        self.assertGreaterEqual(takeover_wait_s(3.0, None), 3.0 + LEASE_S)
+        self.assertEqual(takeover_wait_s(3.0, 1e6), 0.0)
+        self.assertEqual(takeover_wait_s(3.0, 1.0), 2.0 + MARGIN_S)
 
     def test_a_few_at_once_and_one_that_is_stuck_keeps_nobody_waiting(self) -> None:
         for n in range(8):
@@ -182,7 +187,7 @@
         self.servers.answers = [None]
         self.play(4.0)
         self.assertEqual(len(self.servers.orders), 1)
-        self.assertEqual([told.gen for told in self.told], [2])
+        self.assertEqual([told.version for told in self.told], [2])
 
     def test_an_order_without_an_answer_that_was_not_taken_is_sent_again_once_a_report_shows_it(self) -> None:
         """Under the same expectation: should the first one come after all, one of the two is refused."""
@@ -234,7 +239,7 @@
         self.servers.gens["127.0.0.1:1"] = 2
         self.play(1.0)
         self.assertEqual(self.servers.orders, [])
-        self.assertEqual([told.gen for told in self.told], [2])
+        self.assertEqual([told.version for told in self.told], [2])
 
     def test_without_a_report_nothing_is_ordered(self) -> None:
         self.one_server_due()
@@ -267,11 +272,12 @@
         self.assertEqual(len({a for a, _ in self.servers.orders}), 3)
 
     def test_the_order_of_servers_is_the_same_everywhere(self) -> None:
-        rows = {f"s{n}": server(1) for n in range(6)}
+        rows = {f"s{n}": record(1) for n in range(6)}
         other = dict(reversed(rows.items()))
-        self.assertEqual(due(rows, {"m": {"gen": 2}}), due(other, {"m": {"gen": 2}}))
-        self.assertEqual(due({"s": server(1, state="draining")}, {"m": {"gen": 2}}), [])
-        self.assertEqual(due({"s": server(2)}, {"m": {"gen": 2}}), [])
+        versions = {"m": VersionRecord(2)}
+        self.assertEqual(due_loads(rows, versions), due_loads(other, versions))
+        self.assertEqual(due_loads({"s": record(1, state="draining")}, versions), [])
+        self.assertEqual(due_loads({"s": record(2)}, versions), [])
 
 
 if __name__ == "__main__":
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -8,15 +8,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from otterreach.controller.planner import Part, Stores, initial_records, plan, synced
-from otterreach.controller.survival import Place, SurviveLimits
+from otterreach.controller.planner import StoreMembers, initial_records, plan, promote_learner
+from otterreach.controller.survival import FailureDomain, SurviveLimits
+from otterreach.runtime.records import PartitionRecord
 
 TWO = SurviveLimits(1)
 ZONES = {"a#1": "z1", "b#1": "z2", "c#1": "z3", "d#1": "z1"}
 
 
-def stores(*names: str, retiring: tuple[str, ...] = ()) -> Stores:
-    return Stores({n: Place(ZONES.get(n, "z1"), "r") for n in names}, frozenset(retiring))
+def stores(*names: str, retiring: tuple[str, ...] = ()) -> StoreMembers:
+    return StoreMembers({n: FailureDomain(ZONES.get(n, "z1"), "r") for n in names}, frozenset(retiring))
 
 
 class PlannerTest(unittest.TestCase):
@@ -34,36 +35,36 @@
         self.assertEqual(initial_records(16, TWO, stores("a#1")), {})
 
     def test_a_dead_primary_gives_way_to_a_living_backup_and_another_joins(self) -> None:
-        new = plan({0: Part(4, "a#1", ("b#1",))}, TWO, stores("b#1", "c#1"))[0]
+        new = plan({0: PartitionRecord(4, "a#1", ("b#1",))}, TWO, stores("b#1", "c#1"))[0]
         self.assertEqual((new.epoch, new.primary, new.backups, new.learners), (5, "b#1", ("a#1",), ("c#1",)))
-        done = synced(new, "c#1", TWO, stores("b#1", "c#1"))
+        done = promote_learner(new, "c#1", TWO, stores("b#1", "c#1"))
         self.assertEqual((done.primary, done.backups, done.learners), ("b#1", ("c#1",), ()))
 
     def test_all_held_dead_one_after_the_other_leaves_whoever_has_all_in_the_record(self) -> None:
-        records = {0: Part(4, "a#1", ("b#1",))}
+        records = {0: PartitionRecord(4, "a#1", ("b#1",))}
         records |= plan(records, TWO, stores("b#1"))
         self.assertEqual(plan(records, TWO, stores()), {})
         records |= plan(records, TWO, stores("a#1", "b#2"))  # b has lost its disk
         self.assertEqual(records[0].primary, "a#1")
 
     def test_a_dead_backup_stays_until_a_joiner_has_all(self) -> None:
-        new = plan({0: Part(4, "a#1", ("b#1",))}, TWO, stores("a#1", "c#1"))[0]
+        new = plan({0: PartitionRecord(4, "a#1", ("b#1",))}, TWO, stores("a#1", "c#1"))[0]
         self.assertEqual((new.primary, new.backups, new.learners), ("a#1", ("b#1",), ("c#1",)))
-        done = synced(new, "c#1", TWO, stores("a#1", "c#1"))
+        done = promote_learner(new, "c#1", TWO, stores("a#1", "c#1"))
         self.assertEqual((done.epoch, done.backups, done.learners), (6, ("c#1",), ()))
 
     def test_with_no_member_alive_nothing_changes(self) -> None:
-        self.assertEqual(plan({0: Part(4, "a#1", ("b#1",))}, TWO, stores("c#1", "d#1")), {})
+        self.assertEqual(plan({0: PartitionRecord(4, "a#1", ("b#1",))}, TWO, stores("c#1", "d#1")), {})
 
     def test_a_wiped_member_is_another_and_never_takes_over(self) -> None:
-        new = plan({0: Part(4, "a#1", ("b#1",))}, TWO, stores("a#2", "b#1"))[0]
+        new = plan({0: PartitionRecord(4, "a#1", ("b#1",))}, TWO, stores("a#2", "b#1"))[0]
         self.assertEqual((new.primary, new.learners), ("b#1", ("a#2",)))
 
     def test_a_retiring_member_leaves_only_after_another_has_all(self) -> None:
-        record = Part(1, "a#1", ("b#1",))
+        record = PartitionRecord(1, "a#1", ("b#1",))
         new = plan({0: record}, TWO, stores("a#1", "b#1", "c#1", retiring=("a#1",)))[0]
         self.assertEqual((new.members, new.learners), (record.members, ("c#1",)))
-        done = synced(new, "c#1", TWO, stores("a#1", "b#1", "c#1", retiring=("a#1",)))
+        done = promote_learner(new, "c#1", TWO, stores("a#1", "b#1", "c#1", retiring=("a#1",)))
         self.assertEqual(set(done.members), {"b#1", "c#1"})
 
     def test_a_new_archivist_gets_its_share_and_then_all_is_calm(self) -> None:
@@ -76,7 +77,7 @@
             records |= changes
             for n, record in list(records.items()):
                 for joiner in record.learners:
-                    records[n] = synced(records[n], joiner, TWO, all_of)
+                    records[n] = promote_learner(records[n], joiner, TWO, all_of)
         self.assertEqual(changes, {})
         load = Counter(m for r in records.values() for m in r.members)
         self.assertLessEqual(max(load.values()) - min(load.values()), 3)
@@ -97,7 +98,7 @@
             if sync:
                 for n, record in list(records.items()):
                     if record.primary in living and record.learners:
-                        records[n] = synced(record, record.learners[0], TWO, now)
+                        records[n] = promote_learner(record, record.learners[0], TWO, now)
                         self.assertGreaterEqual(len(records[n].members), 2)
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,7 +19,7 @@
 from otterreach.sidecar.config import Address, ConfigError, load
 from tests.net import OK, Endpoint, exchange, limited, member, raw_call, read_response, until, write_config
 
-NOWHERE = Address("127.0.0.1", 1)
+NO_POSITION = Address("127.0.0.1", 1)
 
 
 def free_port() -> int:
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("name", ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG"])
 @pytest.mark.parametrize("value", ["", "nonsense"])
 def test_a_bad_variable_is_named(tmp_path: Path, name: str, value: str) -> None:
-    env = write_config(tmp_path, NOWHERE, [])
+    env = write_config(tmp_path, NO_POSITION, [])
     env[name] = value
     if (name, value) == ("LB_NAME", "nonsense"):
         assert load(env).name == "nonsense"
@@ -62,7 +62,7 @@
     ],
 )
 def test_a_bad_key_is_named(tmp_path: Path, path: list[str], value: object) -> None:
-    env = write_config(tmp_path, NOWHERE, [])
+    env = write_config(tmp_path, NO_POSITION, [])
     file = Path(env["LB_CONFIG"])
     raw = json.loads(file.read_text())
     place = raw
@@ -75,7 +75,7 @@
 
 
 def test_a_configuration_without_classes_is_named(tmp_path: Path) -> None:
-    env = write_config(tmp_path, NOWHERE, [])
+    env = write_config(tmp_path, NO_POSITION, [])
     file = Path(env["LB_CONFIG"])
     raw = json.loads(file.read_text())
     raw["settings"]["request-classes"] = []
@@ -89,7 +89,7 @@
 
 
 def test_no_value_anywhere_in_the_file_ends_in_anything_but_a_named_error(tmp_path: Path) -> None:
-    env = write_config(tmp_path, NOWHERE, [member("s-0", NOWHERE)])
+    env = write_config(tmp_path, NO_POSITION, [member("s-0", NO_POSITION)])
     file = Path(env["LB_CONFIG"])
     good = file.read_text()
 
@@ -121,9 +121,9 @@
 
 
 def test_one_start_is_always_the_same_start_and_long_ago_stays_so(tmp_path: Path) -> None:
-    names = load(write_config(tmp_path, NOWHERE, [])).names
+    names = load(write_config(tmp_path, NO_POSITION, [])).names
     rows = [
-        names.member_list({"revision": 1, "complete": True, "members": [member("a", NOWHERE, up_since_ms=ms)]})
+        names.member_list({"revision": 1, "complete": True, "members": [member("a", NO_POSITION, up_since_ms=ms)]})
         for ms in (1_700_000_000_000, 1_700_000_000_000, 0)
     ]
     starts = [row.members[0].row.started_ns for row in rows]
@@ -163,7 +163,7 @@
         taken.bind(("127.0.0.1", 0))
         taken.listen()
         listen = f"127.0.0.1:{taken.getsockname()[1]}"
-        for env, name in (({}, b"LB_CONFIG"), (write_config(tmp_path, NOWHERE, [], listen), b"LB_LISTEN")):
+        for env, name in (({}, b"LB_CONFIG"), (write_config(tmp_path, NO_POSITION, [], listen), b"LB_LISTEN")):
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "otterreach.sidecar", env=bare | env, stderr=asyncio.subprocess.PIPE
             )
@@ -182,7 +182,7 @@
 
     async with Endpoint(held).serve() as endpoint:
         listen = f"127.0.0.1:{free_port()}"
-        env = write_config(tmp_path, NOWHERE, [member("s-0", endpoint.address)], listen)
+        env = write_config(tmp_path, NO_POSITION, [member("s-0", endpoint.address)], listen)
         process, address = await start(env), Address.parse(listen)
         idle_reader, idle = await asyncio.open_connection(*address)
         idle.write(b"GET /healthz HTTP/1.1\r\n\r\n")
@@ -206,7 +206,7 @@
 async def test_a_connection_that_says_nothing_does_not_hold_up_the_end(tmp_path: Path) -> None:
     async with Endpoint().serve() as endpoint:
         listen = f"127.0.0.1:{free_port()}"
-        process = await start(write_config(tmp_path, NOWHERE, [member("s-0", endpoint.address)], listen))
+        process = await start(write_config(tmp_path, NO_POSITION, [member("s-0", endpoint.address)], listen))
         _, silent = await asyncio.open_connection(*Address.parse(listen))
         process.send_signal(signal.SIGTERM)
         await process.communicate()
@@ -220,7 +220,7 @@
 ) -> None:
     async with Endpoint().serve() as endpoint:
         listen = f"127.0.0.1:{free_port()}"
-        process = await start(write_config(tmp_path, NOWHERE, [member("s-0", endpoint.address)], listen))
+        process = await start(write_config(tmp_path, NO_POSITION, [member("s-0", endpoint.address)], listen))
         reader, writer = await asyncio.open_connection(*Address.parse(listen))
         _, never = await asyncio.open_connection(*Address.parse(listen))
         data = raw_call("once", body=b"abc")
--- a/tests/test_proxy_parts.py
+++ b/tests/test_proxy_parts.py
@@ -8,16 +8,16 @@
 from random import Random
 from typing import Any
 
-from otterreach.jobstore.messages import EndJob, ItemBody, ReadItem, ReadJob, Results, Submit
-from otterreach.proxy import config
+from otterreach.jobstore.messages import EndJob, ItemBody, JobResults, ReadItem, ReadJob, SubmitJob
 from otterreach.proxy.batch_jobs import BatchJobs, is_batch_job_call
-from otterreach.proxy.config import Caps, host_key
 from otterreach.proxy.directory import JobStoreDirectory
 from otterreach.proxy.draw import FORGET_S, MOST, Draw, Estimate
 from otterreach.proxy.events import EventReader, Transcript, versions_of
 from otterreach.proxy.ingress import Client, Ingress
 from otterreach.proxy.node import Proxy
+from otterreach.runtime import configuration as config
 from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.configuration import Caps, ConfigurationRecord, host_key
 from otterreach.runtime.rpc import Done
 from tests import virtual
 from tests.proxy_support import Caller, FakeEndpoint, World, list_job_store_node, played, route, serve, settings
@@ -132,7 +132,8 @@
 
     def test_a_split_without_the_weights_of_0(self) -> None:
         split = [{"backend": "one", "weight": 0}, {"backend": "two", "weight": 5}]
-        read = config.read({"gen": 1, "routes": [route(backend=None, split=split)], "backends": []})
+        document = {"gen": 1, "routes": [route(backend=None, split=split)], "backends": []}
+        read = config.read(ConfigurationRecord(document))
         self.assertEqual(read.routes[0].split, (("two", 5.0),))
         self.assertFalse(read.routes[0].allows("one"))
 
@@ -198,7 +199,7 @@
 
             async def main(answers: list[Any] = answers) -> int:
                 calls = Calls()
-                calls.tell(Submit, *answers)
+                calls.tell(SubmitJob, *answers)
                 status, _ = await calls.ask("POST", "/l/7", body=b'{"reqs":[]}')
                 return status
 
@@ -208,9 +209,11 @@
     @played
     async def test_a_submission_is_held_no_longer_than_its_route_allows(self: Any) -> None:
         calls = Calls()
-        raw = dict(calls.world.store.get("config")["routes"][0])
+        record = calls.world.store.record(ConfigurationRecord)
+        assert record is not None
+        raw = dict(record.document["routes"][0])
         calls.world.configure([raw | {"timeoutMs": 200}])
-        calls.tell(Submit, *[Failure(Code.NOT_PRIMARY, "")] * 100)
+        calls.tell(SubmitJob, *[Failure(Code.NOT_PRIMARY, "")] * 100)
         began = calls.world.loop.time()
         status, _ = await calls.ask("POST", "/l/7", body=b'{"reqs":[]}')
         self.assertEqual(status, 503)
@@ -226,13 +229,13 @@
     @played
     async def test_results(self: Any) -> None:
         calls = Calls()
-        calls.tell(ReadJob, Results(9, 3, b'{"id":"a"},{"id":"b"}'))
+        calls.tell(ReadJob, JobResults(9, 3, b'{"id":"a"},{"id":"b"}'))
         status, body = await calls.ask("GET", "/lots/j1?past=1", head="Wait-Ms: 1000\r\n")
         self.assertEqual(
             (status, json.loads(body)), (200, {"total": 9, "nextCursor": 3, "results": [{"id": "a"}, {"id": "b"}]})
         )
         ask = calls.endpoint.calls[0]
-        self.assertEqual((ask.job, ask.past, ask.wait_ms), ("j1", 1, 1000))
+        self.assertEqual((ask.job, ask.offset, ask.wait_ms), ("j1", 1, 1000))
 
     def test_404_only_on_the_word_of_who_serves_it(self) -> None:
         for kind, method, path in (
--- a/tests/test_proxy_requests.py
+++ b/tests/test_proxy_requests.py
@@ -6,10 +6,10 @@
 import unittest
 from typing import Any
 
-from otterreach.proxy.config import Caps
 from otterreach.proxy.ingress import Ingress
 from otterreach.proxy.requests import Requests, path_of, text
 from otterreach.proxy.streams import Streams
+from otterreach.runtime.configuration import Caps
 from tests import virtual
 from tests.proxy_support import (
     HOST,
--- a/tests/test_proxy_runner.py
+++ b/tests/test_proxy_runner.py
@@ -8,8 +8,8 @@
 from math import ceil
 from typing import Any
 
-from otterreach.jobstore.messages import CancelJob, Finished, GiveBack, ProxyPing, Running
-from otterreach.jobstore.placement import RUNNER_ROOM
+from otterreach.jobstore.messages import CancelJob, ItemFinished, ProxyPing, ReturnItems, RunningItems
+from otterreach.jobstore.placement import RUNNER_SLOTS_SHARE
 from otterreach.proxy.item_placement import ROUTE_GONE_S
 from otterreach.proxy.item_queue import ITEMS_PER_CORE
 from otterreach.proxy.item_run import Phase
@@ -59,7 +59,7 @@
     async def begin(self) -> None:
         await asyncio.sleep(0.01)
 
-    async def result(self, within_s: float = 20.0) -> Finished:
+    async def result(self, within_s: float = 20.0) -> ItemFinished:
         end = self.loop.time() + within_s
         while not self.endpoint.finished and self.loop.time() < end:
             await asyncio.sleep(0.01)
@@ -328,7 +328,7 @@
 
     @staged()
     async def test_told_until_it_is_taken(self, stage: Stage) -> None:
-        stage.endpoint.answers[Finished] = [
+        stage.endpoint.answers[ItemFinished] = [
             Failure(Code.NOT_PRIMARY, ""),
             Failure(Code.TIMED_OUT, ""),
             Failure(Code.CLOSED, ""),
@@ -339,7 +339,7 @@
 
     @staged()
     async def test_told_no_more_once_that_is_final(self, stage: Stage) -> None:
-        stage.endpoint.answers[Finished] = [Failure(Code.JOB_ENDED, "")]
+        stage.endpoint.answers[ItemFinished] = [Failure(Code.JOB_ENDED, "")]
         stage.server("i-1", writes(2))
         stage.runner.assign(assign([work()]))
         await asyncio.sleep(2.0)
@@ -445,7 +445,7 @@
         await asyncio.sleep(0.3)
         stage.endpoint.epoch = 2
         await asyncio.sleep(0.3)
-        told = [m for m in stage.endpoint.to.sent if isinstance(m, Running) and m.items]
+        told = [m for m in stage.endpoint.to.sent if isinstance(m, RunningItems) and m.items]
         self.assertEqual([(m.node, m.items) for m in told], [("front-0", ["j1 i1"])])
 
 
@@ -478,7 +478,7 @@
         await asyncio.sleep(0.1)
         await stage.runner.leave(4.0)
         self.assertEqual(sorted(f.item for f in stage.endpoint.finished), ["i0", "i1"])
-        back = [m for m in stage.endpoint.to.sent if isinstance(m, GiveBack)]
+        back = [m for m in stage.endpoint.to.sent if isinstance(m, ReturnItems)]
         self.assertEqual([(m.job, m.items) for m in back], [("j1", ["i2", "i3"])])
 
     @staged()
@@ -487,7 +487,7 @@
         stage.runner.assign(assign([work()]))
         await asyncio.sleep(0.1)
         await stage.runner.leave(1.0)
-        back = [m for m in stage.endpoint.to.sent if isinstance(m, GiveBack)]
+        back = [m for m in stage.endpoint.to.sent if isinstance(m, ReturnItems)]
         self.assertEqual([(m.job, m.items) for m in back], [("j1", ["i1"])])
         self.assertEqual(stage.runner.runs, {})
 
@@ -520,7 +520,7 @@
         self.assertEqual((pings[-1].slots, pings[-1].free, pings[-1].jobs), (stage.runner.slots, 0, ["j1"]))
         stage.world.fronts(4)
         await asyncio.sleep(0)
-        self.assertEqual(stage.runner.fleet.runners, ceil(60 * RUNNER_ROOM / stage.runner.slots))
+        self.assertEqual(stage.runner.fleet.runners, ceil(60 * RUNNER_SLOTS_SHARE / stage.runner.slots))
 
     @staged()
     async def test_what_is_due_first_goes_first(self, stage: Stage) -> None:
--- a/tests/test_proxy_sockets.py
+++ b/tests/test_proxy_sockets.py
@@ -8,10 +8,10 @@
 from contextlib import suppress
 from typing import Any
 
-from otterreach.proxy.config import Caps
 from otterreach.proxy.exchange import Exchange, Fate, Outbound, Outcome
 from otterreach.proxy.ingress import Client, Ingress
 from otterreach.proxy.pools import Pool
+from otterreach.runtime.configuration import Caps
 from tests.proxy_support import SEAL
 
 
--- a/tests/test_proxy_start.py
+++ b/tests/test_proxy_start.py
@@ -19,11 +19,11 @@
 
         async def scene() -> float:
             proxy: Any = Proxy.__new__(Proxy)
-            proxy.fleet = SimpleNamespace(config=SimpleNamespace(number=0))
+            proxy.fleet = SimpleNamespace(config=SimpleNamespace(version=0))
             proxy._configured = asyncio.Event()
 
             def known() -> None:
-                proxy.fleet.config.number = 1
+                proxy.fleet.config.version = 1
                 proxy._on_change()
 
             proxy._on_change()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -11,7 +11,7 @@
 
 from otterreach.runtime.codec import encode
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.relay import OLD_S, SILENT_S, Changes, Follow, Follower, Relay, StillThere
+from otterreach.runtime.relay import MAX_AGE_S, PARENT_TIMEOUT_S, Changes, Follow, Follower, FreshnessProbe, Relay
 from otterreach.runtime.settings import read
 from otterreach.runtime.store import Item, ReplicatedStore
 from tests.virtual import VirtualLoop
@@ -26,7 +26,7 @@
 
     def send(self, value: Any) -> None:
         parent = self.net.parents[self.address]
-        if isinstance(value, StillThere) and parent.answers:
+        if isinstance(value, FreshnessProbe) and parent.answers:
             reply = parent.changes([], value.sent_ms)
             asyncio.ensure_future(self.net.handlers[Changes](self, reply)).add_done_callback(lambda _: None)
 
@@ -39,7 +39,7 @@
 
     def changes(self, items: list[Item], asked_ms: int = 0) -> Changes:
         age = max(0.0, self.net.time() - self.cut_at) + 0.1
-        return Changes(int(age * 1000), self.store.rev, items, self.store.digest, asked_ms)
+        return Changes(int(age * 1000), self.store.revision, items, self.store.digest, asked_ms)
 
 
 class Net:
@@ -97,9 +97,9 @@
             net.parents[first].cut_at = net.time()
             await asyncio.sleep(0.5)
             net.put(Item("config", 2, b'{"gen": 2}'))
-            await asyncio.sleep(OLD_S + 1.3)
+            await asyncio.sleep(MAX_AGE_S + 1.3)
             self.assertNotEqual(follower.parent, first)
-            self.assertEqual(follower.store.items["config"].rev, 2)
+            self.assertEqual(follower.store.items["config"].revision, 2)
             self.assertLess(follower.age_s(), 0.5)
 
         for seed in range(12):
@@ -111,9 +111,9 @@
             first = follower.parent
             net.parents[first].answers = False
             net.put(Item("config", 2, b'{"gen": 2}'))
-            await asyncio.sleep(SILENT_S + 1.2)
+            await asyncio.sleep(PARENT_TIMEOUT_S + 1.2)
             self.assertNotEqual(follower.parent, first)
-            self.assertEqual(follower.store.items["config"].rev, 2)
+            self.assertEqual(follower.store.items["config"].revision, 2)
 
         for seed in range(12):
             with self.subTest(seed):
@@ -155,7 +155,7 @@
 
             async def call(address: str, ask: Any, timeout_s: float) -> Any:
                 nonlocal largest
-                reply = await relay._follow(net.links[address], ask)
+                reply = await relay.handle_follow(net.links[address], ask)
                 size = len(encode(reply))
                 largest = max(largest, size)
                 try:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -26,7 +26,7 @@
 )
 from tests.net import world as sidecar_world
 from tests.test_endpoints import say_nothing
-from tests.test_program import NOWHERE, free_port, start
+from tests.test_program import NO_POSITION, free_port, start
 
 
 def name_discovery(file: Path, address: Address) -> None:
@@ -75,7 +75,7 @@
 async def test_sighup_at_awkward_moments_does_no_harm(tmp_path: Path) -> None:
     """Before the program is ready, and over and over until it has ended."""
     async with Endpoint(say_nothing).serve() as endpoint:
-        env = write_config(tmp_path, NOWHERE, [member("s-0", endpoint.address)], f"127.0.0.1:{free_port()}")
+        env = write_config(tmp_path, NO_POSITION, [member("s-0", endpoint.address)], f"127.0.0.1:{free_port()}")
         process = await start(env)
         call = asyncio.create_task(exchange(Address.parse(env["LB_LISTEN"]), raw_call("once", left_ms=300)))
         await until(lambda: len(endpoint.requests) == 1)
--- a/tests/test_retire.py
+++ b/tests/test_retire.py
@@ -9,20 +9,21 @@
 from typing import Any
 
 from otterreach.controller.api.retirement import RetirementResource
-from otterreach.controller.messages import Operate, Operated
-from otterreach.controller.planner import Part, Stores
-from otterreach.controller.survival import Place, SurviveLimits
+from otterreach.controller.messages import ApiCall, ApiResponse
+from otterreach.controller.planner import StoreMembers
+from otterreach.controller.survival import FailureDomain, SurviveLimits
+from otterreach.runtime.records import PartitionRecord, RetirementRecord
 from otterreach.runtime.store import Item, ReplicatedStore
 from tests.virtual import run
 
 ZONES = {"s1#d": "a", "s2#d": "a", "s3#d": "b", "s4#d": "b"}
 
 
-class Control:
+class ControlReplication:
     """What is revised is known here at once, and committed only when `commit` is called."""
 
     def __init__(self, published: ReplicatedStore) -> None:
-        self.state, self.published, self.rev = ReplicatedStore(), published, 0
+        self.state, self.published, self.revision = ReplicatedStore(), published, 0
 
     async def confirm(self) -> bool:
         return True
@@ -30,10 +31,10 @@
     async def committed(self) -> bool:
         return True
 
-    def revise(self, changes: list[tuple[str, bytes]]) -> asyncio.Future[bool]:
+    def propose(self, changes: list[tuple[str, bytes]]) -> asyncio.Future[bool]:
         for key, value in changes:
-            self.rev += 1
-            self.state.apply([Item(key, self.rev, value)])
+            self.revision += 1
+            self.state.apply([Item(key, self.revision, value)])
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         future.set_result(True)
         return future
@@ -45,7 +46,7 @@
 class Stage:
     def __init__(self, zones: int = 0, names: str = "s1 s2 s3 s4") -> None:
         self.store = ReplicatedStore()
-        self.control = Control(self.store)
+        self.control = ControlReplication(self.store)
         control: Any = self.control
         self.living = {f"{name}#d" for name in names.split()}
         self.settled = True
@@ -53,26 +54,28 @@
         for name in names.split():
             self.put(f"member/{name}", {"role": "store", "disk": "d", "zone": ZONES[f"{name}#d"], "region": "r"})
 
-    def stores(self) -> Stores | None:
-        retiring = {f"{node}#{r['disk']}" for node, r in self.control.state.named("retire").items()}
-        places = {m: Place(ZONES.get(m, "a"), "r") for m in sorted(self.living)}
-        return Stores(places, frozenset(retiring & self.living)) if self.settled else None
+    def stores(self) -> StoreMembers | None:
+        orders = self.control.state.records(RetirementRecord)
+        retiring = {f"{node}#{order.disk}" for node, order in orders.items()}
+        places = {m: FailureDomain(ZONES.get(m, "a"), "r") for m in sorted(self.living)}
+        return StoreMembers(places, frozenset(retiring & self.living)) if self.settled else None
 
     def put(self, key: str, value: Any, commit: bool = True) -> None:
-        self.control.revise([(key, json.dumps(value).encode())])
+        self.control.propose([(key, json.dumps(value).encode())])
         if commit:
             self.control.commit()
 
     def part(self, epoch: int, *members: str, learners: tuple[str, ...] = (), commit: bool = True) -> None:
-        self.put("part/0", Part(epoch, members[0], members[1:], learners).json(), commit)
+        record = PartitionRecord(epoch, members[0], members[1:], learners)
+        self.put("part/0", json.loads(record.encode()), commit)
 
     async def begin(self, node: str = "s1") -> int:
-        reply: Operated = await self.resource.handle(Operate("POST", f"/retire/{node}", "", b""))
+        reply: ApiResponse = await self.resource.handle(ApiCall("POST", f"/retire/{node}", "", b""))
         self.control.commit()
         return reply.status
 
     async def state(self, node: str = "s1") -> str:
-        reply = await self.resource.handle(Operate("GET", f"/retire/{node}", "", b""))
+        reply = await self.resource.handle(ApiCall("GET", f"/retire/{node}", "", b""))
         return str(json.loads(reply.body)["state"])
 
 
@@ -158,7 +161,7 @@
             stage.living = {"s1#e", "s2#d", "s3#d", "s4#d"}
             stage.put("member/s1", {"role": "store", "disk": "e", "zone": "a", "region": "r"})
             self.assertEqual(200, await stage.begin())
-            self.assertEqual({"disk": "e"}, stage.control.state.get("retire/s1"))
+            self.assertEqual(RetirementRecord("e"), stage.control.state.record(RetirementRecord, "s1"))
 
         play(scene)
 
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -7,11 +7,13 @@
 from typing import Any
 
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.rpc import RETIRED_LEAST_S, RETIRED_MOST_S, Done, Endpoint, Link, Refused
+from otterreach.runtime.node import MemberShutdown
+from otterreach.runtime.rpc import RETIRED_MAX_S, RETIRED_MIN_S, Done, Endpoint, FailureReply, Link
 from tests import virtual
 from tests.virtual import MemoryLoop
 
 ADDRESS = "10.0.0.2:5"
+REQUEST = MemberShutdown("node", "disk")
 
 
 class Pair:
@@ -21,16 +23,16 @@
         self.near, self.far = Endpoint(), Endpoint()
         self.wait_s = 0.0
         self.asked = 0
-        self.far.on(Done, self._answer)
-        self.near.on(Done, self._answer)
+        self.far.on(MemberShutdown, self._answer)
+        self.near.on(MemberShutdown, self._answer)
 
-    async def _answer(self, link: Link, ask: Done) -> Done:
+    async def _answer(self, link: Link, request: MemberShutdown) -> Done:
         self.asked += 1
         await asyncio.sleep(self.wait_s)
         return Done()
 
     async def call(self, timeout_s: float = 1.0) -> Any:
-        return await self.near.call(ADDRESS, Done(), timeout_s)
+        return await self.near.call(ADDRESS, REQUEST, timeout_s)
 
     @property
     def open(self) -> tuple[int, int]:
@@ -52,8 +54,8 @@
         for _ in range(200):
             reply = await pair.call(0.1)
             assert isinstance(reply, Failure) and reply.code is Code.TIMED_OUT
-        assert pair.open[0] <= RETIRED_LEAST_S / 0.1 + 2
-        await asyncio.sleep(RETIRED_MOST_S + 1.0)
+        assert pair.open[0] <= RETIRED_MIN_S / 0.1 + 2
+        await asyncio.sleep(RETIRED_MAX_S + 1.0)
         assert pair.open == (0, 0)
 
     play(main)
@@ -78,7 +80,7 @@
         await pair.call()
         pair.wait_s = 4.0
         (back,) = pair.far.links
-        long = asyncio.ensure_future(back.call(Done(), 6.0))
+        long = asyncio.ensure_future(back.call(REQUEST, 6.0))
         await asyncio.sleep(0.1)
         reply = await pair.call(0.5)
         assert isinstance(reply, Failure)
@@ -102,10 +104,10 @@
 
 def test_a_code_of_a_newer_process_is_a_failure_of_that_call_alone() -> None:
     async def main(pair: Pair) -> None:
-        async def refuse(link: Link, ask: Done) -> Refused:
-            return Refused(9999, "new")
+        async def refuse(link: Link, request: MemberShutdown) -> FailureReply:
+            return FailureReply(9999, "new")
 
-        pair.far.on(Done, refuse)
+        pair.far.on(MemberShutdown, refuse)
         reply = await pair.call()
         assert isinstance(reply, Failure) and reply.maybe_done
         assert pair.open == (1, 1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -151,7 +151,7 @@
     def do_peer(self, _: Any) -> None:
         draw = self.draw
         slow, queue = draw.choice((0.1, 1.0, 50.0)), draw.choice((0.0, 9.0))
-        seen = [api.Sighting(n * 7919, slow, queue, draw.randrange(SECOND)) for n in range(1, 9)]
+        seen = [api.LastHeartbeat(n * 7919, slow, queue, draw.randrange(SECOND)) for n in range(1, 9)]
         if self.now < self.end and self.cfg.may_message:
             self.at(self.now + draw.choice((TICK, SECOND)), "peer")
             self.tell(api.PeerMessage(1, draw.random(), tuple(seen)))
--- a/tests/test_scaletest.py
+++ b/tests/test_scaletest.py
@@ -10,10 +10,11 @@
 from pathlib import Path
 from typing import Any
 
-from otterreach.controller.api.servers import read_server
+from otterreach.controller.api.servers import read_heartbeat
 from otterreach.controller.config import check_whole
 from otterreach.runtime import settings
 from otterreach.runtime.codes import Failure
+from otterreach.runtime.records import MemberRecord, OrderLeaseRecord, ServerRecord
 from otterreach.runtime.rpc import Done
 from otterreach.runtime.store import Item, ReplicatedStore
 from otterreach.scaletest import cost, hollow, meter, processes, size, table
@@ -61,9 +62,9 @@
     def test_registrations_are_read_and_fit_a_heartbeat(self) -> None:
         bodies = [json.dumps(size.registration(n, 1)).encode() for n in range(1800)]
         self.assertLess(max(map(len, bodies)), 4096)
-        read = [read_server(body) for body in bodies]
+        read = [read_heartbeat(body) for body in bodies]
         self.assertFalse([r for r in read if isinstance(r, Failure)])
-        self.assertEqual(len({r["addr"] for r in read if isinstance(r, dict)}), 1800)
+        self.assertEqual(len({r.address for r in read if isinstance(r, ServerRecord)}), 1800)
         self.assertEqual(len({size.server_id(n) for n in range(1800)}), 1800)
 
 
@@ -119,8 +120,8 @@
         self.store = ReplicatedStore()
         self.view = hollow.FollowerView("front-1", self.store, 2, 1, self.told.append)
 
-    def put(self, key: str, rev: int, value: dict[str, Any]) -> None:
-        self.store.apply([Item(key, rev, json.dumps(value).encode())])
+    def put(self, key: str, revision: int, value: dict[str, Any]) -> None:
+        self.store.apply([Item(key, revision, json.dumps(value).encode())])
 
     def test_tells_once_that_it_knows_all(self) -> None:
         self.put("server/a", 1, size.registration(1, 1))
@@ -165,14 +166,14 @@
 class CostTest(unittest.TestCase):
     def test_the_state_has_the_size(self) -> None:
         store = cost.store_of(20, 3)
-        self.assertEqual(len(store.named("server")), 20)
-        self.assertEqual(len(store.named("duty")), 20)
-        self.assertEqual(len(store.named("member")), 3)
+        self.assertEqual(len(store.records(ServerRecord)), 20)
+        self.assertEqual(len(store.records(OrderLeaseRecord)), 20)
+        self.assertEqual(len(store.records(MemberRecord)), 3)
 
-    def test_what_it_times_is_what_a_carrier_does(self) -> None:
+    def test_what_it_times_is_what_a_proxy_does(self) -> None:
         async def work() -> None:
             orders = cost.orders_of(cost.store_of(6, 2), "front-1")
-            self.assertEqual(len(orders.mine()), 3)
+            self.assertEqual(len(orders.leased_servers()), 3)
             orders.step()
             self.assertEqual(orders.loading, {})
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -10,17 +10,20 @@
 from typing import Any
 from unittest import mock
 
-from otterreach.controller.replication import Control
+from otterreach.controller.replication import ControlReplication
 from otterreach.controller.snapshot import SnapshotReceiver
 from otterreach.jobstore.leadership import PartitionLeader
 from otterreach.runtime import rpc
 from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.node import MemberShutdown
 from otterreach.runtime.rpc import Done, Endpoint, Link
 from otterreach.simulation import control, faults, jobs, registration
 from otterreach.simulation.disk import Disk, VirtualJournal
 from otterreach.simulation.loop import Process, Stalled, VirtualLoop
 from otterreach.simulation.net import Network
 
+REQUEST = MemberShutdown("node", "disk")
+
 
 class Pair:
     """Two processes with endpoints: `far` answers Done, and keeps what it was told."""
@@ -35,10 +38,10 @@
 
     async def serve(self) -> None:
         endpoint = self.server = Endpoint()
-        endpoint.on(Done, self._take)
+        endpoint.on(MemberShutdown, self._take)
         await endpoint.listen("10.0.0.2", 5)
 
-    async def _take(self, link: Link, ask: Done) -> Done:
+    async def _take(self, link: Link, request: MemberShutdown) -> Done:
         self.told.append(self.loop.time())
         return Done()
 
@@ -51,7 +54,7 @@
         self.loop.run(both())
 
     async def call(self, timeout_s: float = 1.0) -> Any:
-        return await self.end.call("10.0.0.2:5", Done(), timeout_s)
+        return await self.end.call("10.0.0.2:5", REQUEST, timeout_s)
 
 
 class LoopTest(unittest.TestCase):
@@ -123,7 +126,8 @@
     def test_nobody_listens(self) -> None:
         async def work(pair: Pair) -> None:
             pair.net.machine("10.0.0.3")
-            reply = await pair.end.call("10.0.0.3:5", Done(), 1.0)
+            reply = await pair.end.call("10.0.0.3:5", REQUEST, 1.0)
+            assert isinstance(reply, Failure)
             self.assertEqual(Code.UNREACHABLE, reply.code)
 
         Pair().play(work)
@@ -219,14 +223,14 @@
         async def work(pair: Pair) -> None:
             got: list[int] = []
 
-            async def take(link: Link, ask: rpc.Refused) -> None:
+            async def take(link: Link, ask: rpc.FailureReply) -> None:
                 got.append(ask.code)
 
-            pair.server.on(rpc.Refused, take)
+            pair.server.on(rpc.FailureReply, take)
             link = await pair.end.link("10.0.0.2:5")
             assert isinstance(link, Link)
             for number in range(200):
-                link.send(rpc.Refused(number, ""))
+                link.send(rpc.FailureReply(number, ""))
             await asyncio.sleep(1.0)
             self.assertEqual(list(range(200)), got)
 
@@ -239,16 +243,16 @@
             pair, got = Pair(seed), list[int]()
 
             async def work(pair: Pair = pair, got: list[int] = got) -> None:
-                async def take(link: Link, ask: rpc.Refused) -> None:
+                async def take(link: Link, ask: rpc.FailureReply) -> None:
                     got.append(ask.code)
 
-                pair.server.on(rpc.Refused, take)
+                pair.server.on(rpc.FailureReply, take)
                 links = [await Endpoint().link("10.0.0.2:5") for _ in range(2)]
                 pair.net.freeze(pair.far, late=False)
                 for number in range(4):
                     link = links[number % 2]
                     assert isinstance(link, Link)
-                    link.send(rpc.Refused(number, ""))
+                    link.send(rpc.FailureReply(number, ""))
                     await asyncio.sleep(0.1)
                 pair.net.thaw(pair.far)
                 await asyncio.sleep(0.5)
@@ -352,18 +356,18 @@
             self.replica.promised = max(self.replica.promised, ask.number)
             return Done()
 
-        with mock.patch.object(SnapshotReceiver, "commit", commit):
+        with mock.patch.object(SnapshotReceiver, "handle_commit", commit):
             self.assertNotEqual("", self.found(control.run, 8))
 
     def test_read_without_asking_the_backups(self) -> None:
         """A primary that was frozen answers with its old configuration: only reads as a history show it."""
 
-        async def confirm(self: Control) -> bool:
+        async def confirm(self: ControlReplication) -> bool:
             return self.is_primary
 
         freeze = faults.Fault(3.0, "freeze", (faults.LEADER,), 4.0)
         plan = faults.Plan((freeze,), ((7.0, 16.0),), 16.0)
-        with mock.patch.object(Control, "confirm", confirm):
+        with mock.patch.object(ControlReplication, "confirm", confirm):
             self.assertEqual("linearizable", self.found(lambda seed: control.run(seed, plan), 12))
 
     def test_acknowledged_without_the_backups(self) -> None:
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -9,9 +9,9 @@
 from typing import Any, cast
 
 from otterreach.controller.epochs import ControllerInfo
-from otterreach.controller.messages import SnapshotCommit, SnapshotOffer, SnapshotPiece
-from otterreach.controller.replica_state import ReplicaState
-from otterreach.controller.snapshot import PIECE_BYTES, PREPARE_S, Preparation, SnapshotReceiver, SnapshotSender
+from otterreach.controller.local_replica import LocalReplica
+from otterreach.controller.messages import SnapshotChunk, SnapshotCommit, SnapshotOffer
+from otterreach.controller.snapshot import CHUNK_BYTES, PREPARE_TIMEOUT_S, Preparation, SnapshotReceiver, SnapshotSender
 from otterreach.runtime.codec import encode
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.settings import read
@@ -41,7 +41,7 @@
             self.disk.power_lost()
         self.journal = VirtualJournal(self.disk)
         records = self.journal.read()
-        self.replica = ReplicaState(SETTINGS, cast(Any, self.journal))
+        self.replica = LocalReplica(SETTINGS, cast(Any, self.journal))
         self.replica.load(records)
         SnapshotReceiver(self.replica, cast(Any, self))
 
@@ -73,14 +73,14 @@
             return Failure(Code.TIMED_OUT, "no answer in time")
 
 
-def state_of(items: int, size: int = 1000, rev: int = 0) -> ReplicatedStore:
+def state_of(items: int, size: int = 1000, revision: int = 0) -> ReplicatedStore:
     store = ReplicatedStore()
-    store.apply(Item(f"server/{n}", rev + n + 1, b'"' + b"x" * size + b'"') for n in range(items))
+    store.apply(Item(f"server/{n}", revision + n + 1, b'"' + b"x" * size + b'"') for n in range(items))
     return store
 
 
 def sender_on(link: Link) -> SnapshotSender:
-    return SnapshotSender(ReplicaState(SETTINGS, cast(Any, VirtualJournal(Disk(Random(9))))), cast(Any, link))
+    return SnapshotSender(LocalReplica(SETTINGS, cast(Any, VirtualJournal(Disk(Random(9))))), cast(Any, link))
 
 
 class TransferTest(unittest.TestCase):
@@ -92,7 +92,7 @@
             link, state = Link(receiver), state_of(20_000)
             self.assertTrue(await sender_on(link).install(receiver.info, 3, state))
             self.assertEqual(state.items, receiver.replica.store.items)
-            self.assertLess(link.largest, 5 * PIECE_BYTES)
+            self.assertLess(link.largest, 5 * CHUNK_BYTES)
             receiver.restart(power=True)
             self.assertEqual(state.items, receiver.replica.store.items)
             self.assertEqual(3, receiver.replica.promised)
@@ -123,7 +123,7 @@
 
             def cut(ask: Any) -> bool:
                 nonlocal pieces
-                pieces += isinstance(ask, SnapshotPiece)
+                pieces += isinstance(ask, SnapshotChunk)
                 return pieces > 40
 
             link.cut = cut
@@ -180,7 +180,7 @@
         async def scene() -> None:
             receiver, link = Receiver(), None
             link, ident = Link(receiver), receiver.replica.id
-            late = SnapshotPiece(3, ident, "old", [1], [])
+            late = SnapshotChunk(3, ident, "old", [1], [])
             await link.call("", SnapshotOffer(3, ident, "old"), 1.0)
             await link.call("", SnapshotOffer(4, ident, "new"), 1.0)
             self.assertIs(Code.NOT_SYNCED, (await link.call("", late, 1.0)).code)
@@ -256,7 +256,7 @@
             self.assertFalse(preparation.is_ready([receiver.info]))
             while not preparation.is_ready([receiver.info]):  # as the primary asks, again and again
                 await asyncio.sleep(0.05)
-                self.assertLess(loop.time() - began, PREPARE_S + 1.0)
+                self.assertLess(loop.time() - began, PREPARE_TIMEOUT_S + 1.0)
 
         run(scene)
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -10,32 +10,40 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from otterreach.controller.planner import Part, Stores, attainable, initial_records, plan, synced, trim
-from otterreach.controller.survival import Place, SurviveLimits, unmet_by_replicas
+from otterreach.controller.planner import (
+    StoreMembers,
+    attainable,
+    initial_records,
+    plan,
+    promote_learner,
+    remove_surplus,
+)
+from otterreach.controller.survival import FailureDomain, SurviveLimits, unmet_by_replicas
+from otterreach.runtime.records import PartitionRecord
 
 PARTS = 4
 MOST_STEPS = 200
 PLACES = {
-    "a1#1": Place("a", "north"),
-    "a2#1": Place("a", "north"),
-    "b1#1": Place("b", "north"),
-    "b2#1": Place("b", "north"),
-    "c1#1": Place("c", "south"),
-    "c2#1": Place("c", "south"),
-    "d1#1": Place("d", "south"),
-    "e1#1": Place("e", "west"),
+    "a1#1": FailureDomain("a", "north"),
+    "a2#1": FailureDomain("a", "north"),
+    "b1#1": FailureDomain("b", "north"),
+    "b2#1": FailureDomain("b", "north"),
+    "c1#1": FailureDomain("c", "south"),
+    "c2#1": FailureDomain("c", "south"),
+    "d1#1": FailureDomain("d", "south"),
+    "e1#1": FailureDomain("e", "west"),
 }
 
 
-def stores(*names: str, retiring: tuple[str, ...] = ()) -> Stores:
-    return Stores({f"{n}#1": PLACES[f"{n}#1"] for n in names}, frozenset(f"{n}#1" for n in retiring))
+def stores(*names: str, retiring: tuple[str, ...] = ()) -> StoreMembers:
+    return StoreMembers({f"{n}#1": PLACES[f"{n}#1"] for n in names}, frozenset(f"{n}#1" for n in retiring))
 
 
 def outlasts(members: Collection[str], limits: SurviveLimits) -> bool:
     return not unmet_by_replicas([PLACES[m] for m in members], limits)
 
 
-def losses(places: dict[str, Place], survive: tuple[int, int, int]) -> Iterator[set[str]]:
+def losses(places: dict[str, FailureDomain], survive: tuple[int, int, int]) -> Iterator[set[str]]:
     """Every set of machines that may go at once."""
     nodes, zones, regions = survive
     for gone in itertools.combinations(sorted(places), min(nodes, len(places))):
@@ -57,42 +65,42 @@
                     self.assertEqual(limits.replicas, len(record.members))
 
     def test_a_repair_takes_another_zone_though_the_own_one_has_less_to_do(self) -> None:
-        records = {n: Part(1, "a1#1", ("b1#1",)) for n in range(4)}
+        records = {n: PartitionRecord(1, "a1#1", ("b1#1",)) for n in range(4)}
         changes = plan(records, SurviveLimits(1, 1, 0), stores("a1", "a2", "c1"))
         self.assertEqual([("c1#1",)] * 4, [record.learners for record in changes.values()])
 
     def test_with_one_zone_left_the_copies_are_on_other_machines_and_go_back_when_the_zone_does(self) -> None:
         limits = SurviveLimits(1, 1, 0)
         one_zone = stores("a1", "a2")
-        record = plan({0: Part(1, "b1#1", ("a1#1",))}, limits, one_zone)[0]
+        record = plan({0: PartitionRecord(1, "b1#1", ("a1#1",))}, limits, one_zone)[0]
         self.assertEqual(("a2#1",), record.learners)
-        record = synced(record, "a2#1", limits, one_zone)
+        record = promote_learner(record, "a2#1", limits, one_zone)
         self.assertEqual({"a1#1", "a2#1"}, set(record.members))
         both = stores("a1", "a2", "b1")
         record = plan({0: record}, limits, both)[0]
         self.assertEqual(("b1#1",), record.learners)
-        record = synced(record, "b1#1", limits, both)
+        record = promote_learner(record, "b1#1", limits, both)
         record = plan({0: record}, limits, both)[0]
         self.assertEqual(2, len(record.members))
         self.assertTrue(outlasts(record.members, limits))
 
     def test_copies_in_one_zone_are_spread_when_zones_are_asked_for(self) -> None:
-        changes = plan({0: Part(1, "a1#1", ("a2#1",))}, SurviveLimits(1, 1, 0), stores("a1", "a2", "b1"))
+        changes = plan({0: PartitionRecord(1, "a1#1", ("a2#1",))}, SurviveLimits(1, 1, 0), stores("a1", "a2", "b1"))
         self.assertEqual(("b1#1",), changes[0].learners)
 
     def test_a_retiring_member_stays_until_others_are_in_enough_zones(self) -> None:
         limits = SurviveLimits(1, 1, 0)
         now = stores("a1", "a2", "b1", "b2", retiring=("b1",))
-        record = plan({0: Part(1, "a1#1", ("b1#1",))}, limits, now)[0]
+        record = plan({0: PartitionRecord(1, "a1#1", ("b1#1",))}, limits, now)[0]
         self.assertEqual((("b1#1",), ("b2#1",)), (record.backups, record.learners))
-        self.assertEqual(("b2#1",), synced(record, "b2#1", limits, now).backups)
-        kept = synced(Part(2, "a1#1", ("b1#1",), ("a2#1",)), "a2#1", limits, now)
+        self.assertEqual(("b2#1",), promote_learner(record, "b2#1", limits, now).backups)
+        kept = promote_learner(PartitionRecord(2, "a1#1", ("b1#1",), ("a2#1",)), "a2#1", limits, now)
         self.assertIn("b1#1", kept.members)
 
     def test_of_one_member_too_many_the_dead_one_leaves(self) -> None:
-        record = Part(3, "a1#1", ("b1#1", "c1#1"))
+        record = PartitionRecord(3, "a1#1", ("b1#1", "c1#1"))
         limits = SurviveLimits(1, 0, 0)
-        trimmed = trim(record, limits, stores("a1", "b1"), Counter({"a1#1": 9, "b1#1": 9}))
+        trimmed = remove_surplus(record, limits, stores("a1", "b1"), Counter({"a1#1": 9, "b1#1": 9}))
         self.assertEqual(("a1#1", ("b1#1",)), (trimmed.primary, trimmed.backups))
 
 
@@ -107,8 +115,8 @@
         self.limits = limits
         self.records = initial_records(PARTS, limits, self.stores(machines))
 
-    def stores(self, living: set[str], retiring: Collection[str] = ()) -> Stores:
-        return Stores({m: PLACES[m] for m in sorted(living)}, frozenset(retiring))
+    def stores(self, living: set[str], retiring: Collection[str] = ()) -> StoreMembers:
+        return StoreMembers({m: PLACES[m] for m in sorted(living)}, frozenset(retiring))
 
     def steps(self, living: set[str], retiring: Collection[str] = ()) -> Iterator[None]:
         """Each change of a record by itself; ends when all is calm."""
@@ -119,7 +127,7 @@
             yield
             syncing = [n for n, r in self.records.items() if r.learners and r.primary in living]
             for n in syncing:
-                self.records[n] = synced(self.records[n], self.records[n].learners[0], self.limits, now)
+                self.records[n] = promote_learner(self.records[n], self.records[n].learners[0], self.limits, now)
                 yield
             if not changes and not syncing:
                 return
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -9,6 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
+from otterreach.runtime.records import ServerRecord
 from otterreach.runtime.store import Item, ReplicatedStore
 
 KEYS = [f"server/{n}" for n in range(6)]
@@ -28,17 +29,17 @@
 
 
 def tell(parent: ReplicatedStore, items: list[Item]) -> Answer:
-    return Answer(items, parent.digest, parent.collected)
+    return Answer(items, parent.digest, parent.collected_up_to)
 
 
 def follow(parent: ReplicatedStore, child: ReplicatedStore) -> Answer:
     ranges = parent.differing_ranges(child.digests)
-    return Answer(parent.in_ranges(ranges), parent.digest, parent.collected, ranges)
+    return Answer(parent.in_ranges(ranges), parent.digest, parent.collected_up_to, ranges)
 
 
 def take(child: ReplicatedStore, told: Answer) -> list[Item]:
     taken = child.replace_ranges(told.ranges, told.items, told.collected)
-    child.equals(told.digest, told.collected)
+    child.matches(told.digest, told.collected)
     return taken
 
 
@@ -49,19 +50,19 @@
         super().__init__()
         self.root = ReplicatedStore()
         self.followers = [ReplicatedStore() for _ in range(FOLLOWERS)]
-        self.rev = 0
+        self.revision = 0
         self.live: dict[str, int] = {}  # what is so at the root: key -> rev
         self.seen: list[dict[str, int]] = [{} for _ in range(FOLLOWERS)]  # the newest rev of a key, or of its end
         self.late: list[Answer] = []
         self.events: list[tuple[str, int, bool]] = []
 
     def change(self, name: str, value: bytes) -> Item:
-        self.rev += 1
-        item = Item(name, self.rev, value)
+        self.revision += 1
+        item = Item(name, self.revision, value)
         self.root.apply([item])
-        self.events.append((name, self.rev, not value))
+        self.events.append((name, self.revision, not value))
         if value:
-            self.live[name] = self.rev
+            self.live[name] = self.revision
         else:
             self.live.pop(name, None)
         return item
@@ -84,7 +85,7 @@
     @rule(back=st.integers(0, 4), heard=st.sets(copy))
     def collect(self, back: int, heard: set[int]) -> None:
         """The root drops its tombstones but for the newest few revs."""
-        self.root.collect(max(0, self.rev - back))
+        self.root.collect(max(0, self.revision - back))
         for child in heard:
             self.get(child, tell(self.root, []))
 
@@ -117,7 +118,7 @@
         """A controller that had followed becomes the root: it publishes the whole state that it was given as backup."""
         state = self.root
         store = self.followers[child]
-        take(store, Answer(list(state.items.values()), state.digest, state.collected, list(range(128))))
+        take(store, Answer(list(state.items.values()), state.digest, state.collected_up_to, list(range(128))))
         assert store.digest == state.digest
         self.followers[child], self.root = state, store
         self.seen[child] = {}
@@ -132,24 +133,24 @@
         """No copy has an item again of which it has known something newer, its end among that."""
         for store, seen in zip(self.followers, self.seen, strict=True):
             for item in store.items.values():
-                assert item.rev >= seen.get(item.key, 0), f"{item} after {seen[item.key]}"
-                seen[item.key] = item.rev
+                assert item.revision >= seen.get(item.key, 0), f"{item} after {seen[item.key]}"
+                seen[item.key] = item.revision
             for name in KEYS:
                 if name not in store.items:
-                    seen[name] = max(seen.get(name, 0), store.collected)
+                    seen[name] = max(seen.get(name, 0), store.collected_up_to)
 
     @invariant()
     def nothing_is_there_that_never_was(self) -> None:
-        ended = {(name, rev) for name, rev, gone in self.events if gone}
+        ended = {(name, revision) for name, revision, gone in self.events if gone}
         for store in self.followers:
             for item in store.items.values():
-                if not item.gone:
-                    assert (item.key, item.rev) not in ended
-                    assert any(e[:2] == (item.key, item.rev) for e in self.events)
+                if not item.is_tombstone:
+                    assert (item.key, item.revision) not in ended
+                    assert any(e[:2] == (item.key, item.revision) for e in self.events)
 
     @invariant()
     def the_root_is_right(self) -> None:
-        assert {i.key: i.rev for i in self.root.items.values() if not i.gone} == self.live
+        assert {i.key: i.revision for i in self.root.items.values() if not i.is_tombstone} == self.live
 
     @invariant()
     def one_answer_of_the_root_is_enough(self) -> None:
@@ -157,7 +158,7 @@
         for store in self.followers:
             fresh = ReplicatedStore()
             fresh.apply(store.items.values())
-            fresh.collected = store.collected
+            fresh.collected_up_to = store.collected_up_to
             take(fresh, follow(self.root, fresh))
             assert fresh.digest == self.root.digest
             assert fresh.items == self.root.items
@@ -191,19 +192,19 @@
         root.apply([Item("server/a", 2, b""), Item("server/b", 3, b"{}")])
         child.apply([Item("server/a", 2, b"")])
         root.collect(2)
-        self.assertFalse(child.equals(root.digest, root.collected))
+        self.assertFalse(child.matches(root.digest, root.collected_up_to))
         self.assertEqual([], child.apply([Item("server/a", 1, b"{}")]))
 
     def test_what_ended_meanwhile_is_told_to_watchers(self) -> None:
         root, child = ReplicatedStore(), ReplicatedStore()
         told: list[Item] = []
-        child.watch("server", told.append)
+        child.watch(ServerRecord, told.append)
         child.apply([Item("server/a", 1, b"{}")])
         root.apply([Item("server/a", 1, b"{}"), Item("server/a", 2, b""), Item("server/b", 3, b"{}")])
         root.collect(3)
         take(child, follow(root, child))
-        self.assertEqual([("server/a", True), ("server/b", False)], [(i.key, i.gone) for i in told[1:]])
-        self.assertIsNone(child.get("server/a"))
+        self.assertEqual([("server/a", True), ("server/b", False)], [(i.key, i.is_tombstone) for i in told[1:]])
+        self.assertIsNone(child.record(ServerRecord, "a"))
         self.assertEqual(root.items, child.items)
 
     def test_counts(self) -> None:
@@ -213,7 +214,7 @@
         same = ReplicatedStore()
         same.apply([Item("server/b", 2, b"{}")])
         self.assertEqual((same.digest, same.digests, same.bytes), (store.digest, store.digests, store.bytes))
-        self.assertEqual({"b": {}}, store.named("server"))
+        self.assertEqual(["b"], list(store.records(ServerRecord)))
 
 
 if __name__ == "__main__":
--- a/tests/test_survival.py
+++ b/tests/test_survival.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 
 from otterreach.controller.survival import (
-    Place,
+    FailureDomain,
     SurviveLimits,
     choose_replicas,
     choose_voters,
+    failure_domain_of,
     limits_of,
     may_remove_voter,
-    place_of,
     unmet_by_replicas,
     unmet_by_voters,
 )
@@ -25,12 +25,12 @@
 REGIONS = {"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b"}
 
 
-def machines(*zones: str) -> dict[str, Place]:
+def machines(*zones: str) -> dict[str, FailureDomain]:
     """One machine for each zone named, in this order: m0, m1, ..."""
-    return {f"m{n}": place_of(zone, REGIONS) for n, zone in enumerate(zones)}
+    return {f"m{n}": failure_domain_of(zone, REGIONS) for n, zone in enumerate(zones)}
 
 
-def losses(places: dict[str, Place], limits: SurviveLimits) -> list[set[str]]:
+def losses(places: dict[str, FailureDomain], limits: SurviveLimits) -> list[set[str]]:
     """Every allowed loss, found by trying them all: the machines that are gone."""
     found: list[set[str]] = []
     for count in range(limits.nodes + 1):
--- a/tests/test_tombstones.py
+++ b/tests/test_tombstones.py
@@ -6,7 +6,8 @@
 from unittest import mock
 
 from otterreach.controller import tombstones
-from otterreach.controller.tombstones import KEY, PERIOD_S, PERIODS, TombstoneClock, collected_rev
+from otterreach.controller.tombstones import PERIOD_S, PERIODS, TombstoneClock, revision_to_collect
+from otterreach.runtime.records import CollectedRecord, key_of
 from otterreach.runtime.store import Item, ReplicatedStore
 from otterreach.simulation import control
 
@@ -15,19 +16,19 @@
     """A state, and a clock that writes into it as the primary does."""
 
     def __init__(self) -> None:
-        self.state, self.rev, self.now = ReplicatedStore(), 0, 0.0
+        self.state, self.revision, self.now = ReplicatedStore(), 0, 0.0
         self.clock = TombstoneClock(lambda: self.state)
 
     def write(self, key: str, value: bytes) -> None:
-        self.rev += 1
-        self.state.apply([Item(key, self.rev, value)])
+        self.revision += 1
+        self.state.apply([Item(key, self.revision, value)])
 
     def pass_time(self, seconds: float) -> None:
         for _ in range(int(seconds)):
             self.now += 1.0
             for key, value in self.clock.due_change(self.now):
                 self.write(key, value)
-                self.state.collect(collected_rev(self.state))
+                self.state.collect(revision_to_collect(self.state))
 
     def has(self, key: str) -> bool:
         return key in self.state.items
@@ -62,13 +63,13 @@
             primary.clock.begin_period(primary.now)
             primary.pass_time(PERIOD_S - 1)
         self.assertTrue(primary.has("server/a"))
-        self.assertFalse(primary.has(KEY))
+        self.assertFalse(primary.has(key_of(CollectedRecord)))
 
     def test_nothing_is_written_while_there_are_none(self) -> None:
         primary = Primary()
         primary.write("server/a", b"{}")
         primary.pass_time(10 * PERIOD_S)
-        self.assertFalse(primary.has(KEY))
+        self.assertFalse(primary.has(key_of(CollectedRecord)))
 
     def test_thousands_of_starts_leave_a_bounded_state(self) -> None:
         primary = Primary()
@@ -85,9 +86,9 @@
         in which a late call of a server may come: here that was seen 3 s after the server's end."""
         dropped, real = set(), ReplicatedStore.collect
 
-        def collect(store: ReplicatedStore, rev: int) -> None:
+        def collect(store: ReplicatedStore, revision: int) -> None:
             before = set(store.items)
-            real(store, rev)
+            real(store, revision)
             dropped.update(before - set(store.items))
 
         soon = mock.patch.multiple(tombstones, PERIOD_S=1.5, PERIODS=4)
