--- a/otterreach/cli/local_commands.py
+++ b/otterreach/cli/local_commands.py
@@ -51,7 +51,7 @@
 @app.command
 def check_config(file: Path, *, current: Path | None = None) -> int:
     """Whether a configuration is valid; with --current, whether it may follow that one."""
-    from otterreach.controller.config import check_whole
+    from otterreach.controller.config import check_put
 
     body, base = read_file(file), read_file(current) if current else None
     if isinstance(body, Failure):
@@ -59,7 +59,7 @@
     if isinstance(base, Failure):
         return fail(base)
     known = json.loads(base) if base else None
-    found = check_whole(body, known, known["gen"] if known else 0)
+    found = check_put(body, known, known["gen"] if known else 0)
     if isinstance(found, Failure):
         return fail(found)
     raw = json.loads(body)
--- a/otterreach/controller/acceptor.py
+++ b/otterreach/controller/acceptor.py
@@ -20,7 +20,7 @@
 from otterreach.runtime.relay import Follower
 from otterreach.runtime.rpc import Done, Endpoint, Link
 
-PRIMARY_HEARD_S = 0.35  # a primary was heard within this: no promise to another candidate
+PRIMARY_CONTACT_VALID_S = 0.35  # a primary was heard within this: no promise to another candidate
 
 
 class Acceptor:
@@ -43,22 +43,22 @@
             return False
         if replica.is_primary:
             return request.candidate != replica.id
-        silence_s = replica.loop.time() - replica.primary_heard_at
-        primary_alive = silence_s < PRIMARY_HEARD_S and bool(replica.primary_heard)
-        return primary_alive and request.candidate != replica.primary_heard
+        silence_s = replica.loop.time() - replica.last_primary_contact_at
+        primary_alive = silence_s < PRIMARY_CONTACT_VALID_S and bool(replica.last_primary)
+        return primary_alive and request.candidate != replica.last_primary
 
     async def handle_prepare(self, link: Link, request: Prepare) -> Promise | Failure:
         """Promise a candidate to take no part in anything lower, unless a primary was heard a moment ago."""
         replica = self.replica
         accepted = [replica.accepted] if replica.accepted else []
-        replica.highest_seen = max(replica.highest_seen, request.number if not request.probe else 0)
+        replica.highest_known_number = max(replica.highest_known_number, request.number if not request.probe else 0)
         rejected = self._rejects(request)
         if rejected or request.probe:
             return Promise(not rejected, replica.promised, replica.id, accepted)
         replica.promise(request.number)
         if request.candidate != replica.id:
             replica.step_down("promised to another")
-            replica.hear_primary(request.candidate)
+            replica.record_primary_contact(request.candidate)
         if not await replica.sync():
             return replica.disk_failure
         return Promise(replica.promised == request.number, replica.promised, replica.id, accepted)
@@ -74,7 +74,7 @@
         replica.adopt_configuration(configuration)
         if not await replica.sync():
             return replica.disk_failure
-        replica.hear_primary(configuration.primary)
+        replica.record_primary_contact(configuration.primary)
         return Accepted(replica.promised == configuration.number, replica.promised, replica.id)
 
     async def handle_append_items(self, link: Link, request: AppendItems) -> Done | Failure:
@@ -100,7 +100,7 @@
         replica = self.replica
         holds = replica.number == heartbeat.number == replica.promised
         if holds:
-            replica.hear_primary(heartbeat.primary)
+            replica.record_primary_contact(heartbeat.primary)
             self.follower.primary = heartbeat.address
         return EpochHeartbeatReply(holds, replica.promised, replica.id)
 
--- a/otterreach/controller/api/router.py
+++ b/otterreach/controller/api/router.py
@@ -112,14 +112,14 @@
 
     async def _forward(self, call: ApiCall) -> ApiResponse:
         """The primary's answer; UNAVAILABLE as soon as the primary is not heard any more."""
-        address = self.control.heard_primary_address
+        address = self.control.live_primary_address
         if not address:
             return UNAVAILABLE
         timeout_s = answer_within_s(call) + FORWARD_EXTRA_S
         asked = self.control.endpoint.spawn(self.control.endpoint.call(address, call, timeout_s))
         while not asked.done():
             await asyncio.wait([asked], timeout=PRIMARY_CHECK_S)
-            if not asked.done() and self.control.heard_primary_address != address:
+            if not asked.done() and self.control.live_primary_address != address:
                 return UNAVAILABLE
         answer = asked.result()
         return UNAVAILABLE if isinstance(answer, Failure) else answer
--- a/otterreach/controller/config.py
+++ b/otterreach/controller/config.py
@@ -43,11 +43,11 @@
     method: str, body: bytes, current: Document | None, if_match: int, history: ChangeHistory
 ) -> Document | Verdict | Failure:
     """The configuration that a PUT or PATCH makes of the current one, ALREADY, or why it is rejected."""
-    check = check_whole if method == "PUT" else check_patch
+    check = check_put if method == "PUT" else check_patch
     return check(body, current, if_match, history)
 
 
-def check_whole(
+def check_put(
     body: bytes, current: Document | None, if_match: int, history: ChangeHistory = EMPTY_HISTORY
 ) -> Document | Verdict | Failure:
     """A PUT's body as the next configuration. ALREADY: it is the current one, or was accepted before."""
--- a/otterreach/controller/election.py
+++ b/otterreach/controller/election.py
@@ -95,7 +95,7 @@
         replica = self.replica
         base = replica.newer or replica.accepted
         assert base is not None
-        number = max(replica.promised, replica.highest_seen, base.number) + 1
+        number = max(replica.promised, replica.highest_known_number, base.number) + 1
         promised = await self._collect_promises(base, number, change.transfer)
         if promised is None:
             return False
@@ -160,7 +160,7 @@
             reply = replies.get(witness.id)
             if reply is None or reply.id != witness.id:
                 continue
-            replica.highest_seen = max(replica.highest_seen, reply.promised)
+            replica.highest_known_number = max(replica.highest_known_number, reply.promised)
             if reply.ok:
                 granted[witness.id] = witness
             if reply.accepted and reply.accepted[0].number > highest.number:
--- a/otterreach/controller/election_timer.py
+++ b/otterreach/controller/election_timer.py
@@ -35,11 +35,11 @@
 
     def has_expired(self) -> bool:
         """Whether the primary has been silent for longer than the time-out."""
-        return self.replica.loop.time() - self.replica.primary_heard_at > self._timeout_s
+        return self.replica.loop.time() - self.replica.last_primary_contact_at > self._timeout_s
 
     def restart(self, elected: bool) -> None:
         """An attempt has ended: count the silence anew."""
         replica = self.replica
-        replica.primary_heard_at = replica.loop.time()
-        no_primary_known = not replica.primary_heard and not elected
+        replica.last_primary_contact_at = replica.loop.time()
+        no_primary_known = not replica.last_primary and not elected
         self._timeout_s = RETRY_S * (1 + self.random.random()) if no_primary_known else self._draw()
--- a/otterreach/controller/epoch_heartbeats.py
+++ b/otterreach/controller/epoch_heartbeats.py
@@ -66,7 +66,7 @@
         if reply is None or reply.ok or not self.leads(configuration):
             return
         if reply.promised > configuration.number:
-            self.replica.highest_seen = max(self.replica.highest_seen, reply.promised)
+            self.replica.highest_known_number = max(self.replica.highest_known_number, reply.promised)
             await self.election.run()  # lead a higher epoch, or none
         else:
             await self.endpoint.call(witness.address, Accept([configuration]), CALL_TIMEOUT_S)
--- a/otterreach/controller/failure_detector.py
+++ b/otterreach/controller/failure_detector.py
@@ -73,14 +73,14 @@
         now = self.clock()
         return [LastHeartbeat(name, int((now - at) * 1000)) for name, at in known.items() if at >= since]
 
-    def heard_recently(self, member: str) -> bool:
+    def is_in_contact(self, member: str) -> bool:
         """Whether a heartbeat of this member is younger than the time-out."""
         return self.clock() - self.last_heartbeat.get(member, NEVER_S) < HEARTBEAT_TIMEOUT_S
 
     def is_alive(self, member: str) -> bool:
         """Whether this member was heard recently, and after any shutdown that it announced."""
         last_heartbeat = self.last_heartbeat.get(member, NEVER_S)
-        return self.heard_recently(member) and last_heartbeat >= self._shut_down_at.get(member, NEVER_S)
+        return self.is_in_contact(member) and last_heartbeat >= self._shut_down_at.get(member, NEVER_S)
 
     def silence_s(self, member: str) -> float:
         """Seconds since this member was last heard; of one that is new here the time counts from now."""
--- a/otterreach/controller/graceful_shutdown.py
+++ b/otterreach/controller/graceful_shutdown.py
@@ -72,7 +72,7 @@
 
     async def _be_replaced(self) -> bool:
         """The primary makes another a backup in this one's place."""
-        address = self.replica.heard_primary_address
+        address = self.replica.live_primary_address
         if not address:
             return False
         request = BackupShutdown(self.replica.number, self.replica.id)
--- a/otterreach/controller/local_replica.py
+++ b/otterreach/controller/local_replica.py
@@ -24,7 +24,7 @@
 STAGING_IDLE_S = 10.0  # a transfer that stopped for so long no longer delays a rewrite of the journal
 SLICE_BYTES = 32 * 1024  # of the state, encoded in one turn of the loop
 PRIMARY_ADDRESS_VALID_S = 2.0  # how long the primary's address is taken to be true after it was last heard
-PRIMARY_SILENT_S = 0.5  # silent for longer: no call is forwarded to it
+PRIMARY_TIMEOUT_S = 0.5  # silent for longer: no call is forwarded to it
 
 
 class Mode(Enum):
@@ -53,9 +53,9 @@
         self.staged: ReplicatedStore | None = None  # a snapshot that is not complete yet
         self.staged_session = ""
         self._staged_at = 0.0
-        self.primary_heard_at = self.loop.time()
-        self.primary_heard = ""  # its id
-        self.highest_seen = 0  # the highest epoch number heard of
+        self.last_primary_contact_at = self.loop.time()
+        self.last_primary = ""  # its id
+        self.highest_known_number = 0  # the highest epoch number heard of
         self.newer: EpochConfiguration | None = None  # one above the accepted one, heard of
         self.on_mode_change: list[Callable[[Mode, Mode], None]] = []
         self.on_step_down: list[Callable[[], None]] = []
@@ -190,17 +190,17 @@
     @property
     def primary_address(self) -> str:
         """The primary's address, to this controller's knowledge; empty if it hasn't been heard for long."""
-        return self._primary_heard_within(PRIMARY_ADDRESS_VALID_S)
+        return self._primary_in_contact_within(PRIMARY_ADDRESS_VALID_S)
 
     @property
-    def heard_primary_address(self) -> str:
+    def live_primary_address(self) -> str:
         """The address of a primary that was heard a moment ago; empty if none was."""
-        return self._primary_heard_within(PRIMARY_SILENT_S)
+        return self._primary_in_contact_within(PRIMARY_TIMEOUT_S)
 
-    def _primary_heard_within(self, seconds: float) -> str:
+    def _primary_in_contact_within(self, seconds: float) -> str:
         if self.is_primary:
             return self.settings.address
-        if self.accepted and self.loop.time() - self.primary_heard_at < seconds:
+        if self.accepted and self.loop.time() - self.last_primary_contact_at < seconds:
             primary = self.accepted.witness(self.accepted.primary)
             return primary.address if primary else ""
         return ""
@@ -209,10 +209,10 @@
         """The answer to a call that only the primary takes: where the primary is, to this controller's knowledge."""
         return Failure(Code.NOT_PRIMARY, self.primary_address)
 
-    def hear_primary(self, ident: str) -> None:
+    def record_primary_contact(self, ident: str) -> None:
         """This primary, or candidate, was heard just now."""
-        self.primary_heard_at = self.loop.time()
-        self.primary_heard = ident
+        self.last_primary_contact_at = self.loop.time()
+        self.last_primary = ident
 
     def promise(self, number: int) -> None:
         """Take no part in anything lower; it lasts after the next `sync`."""
@@ -249,7 +249,7 @@
             promised=self.promised,
         )
         if mode is not Mode.PRIMARY:
-            self.primary_heard_at = self.loop.time()
+            self.last_primary_contact_at = self.loop.time()
         for observer in self.on_mode_change:
             observer(old, mode)
 
--- a/otterreach/controller/member_registry.py
+++ b/otterreach/controller/member_registry.py
@@ -46,7 +46,7 @@
         return {
             node
             for node, record in self.records().items()
-            if record.role == MemberRole.PROXY and self.detector.heard_recently(record.id(node))
+            if record.role == MemberRole.PROXY and self.detector.is_in_contact(record.id(node))
         }
 
     async def handle_announcement(self, link: Link, announcement: MemberAnnouncement) -> Done | Failure:
--- a/otterreach/controller/membership.py
+++ b/otterreach/controller/membership.py
@@ -151,7 +151,7 @@
         replica = self.replica
         if replica.mode is Mode.NEW:
             return True
-        silence_s = replica.loop.time() - replica.primary_heard_at
+        silence_s = replica.loop.time() - replica.last_primary_contact_at
         return replica.mode is Mode.FOLLOWING and silence_s > JOIN_INTERVAL_S and not self.election.may_stand()
 
     def ask_to_join_when_due(self, now: float) -> None:
--- a/otterreach/controller/node.py
+++ b/otterreach/controller/node.py
@@ -28,7 +28,7 @@
 API_BIND = "ctl"  # the name of the API's address in the settings
 PLAN_INTERVAL_S = 0.2
 STALL_S = 0.4  # the loop stood still for longer: nobody else is to blame for silence
-SETTLE_S = 1.0  # after becoming primary, or a stall, before anyone is taken to be dead
+STABILIZATION_S = 1.0  # after becoming primary, or a stall, before anyone is taken to be dead
 
 
 class ControllerNode:
@@ -53,10 +53,10 @@
         self.servers = ServerRegistry(settings, endpoint, self.control, self.detector)
         self.leases = OrderLeases(settings, endpoint, self.control, self.members, clock)
         self.api = ApiRouter(
-            settings, self.control, node.follower, self._settled_stores, self.detector.record_server_heartbeat
+            settings, self.control, node.follower, self._stores_once_stable, self.detector.record_server_heartbeat
         )
         self.server = JsonServer(self.api.handle)
-        self._settled_at = 0.0  # from then on silence means something
+        self._stable_from = 0.0  # from then on silence means something
 
     async def run(self, records: Iterable[Record]) -> None:
         """Load the journal's records and take part until SIGTERM."""
@@ -76,7 +76,7 @@
 
     def _leadership_changed(self, is_primary: bool) -> None:
         if is_primary:
-            self._settled_at = self.clock() + SETTLE_S
+            self._stable_from = self.clock() + STABILIZATION_S
             self.detector.assume_alive(self.members.member_ids(), self.control.state.records(ServerRecord))
 
     async def _plan(self) -> None:
@@ -86,23 +86,23 @@
             await asyncio.sleep(PLAN_INTERVAL_S)
             now = self.clock()
             if now - last > PLAN_INTERVAL_S + STALL_S:
-                self._settled_at = now + SETTLE_S
+                self._stable_from = now + STABILIZATION_S
                 log("stalled", node=self.settings.node, seconds=round(now - last, 2))
             last = now
             if self.control.is_primary:
                 self._publish_controllers()
-                if self._is_settled():
+                if self._is_stable():
                     self.placement.plan()
                     self.servers.mark_silent_servers()
                     self.leases.assign_leases()
                     self.members.forget_silent_members()
 
-    def _is_settled(self) -> bool:
-        return self.clock() >= self._settled_at
+    def _is_stable(self) -> bool:
+        return self.clock() >= self._stable_from
 
-    def _settled_stores(self) -> StoreMembers | None:
+    def _stores_once_stable(self) -> StoreMembers | None:
         """None right after becoming primary or a stall: who is dead isn't known yet."""
-        return self.stores.members() if self._is_settled() else None
+        return self.stores.members() if self._is_stable() else None
 
     def _publish_controllers(self) -> None:
         configuration = self.control.accepted
--- a/otterreach/controller/replication.py
+++ b/otterreach/controller/replication.py
@@ -111,9 +111,9 @@
         return self.replica.primary_address
 
     @property
-    def heard_primary_address(self) -> str:
+    def live_primary_address(self) -> str:
         """The address of a primary that was heard a moment ago; empty if none was."""
-        return self.replica.heard_primary_address
+        return self.replica.live_primary_address
 
     def not_primary(self) -> Failure:
         """The answer to a call that only the primary takes."""
--- a/otterreach/jobstore/dispatcher.py
+++ b/otterreach/jobstore/dispatcher.py
@@ -21,7 +21,7 @@
 from otterreach.runtime.rpc import Link
 
 FORGOTTEN_S = 2.0  # a proxy that doesn't name a job so long after it got items of it has lost them
-SETTLE_S = 0.4  # how long a new primary lets proxies tell what they run
+RUNNING_REPORT_WAIT_S = 0.4  # how long a new primary lets proxies tell what they run
 SURPLUS_DELAY_S = 60.0  # items that no trainer waits for count as due so much later
 MAX_LOAD = 1.5  # items at a proxy, for each of its slots
 NO_SURPLUS = 1 << 60  # an order above all
@@ -64,7 +64,7 @@
         self.open_jobs: dict[str, Job] = {}  # of partitions served here
         self.pending: dict[str, list[QueuedItem]] = {}  # by job, in order
         self.surplus_from: dict[str, int] = {}  # by job: from this order on, groups that its trainer doesn't wait for
-        self.settled_at: dict[int, float] = {}  # by partition served here: by then proxies have told what they run
+        self.assignable_from: dict[int, float] = {}  # by partition served here: by then proxies have told what they run
         self.stopped = False
         self._scheduled = False
 
@@ -72,8 +72,8 @@
 
     def became_leader(self, replica: PartitionReplica) -> None:
         """All open jobs of the partition are here now. Of one that is new here nothing is known of what runs."""
-        if replica.partition not in self.settled_at:
-            self.settled_at[replica.partition] = self.now() + SETTLE_S
+        if replica.partition not in self.assignable_from:
+            self.assignable_from[replica.partition] = self.now() + RUNNING_REPORT_WAIT_S
         for job in replica.jobs.jobs.values():
             if job.state is JobState.OPEN and job.id not in self.open_jobs:
                 self.job_opened(job)
@@ -82,7 +82,7 @@
 
     def stepped_down(self, replica: PartitionReplica) -> None:
         """Another machine has the partition."""
-        self.settled_at.pop(replica.partition, None)
+        self.assignable_from.pop(replica.partition, None)
         for job in [job for job in self.open_jobs.values() if partition_of(job.id) == replica.partition]:
             self.job_closed(job)
 
@@ -242,7 +242,7 @@
         ready = {
             partition
             for partition in waiting
-            if self.settled_at.get(partition, 0.0) <= now and self.host.may_run(partition)
+            if self.assignable_from.get(partition, 0.0) <= now and self.host.may_run(partition)
         }
         jobs = [self.open_jobs[job] for job, queue in self.pending.items() if queue and partition_of(job) in ready]
         return sorted(jobs, key=lambda job: job.received_at + self.host.deadlines(job).due_s)
--- a/otterreach/jobstore/journal_records.py
+++ b/otterreach/jobstore/journal_records.py
@@ -80,7 +80,7 @@
     return Entry(kind, payload[_ENTRY_HEAD.size :])
 
 
-def mark_record(kind: RecordKind, partition: int) -> Record:
+def boundary_record(kind: RecordKind, partition: int) -> Record:
     """An END or DROPPED."""
     return kind, _ENTRY_HEAD.pack(partition, _NO_ENTRY)
 
@@ -96,7 +96,7 @@
     """The records that give a complete replica."""
     yield begin_record(partition, position)
     yield from staged_replica_tail(partition, entries)
-    yield mark_record(RecordKind.END, partition)
+    yield boundary_record(RecordKind.END, partition)
 
 
 def staged_replica_tail(partition: int, entries: Iterable[Entry]) -> Iterable[Record]:
--- a/otterreach/jobstore/partition_replica.py
+++ b/otterreach/jobstore/partition_replica.py
@@ -27,7 +27,7 @@
     decode_begin,
     decode_entry,
     entry_record,
-    mark_record,
+    boundary_record,
     staged_replica_tail,
 )
 from otterreach.jobstore.messages import Entry
@@ -184,7 +184,7 @@
     def start_empty(self) -> None:
         """Begin with nothing, as a member that never had a replica: an acknowledged write would have waited for it."""
         self.journal.append(*begin_record(self.partition, START))
-        self.journal.append(*mark_record(RecordKind.END, self.partition))
+        self.journal.append(*boundary_record(RecordKind.END, self.partition))
         self._replace(JobTable(), START)
 
     # The log -------------------------------------------------------------------------------------
@@ -251,7 +251,7 @@
         """The replica that was arriving is complete, and replaces the present one."""
         staged = self.staged
         assert staged is not None
-        self.journal.append(*mark_record(RecordKind.END, self.partition))
+        self.journal.append(*boundary_record(RecordKind.END, self.partition))
         self._replace(staged.jobs, staged.position)
 
     def _replace(self, jobs: JobTable, position: LogPosition) -> None:
@@ -268,7 +268,7 @@
 
     def drop(self) -> None:
         """Other members hold everything: free what is here."""
-        self.journal.append(*mark_record(RecordKind.DROPPED, self.partition))
+        self.journal.append(*boundary_record(RecordKind.DROPPED, self.partition))
         self._forget()
         self.become(ReplicaState.ABSENT, "dropped")
 
@@ -286,7 +286,7 @@
         if self.is_complete:
             yield from complete_replica(self.partition, self.position, self.jobs.snapshot(self.now()))
         elif not self.uninitialised:
-            yield mark_record(RecordKind.DROPPED, self.partition)
+            yield boundary_record(RecordKind.DROPPED, self.partition)
         if self.staged:
             yield begin_record(self.partition, self.staged.position)
             yield from staged_replica_tail(self.partition, self.staged.entries)
--- a/otterreach/simulation/explore.py
+++ b/otterreach/simulation/explore.py
@@ -198,7 +198,7 @@
             ExitStack() as stack,
             mock.patch.object(identity, "draw_disk_id", lambda: f"new{next(ids)}"),
             mock.patch.object(otterreach.runtime.log, "_logger", logger),
-            mock.patch.object(acceptor, "PRIMARY_HEARD_S", 0.0),
+            mock.patch.object(acceptor, "PRIMARY_CONTACT_VALID_S", 0.0),
         ):
             for module in (acceptor, writes, local_replica, small_model):
                 stack.enter_context(mock.patch.object(module, "encode", _encode))
--- a/tests/control_api_support.py
+++ b/tests/control_api_support.py
@@ -33,7 +33,7 @@
         self._waiting: list[asyncio.Future[bool]] = []
 
     @property
-    def heard_primary_address(self) -> str:
+    def live_primary_address(self) -> str:
         return self.primary_address
 
     def not_primary(self) -> Failure:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -17,7 +17,7 @@
     ALREADY,
     change_of,
     check_patch,
-    check_whole,
+    check_put,
     parse_if_match,
     status_of,
 )
@@ -221,60 +221,60 @@
         for name, change in VALID.items():
             with self.subTest(name):
                 config = changed(change)
-                self.assertEqual(config, check_whole(body(config), None, 0))
+                self.assertEqual(config, check_put(body(config), None, 0))
 
     def test_kept_as_it_came(self) -> None:
         text = '{"gen":3,"routes":[],"backends":[{"name":"n","x":1.0,"y":1,"z":12345678901234567890123,"ü":"é"}]}'
-        found = check_whole(text.encode(), None, 0)
+        found = check_put(text.encode(), None, 0)
         self.assertEqual(text, json.dumps(found, separators=(",", ":"), ensure_ascii=False))
 
     def test_invalid(self) -> None:
         for name, (change, code, field) in INVALID.items():
             with self.subTest(name):
-                self.refused(check_whole(body(changed(change)), None, 0), code, field)
+                self.refused(check_put(body(changed(change)), None, 0), code, field)
 
     def test_unreadable(self) -> None:
         for data in UNREADABLE:
             with self.subTest(data=data[:20]):
-                self.refused(check_whole(data, None, 0), Code.CONFIG_UNREADABLE, "body")
+                self.refused(check_put(data, None, 0), Code.CONFIG_UNREADABLE, "body")
                 self.refused(check_patch(data, BASE, 7), Code.CONFIG_UNREADABLE, "body")
 
     def test_versions(self) -> None:
         later = changed(lambda c: c.update(gen=9))
-        self.assertEqual(later, check_whole(body(later), BASE, 7))
+        self.assertEqual(later, check_put(body(later), BASE, 7))
         for if_match in (0, 6, 8, 9):
-            self.refused(check_whole(body(later), BASE, if_match), Code.CONFIG_STALE_MATCH, "If-Match")
-        self.refused(check_whole(body(later), None, 7), Code.CONFIG_STALE_MATCH, "If-Match")
+            self.refused(check_put(body(later), BASE, if_match), Code.CONFIG_STALE_MATCH, "If-Match")
+        self.refused(check_put(body(later), None, 7), Code.CONFIG_STALE_MATCH, "If-Match")
         same = changed(lambda c: c.update(caps={}))
-        self.refused(check_whole(body(same), BASE, 7), Code.CONFIG_OLD_NUMBER, "gen")
-        self.refused(check_whole(body(changed(lambda c: c.update(gen=6))), BASE, 7), Code.CONFIG_OLD_NUMBER, "gen")
+        self.refused(check_put(body(same), BASE, 7), Code.CONFIG_OLD_NUMBER, "gen")
+        self.refused(check_put(body(changed(lambda c: c.update(gen=6))), BASE, 7), Code.CONFIG_OLD_NUMBER, "gen")
 
     def test_lost_race_is_told_as_one(self) -> None:
         """Two on top of the same version, the loser with the lower number."""
         late = changed(lambda c: c.update(gen=6))
-        self.refused(check_whole(body(late), BASE, 5), Code.CONFIG_STALE_MATCH)
+        self.refused(check_put(body(late), BASE, 5), Code.CONFIG_STALE_MATCH)
 
     def test_same_again(self) -> None:
         blanks = json.dumps(BASE, indent=3).encode()
         for data in (body(BASE), blanks):
             for if_match in (5, 7):
-                self.assertIs(ALREADY, check_whole(data, BASE, if_match))
+                self.assertIs(ALREADY, check_put(data, BASE, if_match))
         near = changed(route(0, timeoutMs=1500.0))
-        self.refused(check_whole(body(near), BASE, 5), Code.CONFIG_STALE_MATCH)
+        self.refused(check_put(body(near), BASE, 5), Code.CONFIG_STALE_MATCH)
 
     def test_same_again_after_another(self) -> None:
         """Taken without a clear answer, then another on top of it: the first sender still gets its 200."""
         newest = changed(lambda c: c.update(gen=9))
         history = remembering("PUT", body(BASE), 5)
-        self.assertIs(ALREADY, check_whole(body(BASE), newest, 5, history))
-        self.refused(check_whole(body(BASE), newest, 6, history), Code.CONFIG_STALE_MATCH)
+        self.assertIs(ALREADY, check_put(body(BASE), newest, 5, history))
+        self.refused(check_put(body(BASE), newest, 6, history), Code.CONFIG_STALE_MATCH)
         self.refused(check_patch(body(BASE), newest, 5, history), Code.CONFIG_STALE_MATCH)
 
     def test_older_than_what_is_remembered(self) -> None:
         """Nobody knows any more whether it was accepted: no clear answer."""
         newest = changed(lambda c: c.update(gen=9))
         history = ChangeHistory({0: change_of("PUT", body(newest), 7)}, 7)
-        for check in (check_whole, check_patch):
+        for check in (check_put, check_patch):
             found = check(body(BASE), newest, 5, history)
             assert isinstance(found, Failure)
             self.assertEqual((Code.CONFIG_FORGOTTEN, 503), (found.code, status_of(found)))
@@ -291,7 +291,7 @@
     )
     def test_never_raises(self, value: Any) -> None:
         for data in (body(value), body(BASE | {"routes": [value]}), body({"gen": 9, "upsert": value})):
-            for check in (check_whole, check_patch):
+            for check in (check_put, check_patch):
                 found = check(data, BASE, 7)
                 self.assertTrue(found is ALREADY or isinstance(found, dict | Failure))
 
@@ -380,7 +380,7 @@
         newest = BASE | {"gen": 12}
         self.assertIs(ALREADY, check_patch(patch, newest, 7, remembering("PATCH", patch, 7)))
         self.refused(check_patch(patch, newest, 7, remembering("PATCH", patch, 8)), Code.CONFIG_STALE_MATCH)
-        self.refused(check_whole(patch, newest, 7, remembering("PATCH", patch, 7)), Code.CONFIG_FIELD)
+        self.refused(check_put(patch, newest, 7, remembering("PATCH", patch, 7)), Code.CONFIG_FIELD)
 
     def test_on_nothing(self) -> None:
         backends = [{"name": "north"}]
--- a/tests/test_jobstore_dispatch.py
+++ b/tests/test_jobstore_dispatch.py
@@ -10,7 +10,7 @@
 from math import ceil
 from typing import Any
 
-from otterreach.jobstore.dispatcher import MAX_LOAD, SETTLE_S
+from otterreach.jobstore.dispatcher import MAX_LOAD, RUNNING_REPORT_WAIT_S
 from otterreach.jobstore.job import JobState
 from otterreach.jobstore.messages import JobResults, ReturnItems, RunningItems
 from otterreach.jobstore.placement import partition_of
@@ -28,7 +28,7 @@
         world = World(stores)
         client = Client(world)
         await world.serving("a")
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(RUNNING_REPORT_WAIT_S)
         await scene(world, client)
         world.check()
 
--- a/tests/test_loadtest_checks.py
+++ b/tests/test_loadtest_checks.py
@@ -226,12 +226,12 @@
             self.assertIn(part, found.reason)
 
     def test_the_configuration_is_valid(self) -> None:
-        from otterreach.controller.config import check_whole
+        from otterreach.controller.config import check_put
 
         for file in PLANS.glob("*.toml"):
             found = load(file.stem)
             assert isinstance(found, Plan)
-            checked = check_whole(json.dumps(configuration(found)).encode(), None, 0)
+            checked = check_put(json.dumps(configuration(found)).encode(), None, 0)
             self.assertIsInstance(checked, dict, checked)
 
     def test_settings_can_be_used(self) -> None:
--- a/tests/test_scaletest.py
+++ b/tests/test_scaletest.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from otterreach.controller.api.servers import read_heartbeat
-from otterreach.controller.config import check_whole
+from otterreach.controller.config import check_put
 from otterreach.runtime import settings
 from otterreach.runtime.codes import Failure
 from otterreach.runtime.records import MemberRecord, OrderLeaseRecord, ServerRecord
@@ -53,7 +53,7 @@
     def test_configurations_are_valid_one_after_the_other(self) -> None:
         current: dict[str, Any] | None = None
         for gen in (1, 2, 3):
-            new = check_whole(json.dumps(size.configuration(gen)).encode(), current, gen - 1)
+            new = check_put(json.dumps(size.configuration(gen)).encode(), current, gen - 1)
             self.assertNotIsInstance(new, Failure)
             assert isinstance(new, dict)
             self.assertNotEqual(new, current)
