--- a/otterreach/cli/data.py
+++ b/otterreach/cli/data.py
@@ -18,7 +18,7 @@
 from otterreach.jobstore.partition_replica import PartitionReplica
 from otterreach.jobstore.placement import PARTITIONS
 from otterreach.runtime.codec import MessageError, decode_as
-from otterreach.runtime.journal import HEADER, MAX_RECORD, JournalDamaged, pack, scan
+from otterreach.runtime.journal_format import HEADER, MAX_RECORD_BYTES, JournalDamaged, pack, scan
 from otterreach.runtime.store import Item, ReplicatedStore
 
 CONTROL, JOBS = "control", "jobs"
@@ -63,7 +63,7 @@
         length, _, synced, kind = HEADER.unpack_from(data, at)
         end = at + HEADER.size + length
         payload = data[at + HEADER.size : end]
-        if length > MAX_RECORD or end > len(data) or pack(kind, payload, synced) != data[at:end]:
+        if length > MAX_RECORD_BYTES or end > len(data) or pack(kind, payload, synced) != data[at:end]:
             return
         yield Entry(at, kind, payload, synced)
         at = end
--- a/otterreach/controller/local_replica.py
+++ b/otterreach/controller/local_replica.py
@@ -16,7 +16,8 @@
 from otterreach.runtime import identity
 from otterreach.runtime.codec import encode
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.journal import Journal, Record, Slice
+from otterreach.runtime.journal import Journal, Slice
+from otterreach.runtime.journal_format import Record
 from otterreach.runtime.log import log
 from otterreach.runtime.settings import Settings
 from otterreach.runtime.store import ReplicatedStore
--- a/otterreach/controller/node.py
+++ b/otterreach/controller/node.py
@@ -17,7 +17,8 @@
 from otterreach.controller.survival import limits_of
 from otterreach.controller.watcher import Watcher
 from otterreach.runtime.http import JsonServer
-from otterreach.runtime.journal import Journal, Record, open_journal
+from otterreach.runtime.journal import Journal, open_journal
+from otterreach.runtime.journal_format import Record
 from otterreach.runtime.log import log
 from otterreach.runtime.node import Node, on_signals
 from otterreach.runtime.records import CoreRecord, MemberRole, ServerRecord, put
--- a/otterreach/controller/replication.py
+++ b/otterreach/controller/replication.py
@@ -23,7 +23,8 @@
 from otterreach.controller.tombstones import TombstoneClock
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.compaction import Compaction, Limits
-from otterreach.runtime.journal import Journal, Record
+from otterreach.runtime.journal import Journal
+from otterreach.runtime.journal_format import Record
 from otterreach.runtime.relay import Follower
 from otterreach.runtime.rpc import Done, Endpoint
 from otterreach.runtime.settings import Settings
--- a/otterreach/jobstore/journal_records.py
+++ b/otterreach/jobstore/journal_records.py
@@ -9,7 +9,7 @@
 from enum import IntEnum
 
 from otterreach.jobstore.messages import Entry
-from otterreach.runtime.journal import Record
+from otterreach.runtime.journal_format import Record
 
 _ENTRY_HEAD = struct.Struct("<HB")  # partition, kind of entry
 _NO_ENTRY = 0  # in the place of the kind, where only the partition matters
--- a/otterreach/jobstore/node.py
+++ b/otterreach/jobstore/node.py
@@ -22,7 +22,8 @@
 from otterreach.jobstore.replication_context import JobJournal
 from otterreach.runtime import identity
 from otterreach.runtime.compaction import Compaction, Limits
-from otterreach.runtime.journal import Record, Slice
+from otterreach.runtime.journal import Slice
+from otterreach.runtime.journal_format import Record
 from otterreach.runtime.node import Node
 
 TICK_S = 0.1
--- a/otterreach/jobstore/partition_replica.py
+++ b/otterreach/jobstore/partition_replica.py
@@ -23,16 +23,16 @@
     LogPosition,
     RecordKind,
     begin_record,
+    boundary_record,
     complete_replica,
     decode_begin,
     decode_entry,
     entry_record,
-    boundary_record,
     staged_replica_tail,
 )
 from otterreach.jobstore.messages import Entry
 from otterreach.jobstore.recent_entries import RecentEntries
-from otterreach.runtime.journal import Record
+from otterreach.runtime.journal_format import Record
 from otterreach.runtime.log import log
 from otterreach.runtime.records import PartitionRecord
 
--- a/otterreach/runtime/journal.py
+++ b/otterreach/runtime/journal.py
@@ -1,102 +1,33 @@
-"""An append-only file of checksummed records that is rewritten when it gets long.
+"""An append-only file of checksummed records (journal_format.py) that is rewritten when it gets long.
 
-A record is <length, crc32, synced, kind> and its payload; `synced` is how far the file was surely on disk when the
-record was written. Reading stops at the first record that is not whole: after a loss of power what follows was never
-synced. If a later record says that the disk had it, the file is damaged, and that is told loudly.
 Errors of the disk turn the journal off for good: nothing is acknowledged from then on. The one exception is a rewrite
-that finds no room for its second file, or leaves none to the log: it is given up, and the log goes on.
+that finds no room for its second file, or leaves none to the log: it is abandoned, and the log goes on.
 """
 
 from __future__ import annotations
 
 import asyncio
 import errno
-import io
 import os
-import struct
-import zlib
 from collections.abc import Callable, Iterable, Iterator
 from concurrent.futures import Executor, ThreadPoolExecutor
 from pathlib import Path
-from typing import BinaryIO
 
 from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.journal_format import JournalDamaged, Record, end_of_records, pack, records_up_to
 from otterreach.runtime.log import log
 
-HEADER = struct.Struct("<IIQB")
-SYNCED = struct.Struct("<Q")
-MAX_RECORD = 128 * 1024 * 1024
-LOOK = 1024 * 1024  # how far past a bad record a good one is looked for
-READ_BUFFER = 256 * 1024
-PIECE = 256 * 1024  # of a rewrite: so much is encoded before it is written
-CATCH_UP_BYTES, CATCH_UP_ROUNDS = 64 * 1024, 4  # appended meanwhile: written before the log has to wait for the switch
+READ_BUFFER_BYTES = 256 * 1024
+CHUNK_BYTES = 256 * 1024  # of a rewrite: so much is encoded before it is written
+# What is appended during a rewrite is written before the log has to wait for the switch, down to so much.
+CATCH_UP_BYTES = 64 * 1024
+CATCH_UP_ROUNDS = 4
 NO_ROOM = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
-Record = tuple[int, bytes]  # kind, payload
+
 Slice = Iterable[Record]  # a part of the live state, as it is in one turn of the loop
 LiveSlices = Callable[[], Iterable[Slice]]
 
 
-class JournalDamaged(Exception):
-    """A record that had been synced can't be read any more."""
-
-
-def pack(kind: int, payload: bytes, synced: int) -> bytes:
-    tail = struct.pack("<QB", synced, kind)
-    crc = zlib.crc32(payload, zlib.crc32(tail))
-    return struct.pack("<II", len(payload), crc) + tail + payload
-
-
-def scan(data: bytes) -> tuple[list[Record], int]:
-    """The whole records from the start, and where they end. Raises JournalDamaged."""
-    end = whole_until(io.BytesIO(data), len(data))
-    return list(records_until(io.BytesIO(data), end)), end
-
-
-def whole_until(file: BinaryIO, size: int) -> int:
-    """Where the whole records of a file end. One record at a time is in memory. Raises JournalDamaged."""
-    at = 0
-    while (found := _record(file, size - at)) is not None:
-        at += HEADER.size + len(found[0][1])
-    _check_tail(file, at, size)
-    return at
-
-
-def records_until(file: BinaryIO, end: int) -> Iterator[Record]:
-    """The records up to a place that `whole_until` has told."""
-    at = 0
-    while at < end:
-        length, _, _, kind = HEADER.unpack(file.read(HEADER.size))
-        yield kind, file.read(length)
-        at += HEADER.size + length
-
-
-def _check_tail(file: BinaryIO, at: int, size: int) -> None:
-    """What follows the last whole record must never have been synced."""
-    file.seek(at)
-    tail = file.read(LOOK + HEADER.size)
-    for offset in range(1, min(len(tail) - HEADER.size + 1, LOOK)):
-        later = at + offset
-        if not at < SYNCED.unpack_from(tail, offset + 8)[0] <= later:  # a checksum at each byte would take minutes
-            continue
-        file.seek(later)
-        if (found := _record(file, size - later)) is not None:
-            raise JournalDamaged(f"record at byte {at} is bad, though {found[1]} bytes had been synced")
-
-
-def _record(file: BinaryIO, left: int) -> tuple[Record, int] | None:
-    """The record at the file's place, and its `synced`; None if it isn't whole."""
-    if left < HEADER.size:
-        return None
-    header = file.read(HEADER.size)
-    length, crc, synced, kind = HEADER.unpack(header)
-    if length > MAX_RECORD or HEADER.size + length > left:
-        return None
-    payload = file.read(length)
-    if zlib.crc32(payload, zlib.crc32(header[8:])) != crc:
-        return None
-    return (kind, payload), synced
-
-
 def _write_all(file: int, data: bytes) -> None:
     view = memoryview(data)
     while view:
@@ -111,7 +42,7 @@
         os.close(folder)
 
 
-class _NewFile:
+class _RewriteFile:
     """The second file of a rewrite: slices of the live state and, in the order of time, what is appended meanwhile.
 
     Records are added in the loop; the methods that touch the disk run in one thread, one after the other.
@@ -122,22 +53,27 @@
         self.buffered = 0
         self.end = 0  # bytes written
         self.file: int | None = None
-        self.given_up = 0  # why: an error number
+        self.abandoned = 0  # why: an error number
         self.renaming = False  # from here on it may stand in the old one's place
         self._records: list[bytes] = []
 
     def add(self, kind: int, payload: bytes) -> None:
+        """One more record, still in memory."""
         record = pack(kind, payload, 0)
         self._records.append(record)
         self.buffered += len(record)
 
     def take(self) -> list[bytes]:
-        records, self._records, self.buffered = self._records, [], 0
+        """The records that are still in memory; they are the caller's to write."""
+        records = self._records
+        self._records = []
+        self.buffered = 0
         return records
 
     def write(self, records: list[bytes]) -> None:
-        if self.given_up:
-            raise OSError(self.given_up, "given up")
+        """Append to the second file. Raises OSError."""
+        if self.abandoned:
+            raise OSError(self.abandoned, "abandoned")
         if self.file is None:
             self.file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o644)
         data = b"".join(records)
@@ -145,6 +81,7 @@
         self.end += len(data)
 
     def write_and_sync(self, records: list[bytes]) -> None:
+        """Append to the second file and have all of it on disk. Raises OSError."""
         self.write(records)
         assert self.file is not None
         os.fsync(self.file)
@@ -156,9 +93,9 @@
         os.rename(self.path, path)
         _sync_folder(path.parent)
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """The log needs the room: the next step of the rewrite fails."""
-        self.given_up = errno.ENOSPC
+        self.abandoned = errno.ENOSPC
         self.discard()
 
     def discard(self) -> None:
@@ -184,7 +121,7 @@
         self._flushing: asyncio.Task[None] | None = None
         self._file: int | None = None
         self._in_use = asyncio.Lock()  # held while the file is written, and while another takes its place
-        self._new: _NewFile | None = None
+        self._new: _RewriteFile | None = None
         self._thread: Executor = ThreadPoolExecutor(1, "journal")
         self._rewrite_thread: Executor = ThreadPoolExecutor(1, "journal-rewrite")
 
@@ -193,36 +130,42 @@
         return self.path.parent / (self.path.name + ".new")
 
     def read(self) -> list[Record]:
-        """All whole records at once; else as `open`."""
+        """All complete records at once; else as `open`."""
         return list(self.open())
 
     def open(self) -> Iterator[Record]:
-        """Open the file for appending, its torn tail cut off. Gives its records, read as they are asked for, which has
-        to be before the first rewrite. Raises JournalDamaged, OSError."""
+        """Open the file for appending, its torn tail cut off.
+
+        :returns: its records, read as they are asked for, which has to be before the first rewrite
+        :raises JournalDamaged: a record that had been synced can't be read
+        :raises OSError: the disk failed
+        """
         self.path.parent.mkdir(parents=True, exist_ok=True)
         self._new_path.unlink(missing_ok=True)
-        end = self._whole_until() if self.path.exists() else 0
+        end = self._end_of_records() if self.path.exists() else 0
         self._open(end)
         return self._records(end)
 
-    def _whole_until(self) -> int:
+    def _end_of_records(self) -> int:
         size = self.path.stat().st_size
-        with open(self.path, "rb", READ_BUFFER) as file:
-            end = whole_until(file, size)
+        with open(self.path, "rb", READ_BUFFER_BYTES) as file:
+            end = end_of_records(file, size)
         if end < size:
             log("journal_tail_cut", level="WARNING", file=self.path.name, bytes=size - end)
         return end
 
     def _records(self, end: int) -> Iterator[Record]:
-        with open(self.path, "rb", READ_BUFFER) as file:
-            yield from records_until(file, end)
+        with open(self.path, "rb", READ_BUFFER_BYTES) as file:
+            yield from records_up_to(file, end)
 
     def _open(self, end: int) -> None:
         file = os.open(self.path, os.O_RDWR | os.O_CREAT, 0o644)
         os.ftruncate(file, end)
         os.fsync(file)
         _sync_folder(self.path.parent)
-        self._file, self.size, self._synced = file, end, end
+        self._file = file
+        self.size = end
+        self._synced = end
 
     def append(self, kind: int, payload: bytes) -> None:
         """Queue a record; it is on disk once a `sync` called later has returned True."""
@@ -245,17 +188,20 @@
     async def _flush(self) -> None:
         while self._waiting and self.failed is None:
             async with self._in_use:
-                waiting, self._waiting = self._waiting, []
+                waiting = self._waiting
+                self._waiting = []
                 await self._write_pending()
-            self._settle(waiting)
+            self._complete(waiting)
         if self.failed is not None:
-            waiting, self._waiting = self._waiting, []
-            self._settle(waiting)
+            waiting = self._waiting
+            self._waiting = []
+            self._complete(waiting)
 
     async def _write_pending(self) -> None:
         if self.failed is not None:
             return
-        data, self._pending = b"".join(self._pending), []
+        data = b"".join(self._pending)
+        self._pending = []
         try:
             await self._in_thread(self._write, data)
         except OSError as error:
@@ -264,15 +210,15 @@
             else:
                 self._fail(error)
 
-    async def _write_without_rewrite(self, data: bytes, new: _NewFile) -> None:
-        """The disk is full, perhaps by a rewrite's second file: give that up, and try once more."""
+    async def _write_without_rewrite(self, data: bytes, new: _RewriteFile) -> None:
+        """The disk is full, perhaps by a rewrite's second file: abandon that, and try once more."""
         try:
-            await self._in_rewrite_thread(new.give_up)
+            await self._in_rewrite_thread(new.abandon)
             await self._in_thread(self._write, data)
         except OSError as error:
             self._fail(error)
 
-    def _settle(self, waiting: list[asyncio.Future[bool]]) -> None:
+    def _complete(self, waiting: list[asyncio.Future[bool]]) -> None:
         for future in waiting:
             if not future.done():
                 future.set_result(self.failed is None)
@@ -294,17 +240,19 @@
     # Rewrite -------------------------------------------------------------------------------------
 
     async def rewrite(self, live: LiveSlices) -> bool:
-        """Replace the file by one that holds the live state, beside the log in use: appends and syncs go on.
+        """Replace the file by one that holds the live state, while the log is in use: appends and syncs go on.
 
         Each slice is asked for in a turn of the loop of its own, and has to tell its part of the state as it is then.
         What is appended meanwhile stands between the slices in the order of time, so a record about a part may come
         before that part's slice, and the reader of the file has to bear that. Power may go at any step: the old file
-        or the new one is there, whole, and either has all that was acknowledged.
-        False: nothing was replaced; `failed` tells whether the journal still works.
+        or the new one is there, complete, and either has all that was acknowledged.
+
+        :returns: False if nothing was replaced; `failed` tells whether the journal still works
         """
         if self._new is not None or self.failed is not None:
             return False
-        new = self._new = _NewFile(self._new_path)
+        new = _RewriteFile(self._new_path)
+        self._new = new
         try:
             await self._fill(new, live())
             await self._catch_up(new)
@@ -320,28 +268,28 @@
     def abandon_rewrite(self) -> None:
         """End a rewrite that is under way, if slices are still to come: what follows must not stand among them."""
         if self._new is not None:
-            self._new.given_up = errno.ECANCELED
+            self._new.abandoned = errno.ECANCELED
 
     async def _in_rewrite_thread(self, step: Callable[..., None], *args: object) -> None:
         await asyncio.get_running_loop().run_in_executor(self._rewrite_thread, step, *args)
 
-    async def _fill(self, new: _NewFile, slices: Iterable[Slice]) -> None:
+    async def _fill(self, new: _RewriteFile, slices: Iterable[Slice]) -> None:
         for part in slices:
             for kind, payload in part:
                 new.add(kind, payload)
-            if new.buffered >= PIECE:
+            if new.buffered >= CHUNK_BYTES:
                 await self._in_rewrite_thread(new.write, new.take())
             else:
                 await asyncio.sleep(0)
 
-    async def _catch_up(self, new: _NewFile) -> None:
+    async def _catch_up(self, new: _RewriteFile) -> None:
         """Have nearly all of it on disk before the log has to wait for the rest."""
         for _ in range(CATCH_UP_ROUNDS):
             await self._in_rewrite_thread(new.write_and_sync, new.take())
             if new.buffered <= CATCH_UP_BYTES:
                 return
 
-    async def _switch(self, new: _NewFile) -> bool:
+    async def _switch(self, new: _RewriteFile) -> bool:
         """Put the new file in the old one's place. The log is not being written, and what is pending is in both."""
         if self.failed is not None:
             return False
@@ -354,13 +302,14 @@
             raise
         assert self._file is not None
         os.close(self._file)
-        self._file, new.file = new.file, None
+        self._file = new.file
+        new.file = None
         self._synced = new.end
         self.size = new.end + new.buffered
         self._pending = new.take()
         return True
 
-    def _rewrite_failed(self, new: _NewFile, error: OSError) -> None:
+    def _rewrite_failed(self, new: _RewriteFile, error: OSError) -> None:
         if error.errno == errno.ECANCELED and not new.renaming:
             log("journal_rewrite_abandoned", file=self.path.name)
         elif error.errno in NO_ROOM and not new.renaming:
@@ -370,7 +319,7 @@
 
 
 def open_journal(path: Path) -> tuple[Journal, Iterator[Record]]:
-    """The journal and its records. A damaged one is put aside: this disk is a new, empty one then."""
+    """The journal and its records. A damaged one is renamed: this disk counts as a new, empty one then. Raises OSError."""
     journal = Journal(path)
     try:
         return journal, journal.open()
--- a/otterreach/simulation/disk.py
+++ b/otterreach/simulation/disk.py
@@ -10,7 +10,8 @@
 from random import Random
 
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.journal import LiveSlices, Record, Slice, pack, scan
+from otterreach.runtime.journal import LiveSlices, Slice
+from otterreach.runtime.journal_format import Record, pack, scan
 
 SLICES_IN_ONE_SYNC = 4  # of a rewrite: so many are written in the time that a sync takes
 
--- a/otterreach/simulation/planted_jobs.py
+++ b/otterreach/simulation/planted_jobs.py
@@ -186,7 +186,7 @@
     Planted(
         "torn-record-taken",
         "a record of the journal whose checksum is wrong is read",
-        (Change("otterreach.runtime.journal:_record", "!= crc:", "is None:"),),
+        (Change("otterreach.runtime.journal_format:_read_record", "!= crc:", "is None:"),),
         "jobs",
     ),
     Planted(
--- a/otterreach/simulation/small_parts.py
+++ b/otterreach/simulation/small_parts.py
@@ -16,7 +16,7 @@
 from otterreach.controller.replication import ControlReplication
 from otterreach.runtime import settings
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.journal import Record as Entry
+from otterreach.runtime.journal_format import Record as Entry
 from otterreach.runtime.settings import Settings
 from otterreach.runtime.store import Item, ReplicatedStore
 from otterreach.simulation.loop import OWNER, Process, VirtualLoop
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -18,7 +18,8 @@
 from otterreach.jobstore.journal_records import RecordKind, partition_of_record
 from otterreach.jobstore.partition_replica import PartitionReplica
 from otterreach.jobstore.placement import PARTITIONS
-from otterreach.runtime.journal import Journal, Record, pack, scan
+from otterreach.runtime.journal import Journal
+from otterreach.runtime.journal_format import Record, pack, scan
 from otterreach.runtime.settings import Settings
 
 DATA = Path(__file__).parent.parent / "data"
--- a/tests/jobstore_net.py
+++ b/tests/jobstore_net.py
@@ -12,7 +12,8 @@
 
 from otterreach.runtime.codec import NUMBERS, decode, encode
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.journal import LiveSlices, pack, scan
+from otterreach.runtime.journal import LiveSlices
+from otterreach.runtime.journal_format import pack, scan
 from otterreach.runtime.rpc import Done
 
 DELAY_S = 0.001
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -31,7 +31,7 @@
 from otterreach.runtime import codes
 from otterreach.runtime.codec import encode
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.journal import pack
+from otterreach.runtime.journal_format import pack
 from otterreach.runtime.relay import Changes, Follow, FreshnessProbe
 from otterreach.runtime.rpc import Endpoint, Link
 from otterreach.runtime.store import Item, ReplicatedStore
--- a/tests/test_compaction.py
+++ b/tests/test_compaction.py
@@ -9,7 +9,8 @@
 
 from otterreach.runtime.codes import Failure
 from otterreach.runtime.compaction import RETRY_S, Compaction, Limits
-from otterreach.runtime.journal import LiveSlices, Record
+from otterreach.runtime.journal import LiveSlices
+from otterreach.runtime.journal_format import Record
 from otterreach.simulation.disk import Disk, VirtualJournal
 from tests.virtual import run
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -21,7 +21,8 @@
 
 from otterreach.runtime import journal
 from otterreach.runtime.codes import Code
-from otterreach.runtime.journal import HEADER, Journal, JournalDamaged, Record, pack, scan
+from otterreach.runtime.journal import Journal
+from otterreach.runtime.journal_format import HEADER, JournalDamaged, Record, pack, scan
 
 RECORDS: list[Record] = [(1, b"one"), (2, b""), (3, bytes(range(256)) * 3), (255, b"last" * 9)]
 
@@ -268,7 +269,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        for name, value in (("PIECE", 64), ("CATCH_UP_BYTES", 16)):
+        for name, value in (("CHUNK_BYTES", 64), ("CATCH_UP_BYTES", 16)):
             patch = mock.patch.object(journal, name, value)
             patch.start()
             self.addCleanup(patch.stop)
@@ -444,7 +445,7 @@
                     yield self.LIVE
 
             syncing: list[asyncio.Future[bool]] = []
-            with mock.patch.object(os, "write", write), mock.patch.object(journal, "PIECE", 1):
+            with mock.patch.object(os, "write", write), mock.patch.object(journal, "CHUNK_BYTES", 1):
                 self.assertFalse(await made.rewrite(slices))
                 self.assertTrue(await syncing[0])
             self.assertIsNone(made.failed)
