--- a/otterreach/balancer/limits.py
+++ b/otterreach/balancer/limits.py
@@ -8,7 +8,9 @@
 from otterreach.balancer.state import Pending, Rate, State
 
 CALM, ROOM = 0.5, 0.25  # share of the target that answers may take; part of what idle ones leave of it
-STRAIN_ALPHA, STEEP = 0.3, 0.6  # waits are learned fast, and refused in full well before all is late
+# waits are learned fast, and refused in full well before all is late
+STRAIN_ALPHA = 0.3
+STEEP = 0.6
 MOST_STRAIN = 0.95  # some requests go out whatever the waits, or nothing would be learned
 CHANCE = 4.0  # open requests a short memory may easily have missed
 EXCESS_ROOM, SHARE_SLACK = 0.5, 1.5  # room for a tenant beyond its share; usage differs by that much anyhow
@@ -26,7 +28,8 @@
         self.calm = CALM + (1 - CALM) * min(c.late_worth for c in classes)  # late is no total loss
         self.usual_left = [(0, 0)] * len(classes)
         self.tenant_rates = [Rate(self.forget_ns) for _ in settings.tenants]
-        self.usual_share = self.idle = 0.0  # share of the target that answers take, and its least
+        self.usual_share = 0.0  # of the target that answers take
+        self.idle = 0.0  # the least of it
         self.shares_seen = 0
         self.answered = Rate(self.tightest_ns)
         self.strains: dict[int, tuple[float, int]] = {}  # by zone: as usual_share, of late; when
@@ -53,7 +56,8 @@
         busy = self.random.random() * part < odds[0]
         # Danger: one zone refuses what the next would serve. What is worth refusing here is worth crossing.
         if busy and self.random.random() * part >= min(odds[1:], default=1.0):
-            busy, req.far = False, True
+            busy = False
+            req.far = True
         # By Little's law, with more requests open than (answers in time per second) x (time in the system)
         # the last would wait too long. Beside that, a deviation of chance, and what a short memory hides.
         rate = self.answered.read(self.now) / (1 - exp2(-age / self.answered.half_ns))
@@ -78,7 +82,8 @@
         """Whether, by a draw, this falls on what its tenant asks beyond its share. Danger: a flood."""
         if tenant >= len(self.tenant_rates):
             return False
-        rates, share = [r.read(self.now) for r in self.tenant_rates], self.settings.tenants[tenant].share
+        rates = [r.read(self.now) for r in self.tenant_rates]
+        share = self.settings.tenants[tenant].share
         others = sum(rates) - rates[tenant]
         return self.random.random() * rates[tenant] * (1 - share) > others * share * SHARE_SLACK
 
@@ -87,7 +92,8 @@
         if self.now <= req.aim and not req.done:
             self.answered.add(self.now)
         self.shares_seen += 1
-        seen, share = self.shares_seen, min(took / req.cls.target_ns, 1.0)
+        seen = self.shares_seen
+        share = min(took / req.cls.target_ns, 1.0)
         self.usual_share += max(SHARE_ALPHA, 1 / seen) * (share - self.usual_share)
         least = self.idle * (1 + IDLE_DRIFT) if seen * SHARE_ALPHA >= 1 else 1.0
         self.idle = min(least, self.usual_share)  # Danger: idle answers near the target are no overload
--- a/otterreach/balancer/logic.py
+++ b/otterreach/balancer/logic.py
@@ -39,7 +39,8 @@
         self.told_at = 0
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        self.now, self.actions = now, []
+        self.now = now
+        self.actions = []
         self.handlers[type(event)](event)
         while self.woken:  # a loop: each may end and wake the next
             self._attempt(self.woken.pop())
@@ -75,11 +76,14 @@
         """What a peer saw later than this sidecar takes the place of what it knew."""
         self._strain(self.settings.zone, max(0.0, min(1.0, message.strain)), 0.5)
         for seen in message.sightings:
-            e, at = self.endpoints.get(seen.endpoint), self.now - max(0, seen.age_ns)
+            e = self.endpoints.get(seen.endpoint)
+            at = self.now - max(0, seen.age_ns)
             if e and at > max(e.slow_at, e.row.started_ns) and 0 < seen.slow < 1e9:
                 self._learn(e, min(seen.slow, MAX_SLOWDOWN), at)
             if e and at > max(e.queue_at, e.row.started_ns) and 0 <= seen.queue < 1e9:
-                e.queue, e.queue_at, e.since = seen.queue, at, 0
+                e.queue = seen.queue
+                e.queue_at = at
+                e.since = 0
 
     def _on_request(self, event: api.Request) -> None:
         cls = self.settings.classes[event.cls]
@@ -147,7 +151,8 @@
         attempt = req.attempts[event.attempt] if req and event.attempt < len(req.attempts) else None
         if req is None or attempt is None or not attempt.open:
             return
-        attempt.open, attempt.may_have_run = False, event.status not in NEVER_RAN
+        attempt.open = False
+        attempt.may_have_run = event.status not in NEVER_RAN
         attempt.endpoint.out.pop((req.id, event.attempt), None)
         if req.key and event.status in (Status.TIMEOUT, Status.RESET, Status.CANCELLED):
             self._rest(req.key)
@@ -166,8 +171,10 @@
             self._end(req)
 
     def _learn_endpoint(self, req: Pending, attempt: Attempt, event: api.Outcome) -> None:
-        e, took = attempt.endpoint, float(event.latency_ns)
-        before, spent = self._slowdown(e), event.status is Status.TIMEOUT and self.now >= req.aim
+        e = attempt.endpoint
+        took = float(event.latency_ns)
+        before = self._slowdown(e)
+        spent = event.status is Status.TIMEOUT and self.now >= req.aim
         share = 1.0 if spent else min(took / req.cls.target_ns, 1.0)
         if event.status not in (Status.OK, Status.CANCELLED):
             self._log("failing", f"endpoint {e.id}: {event.status.name}, slowdown {before:.1f}")
--- a/otterreach/balancer/retries.py
+++ b/otterreach/balancer/retries.py
@@ -6,7 +6,9 @@
 from otterreach.balancer.interface import Effect
 from otterreach.balancer.state import Endpoint, Pending, State
 
-RETRY_SHARE, RETRY_BURST = 0.2, 50.0  # re-sends per first attempt, and how many may be saved up
+# re-sends per first attempt, and how many may be saved up
+RETRY_SHARE = 0.2
+RETRY_BURST = 50.0
 PATIENCE = 4.0  # usual times that an attempt may take before another: lost answers against waste
 AMPLE = 3.0  # usual times that must then be left: a further attempt with less is no better than waiting on
 
@@ -31,7 +33,8 @@
         if risky and req.cls.effect is Effect.BY_KEY:
             # Danger: outside the group, or past its memory, a repeat is a second effect. A copy may need
             # a connection's time-out and some batches to arrive.
-            s, first = self.settings, risky[0].endpoint.row
+            s = self.settings
+            first = risky[0].endpoint.row
             travel = s.connect_timeout_ns + 4 * s.resolution_ns + s.answer_slack_ns
             if self.now + travel >= risky[0].sent + req.cls.dedup_window_ns:
                 return []
@@ -45,7 +48,8 @@
     def _patience(self, req: Pending, usual: float) -> int:
         """How long an attempt may take before another is made; 0: as long as there is. Danger: at a silent
         endpoint, or where answers are lost, it would use up all the time there was to recover in."""
-        early, s = int(PATIENCE * usual), self.settings
+        early = int(PATIENCE * usual)
+        s = self.settings
         fits = self.now + early + AMPLE * usual < req.aim and len(req.attempts) + 1 < s.attempts_cap
         repeats = req.cls.effect is not Effect.ONCE and not req.cls.stream and self.retry_tokens >= 1
         return early if fits and repeats else 0
--- a/otterreach/balancer/routing.py
+++ b/otterreach/balancer/routing.py
@@ -32,12 +32,15 @@
         classes = settings.classes
         self.salt = self.random.getrandbits(64)
         self.class_ns = [c.target_ns / 4 for c in classes]  # usual response time, learned
-        self.class_seen, self.hint_mean = [0] * len(classes), [0.0] * len(classes)
+        self.class_seen = [0] * len(classes)
+        self.hint_mean = [0.0] * len(classes)
         self.asked = Rate(4 * self.forget_ns)  # a small sidecar's rate over less is mere chance
-        self.work, self.offered = Rate(settings.fall_ns), Rate(settings.fall_ns)  # answered, sent
+        self.work = Rate(settings.fall_ns)  # answered
+        self.offered = Rate(settings.fall_ns)  # sent
         figures = [*settings.report_columns, "queue", "inflight"]  # past the end: not reported
         self.load_column = figures.index("queue" if "queue" in settings.report_columns else "inflight")
-        self.mean_queue, self.mean_weight = 0.0, 1.0
+        self.mean_queue = 0.0
+        self.mean_weight = 1.0
         self.kind_slow: dict[tuple[int, int], float] = {}  # mean x_i of a kind of machine in a zone
 
     def _update_list(self, roster: api.Roster) -> None:
@@ -57,10 +60,13 @@
         self.mean_weight = sum(e.weight for e in self.ready) / max(1, len(self.ready)) or 1.0
 
     def _on_report(self, event: api.Outcome | api.ProbeResult) -> None:
-        e, load = self.endpoints.get(event.endpoint), event.load
+        e = self.endpoints.get(event.endpoint)
+        load = event.load
         value = load[self.load_column] if self.load_column < len(load) else -1.0
         if e and 0 <= value < 1e9:  # not for nan, inf or nonsense
-            e.queue, e.queue_at, e.since = value, self.now, 0
+            e.queue = value
+            e.queue_at = self.now
+            e.since = 0
             self.mean_queue += ALPHA * (value - self.mean_queue)
 
     def _draw(self, req: Pending, candidates: list[Endpoint], usual: float) -> Endpoint | None:
@@ -68,8 +74,10 @@
         s = self.settings
         took = usual * max(1.0, sum(self.kind_slow.values()) / max(1, len(self.kind_slow)))  # of late
         away = 1 + s.price_cross_zone * PRICE_WAIT * req.cls.target_ns / took
-        warm, gather = self._warm(req.event.key, candidates), max(1.0, WARM_KEY * len(candidates))
-        odds, cold = [], False
+        warm = self._warm(req.event.key, candidates)
+        gather = max(1.0, WARM_KEY * len(candidates))
+        odds = []
+        cold = False
         for e in candidates:
             w = (self._load(e) + 1) * self._slowdown(e, req.event.cls)
             if self.now < e.warm_at:  # the slowest ramp that is guaranteed, or what it has shown
@@ -95,7 +103,8 @@
 
     def _load(self, e: Endpoint) -> float:
         """L_i: the reported queue, faded by age toward the fleet's, and own sends since."""
-        out, fade = len(e.out), exp2((e.queue_at - self.now) / self.forget_ns)
+        out = len(e.out)
+        fade = exp2((e.queue_at - self.now) / self.forget_ns)
         queue = self.mean_queue + (e.queue - self.mean_queue) * fade + (e.since if e.since < out else out)
         return queue if queue > out else out
 
@@ -125,15 +134,19 @@
         capped at a multiple of the part that it would bear were all alike, so the fleet's sum is capped too,
         however little each sends. A share of what is answered: sent, it may be any amount. Returns the odds
         of sending nowhere, where all are cold."""
-        s, total = self.settings, sum(odds)
+        s = self.settings
+        total = sum(odds)
         size = sum(e.weight * (e.ramp if self.now < e.warm_at else 1.0) for e in candidates) or 1.0
         sound = min(1.0, self.work.read(self.now) / (self.offered.read(self.now) or 1.0))
-        part, over, warm = total * COLD_SHARE * s.fall_multiple * sound / size, 0.0, []
+        part = total * COLD_SHARE * s.fall_multiple * sound / size
+        over = 0.0
+        warm = []
         for n, e in enumerate(candidates):
             if self.now >= e.warm_at:
                 warm.append(n)
             elif (excess := odds[n] - part * e.weight * e.ramp) > 0:
-                over, odds[n] = over + excess, odds[n] - excess
+                over = over + excess
+                odds[n] = odds[n] - excess
         scale = 1 + over / (sum(odds[n] for n in warm) or 1.0)
         for n in warm:
             odds[n] *= scale  # so that the caps are shares of what is drawn
@@ -141,7 +154,8 @@
 
     def _usual(self, req: Pending) -> float:
         """What this request usually takes: its class's usual time, and what its hint adds to the class's."""
-        usual, hint = self.class_ns[req.event.cls], req.event.hint_ns
+        usual = self.class_ns[req.event.cls]
+        hint = req.event.hint_ns
         if hint is not None and self.class_seen[req.event.cls]:
             usual = max(usual + hint - self.hint_mean[req.event.cls], usual / 4)
         return max(1.0, min(usual, MAX_SLOWDOWN * self.class_ns[req.event.cls]))  # a hint may be any number
--- a/otterreach/balancer/state.py
+++ b/otterreach/balancer/state.py
@@ -16,11 +16,14 @@
     __slots__ = ("at", "half_ns", "value")
 
     def __init__(self, half_ns: int) -> None:
-        self.half_ns, self.value, self.at = max(half_ns, 1), 0.0, 0
+        self.half_ns = max(half_ns, 1)
+        self.value = 0.0
+        self.at = 0
 
     def read(self, now: int) -> float:
         if now != self.at:
-            self.value, self.at = self.value * exp2((self.at - now) / self.half_ns), now
+            self.value = self.value * exp2((self.at - now) / self.half_ns)
+            self.at = now
         return self.value
 
     def add(self, now: int, amount: float = 1.0) -> None:
@@ -52,7 +55,9 @@
         self.slow = 1.0  # x_i: response times over what their requests usually take
         self.by_class: dict[int, tuple[float, int]] = {}  # the same of one class, and when
         self.queue = 0.0
-        self.slow_at = self.queue_at = self.since = 0  # since: own sends since the last report
+        self.slow_at = 0
+        self.queue_at = 0
+        self.since = 0  # own sends since the last report
         self.warm_at = row.started_ns + settings.cold_ns if row.started_ns else 0
         self.ramp = 1.0  # part of its capacity that it is sure to have, while it is cold
         # What its own answers prove: as x_i, from the slowest start there may be. One proves little.
@@ -60,7 +65,10 @@
         self.update(row)
 
     def update(self, row: api.Listed) -> None:
-        self.row, self.id, self.zone, self.kind = row, row.endpoint, row.zone, (row.kind, row.zone)
+        self.row = row
+        self.id = row.endpoint
+        self.zone = row.zone
+        self.kind = (row.kind, row.zone)
         self.weight = row.weight if 0 < row.weight < 1e9 else 1.0
         self.ready = row.state == EndpointState.READY
 
@@ -69,8 +77,11 @@
     __slots__ = ("endpoint", "may_have_run", "open", "sent", "usual")
 
     def __init__(self, endpoint: Endpoint, sent: int, usual: float) -> None:
-        self.endpoint, self.sent, self.usual = endpoint, sent, usual
-        self.open = self.may_have_run = True
+        self.endpoint = endpoint
+        self.sent = sent
+        self.usual = usual
+        self.open = True
+        self.may_have_run = True
 
 
 class Pending:  # a request from its arrival until its last attempt has ended
@@ -89,13 +100,18 @@
     )
 
     def __init__(self, event: api.Request, cls: api.RequestClass, now: int, waited: int) -> None:
-        self.id, self.event, self.cls = event.request, event, cls
+        self.id = event.request
+        self.event = event
+        self.cls = cls
         target = cls.target_ns + int(cls.aim_stretch * (event.hint_ns or 0))
-        self.give_up, self.aim = now + event.left_ns, now + min(target - waited, event.left_ns)
+        self.give_up = now + event.left_ns
+        self.aim = now + min(target - waited, event.left_ns)
         self.limit = self.give_up if cls.late_worth else self.aim  # an answer past it is worth nothing
         self.key = event.key if cls.in_order else 0  # not 0: it takes turns with others of the key
         self.attempts: list[Attempt] = []
-        self.done = self.streaming = self.far = False  # far: what another zone costs is worth paying
+        self.done = False
+        self.streaming = False
+        self.far = False  # what another zone costs is worth paying
 
     def risky(self) -> list[Attempt]:
         return [a for a in self.attempts if a.may_have_run]
@@ -108,15 +124,18 @@
     """The books that more than one part reads, kept for one sidecar."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        self.settings, self.random = settings, Random(seed)
-        self.now, self.started = 0, 0
+        self.settings = settings
+        self.random = Random(seed)
+        self.now = 0
+        self.started = 0
         self.actions: list[api.Action] = []
         self.logged: dict[str, int] = {}  # topic -> when it may be logged again
         self.endpoints: dict[int, Endpoint] = {}
         self.ready: list[Endpoint] = []  # those of the endpoints that may be sent to
         self.pending: dict[int, Pending] = {}
         self.timers: dict[int, tuple[str, int]] = {}  # token -> what for, request
-        self.next_token = self.open = 0  # open: requests not yet answered
+        self.next_token = 0
+        self.open = 0  # requests not yet answered
         classes = settings.classes
         self.forget_ns = max(c.deadline_ns for c in classes)  # half-life of what is known of an endpoint
         self.tightest_ns = min(c.target_ns for c in classes)
--- a/otterreach/balancer/wire.py
+++ b/otterreach/balancer/wire.py
@@ -28,9 +28,13 @@
 _FROM_PEER = struct.Struct("<IHH")
 
 _SIGHTING = struct.Struct("<IBBB")
-_STEPS, _AGE_NS = 16, 50_000_000  # a peer message's figures: steps to a doubling, and its unit of age
+# a peer message's figures: steps to a doubling, and its unit of age
+_STEPS = 16
+_AGE_NS = 50_000_000
 
-_HINT_VALID, _IS_RETRY, _IS_WRITE = 1, 2, 4
+_HINT_VALID = 1
+_IS_RETRY = 2
+_IS_WRITE = 4
 _EVERY_PEER = 0xFFFFFFFF
 _MAX_TEXT = 1000
 
--- a/otterreach/cli/caller.py
+++ b/otterreach/cli/caller.py
@@ -17,7 +17,8 @@
 SILENCE_S = 1.0  # then another address is asked; more for large bodies
 BYTES_PER_S = 4e6
 REDIRECTS = 2
-BACKOFF_S, MOST_BACKOFF_S = 0.1, 1.0
+BACKOFF_S = 0.1
+MOST_BACKOFF_S = 1.0
 MOVE_ON = (408, 429)  # and every 5xx
 
 
@@ -89,7 +90,9 @@
     ) -> http1.Response | Failure:
         """The first clear answer; else the last Failure, or TIMED_OUT where one of the tries may have been taken."""
         loop = asyncio.get_running_loop()
-        end, pause, maybe = loop.time() + within_s, BACKOFF_S, False
+        end = loop.time() + within_s
+        pause = BACKOFF_S
+        maybe = False
         order = self.random.sample(self.addresses, len(self.addresses))
         if not order:
             return Failure(Code.UNREACHABLE, "no address given")
@@ -102,7 +105,8 @@
             if loop.time() + pause > end:
                 break
             await asyncio.sleep(pause * (0.5 + self.random.random() / 2))
-            turn, pause = turn + 1, min(MOST_BACKOFF_S, pause * 1.6)
+            turn = turn + 1
+            pause = min(MOST_BACKOFF_S, pause * 1.6)
         if isinstance(answer, Failure) and (not maybe or answer.maybe_done):
             return answer
         status = "" if isinstance(answer, Failure) else f", the last one with {answer.status}"
@@ -119,7 +123,8 @@
             target = urlsplit(answer.headers.get(b"location", b"").decode("latin-1"))
             if not target.netloc:
                 break
-            address, path = target.netloc, target.path or path
+            address = target.netloc
+            path = target.path or path
         return Failure(Code.NOT_PRIMARY, f"{address}: sent on too often")
 
 
--- a/otterreach/cli/configuration_commands.py
+++ b/otterreach/cli/configuration_commands.py
@@ -67,7 +67,8 @@
 @app.command
 def diff(file: Path, *, connection: Connection = DEFAULT_CONNECTION) -> int:
     """What a file would change in the configuration in force."""
-    body, current = read_file(file), current_configuration(connection)
+    body = read_file(file)
+    current = current_configuration(connection)
     for failure in (body, current):
         if isinstance(failure, Failure):
             return fail(failure)
--- a/otterreach/cli/data.py
+++ b/otterreach/cli/data.py
@@ -21,7 +21,8 @@
 from otterreach.runtime.journal_format import HEADER, MAX_RECORD_BYTES, JournalDamaged, pack, scan
 from otterreach.runtime.store import Item, ReplicatedStore
 
-CONTROL, JOBS = "control", "jobs"
+CONTROL = "control"
+JOBS = "jobs"
 # How kinds of records are shown.
 CONTROL_KINDS: dict[int, str] = {
     JournalKind.IDENTITY: "identity",
--- a/otterreach/cli/local_commands.py
+++ b/otterreach/cli/local_commands.py
@@ -53,7 +53,8 @@
     """Whether a configuration is valid; with --current, whether it may follow that one."""
     from otterreach.controller.config import check_put
 
-    body, base = read_file(file), read_file(current) if current else None
+    body = read_file(file)
+    base = read_file(current) if current else None
     if isinstance(body, Failure):
         return fail(body)
     if isinstance(base, Failure):
--- a/otterreach/cli/state.py
+++ b/otterreach/cli/state.py
@@ -58,7 +58,8 @@
 
 async def read(controllers: Sequence[str]) -> ReplicatedStore | Failure:
     """A copy of the control state, as it is now."""
-    endpoint, store = Endpoint(), ReplicatedStore()
+    endpoint = Endpoint()
+    store = ReplicatedStore()
     try:
         found = await fetch(endpoint, controllers, store)
     finally:
@@ -68,7 +69,8 @@
 
 async def watch(controllers: Sequence[str], kind: str, show: Callable[[Item], None]) -> Failure:
     """Tell each change of one kind of items (all if empty) until the controller falls silent or leaves."""
-    endpoint, store = Endpoint(), ReplicatedStore()
+    endpoint = Endpoint()
+    store = ReplicatedStore()
     changed = asyncio.Event()
 
     async def on_changes(link: Link, changes: Changes) -> None:
@@ -98,7 +100,8 @@
 
 async def job(controllers: Sequence[str], ident: str) -> Row | Failure:
     """A batch job by its id, asked of the job store node that owns it: id, partition, owner, listed, total."""
-    endpoint, store = Endpoint(), ReplicatedStore()
+    endpoint = Endpoint()
+    store = ReplicatedStore()
     try:
         found = await fetch(endpoint, controllers, store)
         if isinstance(found, Failure):
--- a/otterreach/loadtest/callers.py
+++ b/otterreach/loadtest/callers.py
@@ -51,7 +51,10 @@
     """The clients of one row of the plan."""
 
     def __init__(self, scene: Scene, row: Clients, started_at: float, faults: list[str]) -> None:
-        self.scene, self.row, self.started_at, self.faults = scene, row, started_at, faults
+        self.scene = scene
+        self.row = row
+        self.started_at = started_at
+        self.faults = faults
         self.route = scene.plan.route_named(row.route)
         self.tally = Tally(row.route)
         self.sent: dict[str, bool] = {}  # on a mutating route: by id, whether it was refused
@@ -70,12 +73,15 @@
             await asyncio.wait(self._open)
 
     async def _client(self, client: str) -> None:
-        scene, begun = self.scene, self.scene.now()
+        scene = self.scene
+        begun = self.scene.now()
         zone = scene.random.choice(scene.plan.zones)
-        end, word = begun + self.row.deadline_ms / 1000, ""
+        end = begun + self.row.deadline_ms / 1000
+        word = ""
         path = f"{self.route.prefix}{scene.random.getrandbits(24):x}"
         for turn in range(self.row.retries + 1):
-            ident, body = scene.ident(), scene.random.randbytes(self.row.body_bytes)
+            ident = scene.ident()
+            body = scene.random.randbytes(self.row.body_bytes)
             left = end - scene.now()
             if left <= 0:
                 break
--- a/otterreach/loadtest/connection.py
+++ b/otterreach/loadtest/connection.py
@@ -12,7 +12,8 @@
 from otterreach.loadtest.scene import Scene
 from otterreach.sidecar import http1
 
-MOST_BODY, MOST_HEAD = 64 * 1024 * 1024, 64 * 1024
+MOST_BODY = 64 * 1024 * 1024
+MOST_HEAD = 64 * 1024
 Pairs = tuple[tuple[str, str], ...]
 
 
@@ -54,7 +55,8 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.server.connections.discard(self)
         self._parser.close()
-        dropped, self.dropped = self.dropped, None
+        dropped = self.dropped
+        self.dropped = None
         if dropped:
             dropped()
 
@@ -111,5 +113,6 @@
         self._done()
 
     def _done(self) -> None:
-        self.request = self.dropped = None
+        self.request = None
+        self.dropped = None
         self._next()
--- a/otterreach/loadtest/engine.py
+++ b/otterreach/loadtest/engine.py
@@ -227,7 +227,8 @@
 
     def _change(self, run: Run, stage: Stage) -> None:
         """The one function that moves a run, and keeps the books of memory."""
-        old, run.stage = run.stage, stage
+        old = run.stage
+        run.stage = stage
         if old is Stage.WAITING:
             self.waiting.remove(run)
         elif old in (Stage.READING, Stage.MAKING) and stage in (Stage.WAITING, Stage.OVER):
@@ -243,7 +244,10 @@
 
     def take_order(self, body: dict[str, Any]) -> int:
         """The status for an order: 202 being done, 200 holds already, 409, 412, 400."""
-        owner, fence, model, gen = body.get("owner"), body.get("fence"), body.get("model"), body.get("gen")
+        owner = body.get("owner")
+        fence = body.get("fence")
+        model = body.get("model")
+        gen = body.get("gen")
         if body.get("op") != "gen" or not owner or type(fence) is not int or type(gen) is not int:
             return 400
         method = body.get("method", "wait")
@@ -307,7 +311,8 @@
             unread = self.memory.unread(run.keys) + run.made
             if not self.memory.hold(run.keys, run.made):
                 return
-            run.unread, run.grown = unread, run.made
+            run.unread = unread
+            run.grown = run.made
             self._change(run, Stage.READING)
 
     def _read(self, dt_s: float) -> None:
@@ -339,7 +344,8 @@
         version = self.versions[run.ask.model]
         while run.events < due:
             run.events += 1
-            changed, run.begun = run.begun and run.told != version, True
+            changed = run.begun and run.told != version
+            run.begun = True
             run.told = version
             outcomes.append(Event(run, run.events, version, changed, run.events == run.total))
         if done:
--- a/otterreach/loadtest/engine_server.py
+++ b/otterreach/loadtest/engine_server.py
@@ -51,7 +51,8 @@
             order = json.loads(request.body)
             status = self.engine.take_order(order)
         except (ValueError, AttributeError):
-            order, status = {}, HTTPStatus.BAD_REQUEST
+            order = {}
+            status = HTTPStatus.BAD_REQUEST
         ordered = Ordered(self.ident, str(order.get("owner")), order.get("fence") or 0, status, self.scene.now())
         self.scene.ledger.orders.append(ordered)
         connection.respond(status)
@@ -108,7 +109,9 @@
         if event.run not in self.streams:
             return
         connection, name = self.streams[event.run]
-        ask, ledger, now = event.run.ask, self.scene.ledger, self.scene.now()
+        ask = event.run.ask
+        ledger = self.scene.ledger
+        now = self.scene.now()
         if name not in ledger.runs:
             ledger.runs[name] = Made(ask.id, ask.after, self.spec.name)
             self.began(ask.id)
--- a/otterreach/loadtest/machines.py
+++ b/otterreach/loadtest/machines.py
@@ -20,7 +20,9 @@
 
 MODULES = {"front": "otterreach.proxy", "core": "otterreach.controller", "store": "otterreach.jobstore"}
 ROLES = {"front": "proxy", "core": "controller", "store": "jobstore"}
-FRONT_PORT, READYZ_PORT, CTL_PORT = 8149, 8141, 8144
+FRONT_PORT = 8149
+READYZ_PORT = 8141
+CTL_PORT = 8144
 PORTS = [7380, 7395]
 SEEDS = 3
 REGION = "here"
@@ -41,7 +43,11 @@
     """One machine: its address, its settings file, its disk and its process."""
 
     def __init__(self, name: str, kind: str, ip: str, zone: str, folder: Path) -> None:
-        self.name, self.kind, self.ip, self.zone, self.folder = name, kind, ip, zone, folder
+        self.name = name
+        self.kind = kind
+        self.ip = ip
+        self.zone = zone
+        self.folder = folder
         self.first = True
         self.wanted = False  # it should be running
         self.ends = 0  # by itself
@@ -116,7 +122,8 @@
                 stdin=asyncio.subprocess.DEVNULL,
                 start_new_session=True,
             )
-        self.first, self.wanted = False, True
+        self.first = False
+        self.wanted = True
         self._watch = asyncio.ensure_future(self._wait(self._process))
 
     async def _wait(self, process: asyncio.subprocess.Process) -> None:
@@ -172,7 +179,8 @@
     """All machines of a play. `net`: the first two parts of their addresses, 127.x."""
 
     def __init__(self, plan: Plan, folder: Path, net: str, bounds: dict[str, Any]) -> None:
-        self.plan, self.bounds = plan, bounds
+        self.plan = plan
+        self.bounds = bounds
         self.machines: list[Machine] = []
         for kind, count in (
             ("core", plan.machines.core),
--- a/otterreach/loadtest/plain_server.py
+++ b/otterreach/loadtest/plain_server.py
@@ -18,8 +18,11 @@
     """A request at a plain server."""
 
     def __init__(self, connection: Connection, ident: str, body: bytes, came_at: float, deadline: float) -> None:
-        self.connection, self.ident, self.body = connection, ident, body
-        self.came_at, self.deadline = came_at, deadline
+        self.connection = connection
+        self.ident = ident
+        self.body = body
+        self.came_at = came_at
+        self.deadline = deadline
         self.timer: asyncio.TimerHandle | None = None
 
 
--- a/otterreach/loadtest/plan.py
+++ b/otterreach/loadtest/plan.py
@@ -167,7 +167,8 @@
 
 def _unknown(plan: Plan) -> str:
     """A name that a row uses and none has."""
-    services, routes = {s.name for s in plan.service}, {r.name for r in plan.route}
+    services = {s.name for s in plan.service}
+    routes = {r.name for r in plan.route}
     used = [(f"route {r.name}: service", r.service, services) for r in plan.route]
     used += [("clients: route", c.route, routes) for c in plan.clients]
     for trainer in plan.trainer:
@@ -197,7 +198,8 @@
 
 def configuration(plan: Plan, gen: int = 1) -> dict[str, Any]:
     """What the operator sends."""
-    routes, backends = [], []
+    routes = []
+    backends = []
     for r in plan.route:
         row: dict[str, Any] = {
             "name": r.name,
--- a/otterreach/loadtest/play.py
+++ b/otterreach/loadtest/play.py
@@ -50,7 +50,9 @@
     """Puts the parts together."""
 
     def __init__(self, plan: Plan, folder: Path, seconds: float, quiet: bool = False, net: str = "") -> None:
-        self.plan, self.seconds, self.quiet = plan, seconds, quiet
+        self.plan = plan
+        self.seconds = seconds
+        self.quiet = quiet
         self.loop = asyncio.get_running_loop()
         self.begun = self.loop.time()
         net = net or draw_net()
@@ -180,7 +182,8 @@
     # The end -------------------------------------------------------------------------------------
 
     async def _check(self) -> None:
-        faults, scene = self.played.faults, self.scene
+        faults = self.played.faults
+        scene = self.scene
         if fault := await self.operator.read_back():
             faults.append(fault)
         jobs = [job for part in self.played.trainers for job in part.jobs]
--- a/otterreach/loadtest/report.py
+++ b/otterreach/loadtest/report.py
@@ -11,7 +11,10 @@
 from otterreach.loadtest.play import Played
 from otterreach.loadtest.trainer import LATE
 
-WIDTH, HEIGHT, LEFT, BOTTOM = 640, 220, 50, 30
+WIDTH = 640
+HEIGHT = 220
+LEFT = 50
+BOTTOM = 30
 COLORS = ("#2a6fb0", "#c8553d", "#3a8a4d", "#8a5fa8", "#b08a2a")
 Line = list[tuple[float, float]]
 
@@ -127,10 +130,12 @@
 
 def comparison(here: Path, there: Path) -> str:
     """Means of the plays in two folders, with the least and the most; * where the two do not overlap."""
-    ours, theirs = _gather(here), _gather(there)
+    ours = _gather(here)
+    theirs = _gather(there)
     rows: list[tuple[str, ...]] = [("", str(here), str(there), "")]
     for name in dict.fromkeys([*ours, *theirs]):
-        mine, other = ours.get(name, []), theirs.get(name, [])
+        mine = ours.get(name, [])
+        other = theirs.get(name, [])
         known = min(len(mine), len(other)) > 1  # one play has no spread
         apart = known and (min(mine) > max(other) or max(mine) < min(other))
         rows.append((name, _spread(mine), _spread(other), "*" if apart else ""))
@@ -154,8 +159,10 @@
 
     parts = [f'<h3>{html.escape(title)}</h3><svg width="{WIDTH}" height="{HEIGHT}" font-size="11">']
     for n in range(5):
-        x, y = x_most * n / 4, y_most * n / 4
-        px, py = place(x, 0).split(",")[0], place(0, y).split(",")[1]
+        x = x_most * n / 4
+        y = y_most * n / 4
+        px = place(x, 0).split(",")[0]
+        py = place(0, y).split(",")[1]
         parts.append(
             f'<text x="{px}" y="{HEIGHT - 14}" text-anchor="middle">{x:g}</text>'
             f'<text x="{LEFT - 6}" y="{py}" text-anchor="end">{y:.3g}</text>'
--- a/otterreach/loadtest/server.py
+++ b/otterreach/loadtest/server.py
@@ -26,7 +26,11 @@
     """A server. Each start is a new incarnation with a new id."""
 
     def __init__(self, scene: Scene, spec: Service, place: int, ip: str, zone: str) -> None:
-        self.scene, self.spec, self.place, self.ip, self.zone = scene, spec, place, ip, zone
+        self.scene = scene
+        self.spec = spec
+        self.place = place
+        self.ip = ip
+        self.zone = zone
         self.ident = ""
         self.state = "down"  # up, draining, down
         self.dark = False
@@ -54,7 +58,9 @@
 
     async def start(self) -> None:
         self.ident = self.scene.ident("i-")
-        self.dark, self.slow, self.left_at = False, 1.0, float("inf")
+        self.dark = False
+        self.slow = 1.0
+        self.left_at = float("inf")
         self.fresh()
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(lambda: Connection(self), self.ip, PORT, reuse_address=True)
--- a/otterreach/loadtest/trainer.py
+++ b/otterreach/loadtest/trainer.py
@@ -96,7 +96,9 @@
         The position behind it, or None if it can't be read."""
         try:
             answer = json.loads(body)
-            total, cursor, rows = int(answer["total"]), int(answer["nextCursor"]), list(answer["results"])
+            total = int(answer["total"])
+            cursor = int(answer["nextCursor"])
+            rows = list(answer["results"])
         except (ValueError, KeyError, TypeError) as error:
             self.faults.append(f"read from {past}: {error!r}")
             return None
@@ -135,10 +137,14 @@
     """One trainer of the plan."""
 
     def __init__(self, scene: Scene, row: Trainer, started_at: float) -> None:
-        self.scene, self.row, self.started_at = scene, row, started_at
-        self.route, self.scorer = scene.plan.route_named(row.route), scene.plan.route_named(row.scorer)
+        self.scene = scene
+        self.row = row
+        self.started_at = started_at
+        self.route = scene.plan.route_named(row.route)
+        self.scorer = scene.plan.route_named(row.scorer)
         self.jobs: list[BatchJob] = []
-        self.groups, self.accepts = Latencies(), Latencies()
+        self.groups = Latencies()
+        self.accepts = Latencies()
         self.steps = 0
         self._again: list[list[Item]] = []  # groups that weren't whole
         self._count = 0
@@ -167,11 +173,14 @@
 
     def _group(self) -> list[Item]:
         self._count += 1
-        name, prefix = f"g{self._count}", f"{self.scene.random.getrandbits(32):x}"
+        name = f"g{self._count}"
+        prefix = f"{self.scene.random.getrandbits(32):x}"
         return [self._item(name, prefix) for _ in range(self.row.items)]
 
     def _item(self, group: str, prefix: str) -> Item:
-        scene, row, ident = self.scene, self.row, self.scene.ident()
+        scene = self.scene
+        row = self.row
+        ident = self.scene.ident()
         never = scene.random.random() < row.never
         parts = f"{prefix}:{row.prompt},{ident}:{row.tail}"
         body = (b"never " if never else b"read ") + scene.random.randbytes(64)
@@ -303,7 +312,9 @@
 
     async def read_all(self, job: BatchJob, within_s: float) -> None:
         """After traffic: from the start, page by page, as far as results were ever listed."""
-        end, known, past = self.scene.now() + within_s, len(job.rows), 0
+        end = self.scene.now() + within_s
+        known = len(job.rows)
+        past = 0
         while self.scene.now() < end:
             cursor = await self.read_once(job, past)
             if cursor is None:
--- a/otterreach/loadtest/verify.py
+++ b/otterreach/loadtest/verify.py
@@ -39,7 +39,8 @@
 
 
 def check_versions(job: BatchJob, row: dict[str, Any], lines: list[Line]) -> str:
-    told, made = sorted(row.get("versions") or []), sorted({line.version for line in lines})
+    told = sorted(row.get("versions") or [])
+    made = sorted({line.version for line in lines})
     if told != made:
         return f"versions {told}, and its events were made under {made}"
     if made[0] < job.min_version:
--- a/otterreach/proxy/batch_jobs.py
+++ b/otterreach/proxy/batch_jobs.py
@@ -18,7 +18,8 @@
 from otterreach.runtime.rpc import Done
 from otterreach.sidecar import http1
 
-JOB_PATH, ITEM_PATH = "/lots/", "/items/"
+JOB_PATH = "/lots/"
+ITEM_PATH = "/items/"
 SUBMIT_S = 0.8  # to try for, where neither the client nor the route says less
 READ_S = 0.5
 CALL_S = 0.8
@@ -36,7 +37,8 @@
     """One handler for the resource and all its calls."""
 
     def __init__(self, directory: JobStoreDirectory) -> None:
-        self.directory, self.loop = directory, directory.loop
+        self.directory = directory
+        self.loop = directory.loop
 
     async def handle(self, request: http1.Request, client: Client) -> None:
         """GET and DELETE under /lots/ and /items/."""
--- a/otterreach/proxy/directory.py
+++ b/otterreach/proxy/directory.py
@@ -70,11 +70,16 @@
         ended: Callable[[str], None],
         moved: Callable[[int, str], None],
     ) -> None:
-        self.fleet, self.endpoint, self.settings = fleet, endpoint, settings
-        self.store, self.loop = fleet.store, fleet.loop
+        self.fleet = fleet
+        self.endpoint = endpoint
+        self.settings = settings
+        self.store = fleet.store
+        self.loop = fleet.loop
         self.lease_s = settings.bounds.cancel_s * LEASE_SHARE
         self.owners: dict[int, PartitionOwner] = {}
-        self._load, self._ended, self._moved = load, ended, moved
+        self._load = load
+        self._ended = ended
+        self._moved = moved
         self._incarnation = fleet.draw.random.getrandbits(48) + 1
         self._pinged: set[str] = set()  # addresses whose Pong is still out
 
@@ -96,7 +101,8 @@
         try:
             sent = self.loop.time()
             slots, free, jobs = self._load()
-            node, own_address = self.settings.node, self.settings.address
+            node = self.settings.node
+            own_address = self.settings.address
             ping = ProxyPing(node, own_address, int(sent * 1000), slots, free, jobs, self._incarnation)
             reply = await self.endpoint.call(address, ping, PING_TIMEOUT_S)
             if not isinstance(reply, Failure):
@@ -143,7 +149,8 @@
         unclear: Failure | None = None
         last = Failure(Code.UNREACHABLE, "no job store node serves the partition")
         while True:
-            address, left = self.address_of(job), end - self.loop.time()
+            address = self.address_of(job)
+            left = end - self.loop.time()
             if address:
                 reply = await self.endpoint.call(address, value, min(each_s, max(LEAST_TIMEOUT_S, left)))
                 if not isinstance(reply, Failure):
--- a/otterreach/proxy/draw.py
+++ b/otterreach/proxy/draw.py
@@ -38,7 +38,8 @@
         self.updated_at = 0.0
         self.fades_s = FORGET_S  # half of what is learned is gone after it
         self.in_flight = 0  # own
-        self.load, self.load_at = 0, -1e9  # told
+        self.load = 0  # as the server last reported it
+        self.load_at = -1e9
         self.sent_since = 0  # own sends less own ends since it was told
 
     @property
@@ -59,7 +60,9 @@
             return
         parts = value.split(b",")
         if len(parts) >= 2 and all(part.strip().isdigit() for part in parts[:2]):
-            self.load, self.load_at, self.sent_since = int(parts[0]) + int(parts[1]), now, 0
+            self.load = int(parts[0]) + int(parts[1])
+            self.load_at = now
+            self.sent_since = 0
 
     def load_now(self, now: float, proxies: int) -> float:
         if now - self.load_at < LOAD_OLD_S:
@@ -94,7 +97,9 @@
     def _add_sample(self, estimate: Estimate, sample: float, alpha: float, now: float) -> None:
         sample = min(MOST, max(LEAST, sample))
         old = estimate.slowness if estimate.heard else 1.0 if alpha == FAIL_ALPHA else sample
-        estimate.slowness, estimate.updated_at, estimate.fades_s = old + alpha * (sample - old), now, FORGET_S
+        estimate.slowness = old + alpha * (sample - old)
+        estimate.updated_at = now
+        estimate.fades_s = FORGET_S
 
     def expected(self, estimates: Sequence[Estimate], now: float, proxies: int = 0) -> list[float]:
         """w_i of each; one not yet heard from takes the mean x of the others, and its own load. `proxies`: that send
--- a/otterreach/proxy/events.py
+++ b/otterreach/proxy/events.py
@@ -17,7 +17,8 @@
 
 def read_event(raw: bytes) -> Event:
     """One event, without the empty line that ends it."""
-    ident = version = None
+    ident = None
+    version = None
     data: list[bytes] = []
     for line in raw.split(b"\n"):
         name, _, value = line.partition(b":")
--- a/otterreach/proxy/exchange.py
+++ b/otterreach/proxy/exchange.py
@@ -102,14 +102,20 @@
         fresh_only: bool = False,
         told_s: float | None = None,
     ) -> None:
-        self.pool, self.server, self.outbound, self.deadline = pool, server, outbound, deadline
-        self.wanted, self.extra, self.fresh_only = wanted, extra or {}, fresh_only
+        self.pool = pool
+        self.server = server
+        self.outbound = outbound
+        self.deadline = deadline
+        self.wanted = wanted
+        self.extra = extra or {}
+        self.fresh_only = fresh_only
         self.loop = pool.loop
         self.started = self.loop.time()
         self.heard_at = self.started  # when a byte last came
         self.sent_at = 0.0
         self._told_end = deadline if told_s is None else self.started + told_s  # the deadline the server is told
-        self._on_head, self._on_body = on_head, on_body
+        self._on_head = on_head
+        self._on_body = on_body
         self._pieces: list[bytes] = []
         self._status = 0
         self._headers: Headers = {}
@@ -169,7 +175,8 @@
             self._parser = None
 
     def _end(self, outcome: Outcome, reusable: bool = False) -> None:
-        connection, self._connection = self._connection, None
+        connection = self._connection
+        self._connection = None
         if connection and reusable:
             connection.release()
         elif connection:
@@ -195,7 +202,8 @@
             self._fail("broken_answer")
 
     def lost(self, unwritten: bool) -> None:
-        connection, self._connection = self._connection, None
+        connection = self._connection
+        self._connection = None
         if not self._done.done():
             fate = Fate.NOT_RUN if unwritten else Fate.MAY_HAVE_RUN
             kept = connection is not None and connection.used > 1 and not self._status
@@ -215,7 +223,8 @@
         if ident != self.outbound.request_id and (ident is not None or not first):
             self._foreign = True
             return
-        self._status, self._headers = status, headers
+        self._status = status
+        self._headers = headers
         if self._connection and (seconds := keep_alive_s(headers)) is not None:
             self._connection.idle_most = max(seconds - IDLE_MARGIN_S, seconds / 2)
         if self._on_head and b"not-run" not in headers and status != HTTPStatus.MISDIRECTED_REQUEST:
@@ -232,7 +241,9 @@
     def _answered(self, response: http1.Response) -> None:
         connection = self._connection
         assert connection
-        body, status, headers = b"".join(self._pieces), response.status, response.headers
+        body = b"".join(self._pieces)
+        status = response.status
+        headers = response.headers
         not_run = b"not-run" in headers or status == HTTPStatus.MISDIRECTED_REQUEST
         if connection.unwritten and not not_run and b"request-id" not in headers:
             # Danger: a server may answer before it has read a long body, and its answer bears the request's id. One
--- a/otterreach/proxy/fleet.py
+++ b/otterreach/proxy/fleet.py
@@ -78,7 +78,9 @@
         loop: asyncio.AbstractEventLoop | None = None,
         opener: Opener = open_tcp,
     ) -> None:
-        self.store, self.loop, self.opener = store, loop or asyncio.get_running_loop(), opener
+        self.store = store
+        self.loop = loop or asyncio.get_running_loop()
+        self.opener = opener
         self.draw = Draw(random)
         self.config = Configuration()
         self.servers: dict[str, Server] = {}
--- a/otterreach/proxy/ingress.py
+++ b/otterreach/proxy/ingress.py
@@ -258,7 +258,8 @@
     """The listener for clients."""
 
     def __init__(self, handler: Handler, caps: Callable[[], Caps]) -> None:
-        self.handler, self.caps = handler, caps
+        self.handler = handler
+        self.caps = caps
         self.clients: set[Client] = set()
         self.leaving = False
         self._server: asyncio.Server | None = None
@@ -278,7 +279,8 @@
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(SWEEP_S)
-            caps, now = self.caps(), loop.time()
+            caps = self.caps()
+            now = loop.time()
             for client in list(self.clients):
                 client.sweep(now, caps)
 
--- a/otterreach/proxy/item_placement.py
+++ b/otterreach/proxy/item_placement.py
@@ -19,7 +19,8 @@
     """Finds servers for items."""
 
     def __init__(self, fleet: Fleet, directory: JobStoreDirectory) -> None:
-        self.fleet, self.directory = fleet, directory
+        self.fleet = fleet
+        self.directory = directory
 
     def place(self, run: ItemRun) -> Placement | GivenUp | None:
         """Where it may go now; or that it is given up; or None: nowhere yet."""
@@ -59,7 +60,8 @@
 
     def _reason_to_give_up(self, run: ItemRun) -> str:
         """Why it is given up, or nothing."""
-        now, missing_since = self.fleet.loop.time(), run.route_missing_since
+        now = self.fleet.loop.time()
+        missing_since = run.route_missing_since
         if now > run.give_up_at:
             return Reason.WAITED
         if missing_since is not None and now - missing_since > ROUTE_GONE_S and self.fleet.config.version:
--- a/otterreach/proxy/item_queue.py
+++ b/otterreach/proxy/item_queue.py
@@ -14,7 +14,8 @@
 
 ITEMS_PER_CORE = 40  # measured: an item's events take some 0.5 % of a core
 FEWEST_SLOTS = 2
-RETRY_PAUSE_S, MOST_RETRY_PAUSE_S = 0.02, 0.16  # between tries of an item
+RETRY_PAUSE_S = 0.02  # between attempts of an item, doubled with each
+MOST_RETRY_PAUSE_S = 0.16
 MOST_DOUBLINGS = 6
 RECHECK_S = 0.05  # between two looks at the queue while nothing may go out
 WAITING = (Phase.QUEUED, Phase.RUNNING, Phase.PAUSED)
@@ -26,7 +27,9 @@
     def __init__(
         self, fleet: Fleet, placer: ItemPlacer, cores: float, start: Callable[[ItemRun], asyncio.Task[None]]
     ) -> None:
-        self.fleet, self.loop, self.placer = fleet, fleet.loop, placer
+        self.fleet = fleet
+        self.loop = fleet.loop
+        self.placer = placer
         self.slots = max(FEWEST_SLOTS, int(cores * ITEMS_PER_CORE))  # what its processor bears
         self.runs: dict[tuple[str, str], ItemRun] = {}
         self.leaving = False  # nothing new is begun
--- a/otterreach/proxy/item_reports.py
+++ b/otterreach/proxy/item_reports.py
@@ -13,17 +13,21 @@
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.log import log
 
-REPORT_S, REPORT_CALL_S = 2.0, 0.8
+REPORT_S = 2.0
+REPORT_CALL_S = 0.8
 RESEND_S = 0.05
 FINAL = (Code.JOB_ENDED, Code.UNKNOWN_ITEM, Code.UNKNOWN_JOB, Code.BAD_MESSAGE)
-DONE, ERRORED = "done", "errored"
+DONE = "done"
+ERRORED = "errored"
 
 
 class ItemReports:
     """This proxy's reports."""
 
     def __init__(self, node: str, endpoint: Caller, directory: JobStoreDirectory) -> None:
-        self.node, self.endpoint, self.directory = node, endpoint, directory
+        self.node = node
+        self.endpoint = endpoint
+        self.directory = directory
 
     async def report_result(self, run: ItemRun, reason: str, score: str) -> None:
         """Tell the job store until it has taken it. `reason`: why the item has failed, or nothing."""
--- a/otterreach/proxy/item_run.py
+++ b/otterreach/proxy/item_run.py
@@ -68,8 +68,11 @@
 
     def __init__(self, assign: AssignItems, work: WorkItem, now: float, order: int) -> None:
         self.order = order
-        self.job, self.item, self.host = assign.job, work.item, assign.host
-        self.model, self.min_version = assign.model, assign.min_version
+        self.job = assign.job
+        self.item = work.item
+        self.host = assign.host
+        self.model = assign.model
+        self.min_version = assign.min_version
         self.due = now + assign.left_ms / 1000
         self.give_up_at = now + assign.wait_ms / 1000 + MAX_WAIT_MARGIN_S
         self.work = work
@@ -78,7 +81,8 @@
         self.task: asyncio.Task[None] | None = None
         self.placement: Placement | GivenUp | None = None
         self.next_turn: asyncio.Future[None] | None = None  # of one that waits for its next server
-        self.failures = self.reward_failures = 0  # answers of 500
+        self.failures = 0  # answers of 500
+        self.reward_failures = 0
         self.retries = 0  # since something was last generated
         self.avoided: set[str] = set()  # servers that failed last
         self.route_missing_since: float | None = None
@@ -115,7 +119,9 @@
     """One exchange of an item: its events go to the run's transcript."""
 
     def __init__(self, run: ItemRun, server: Server, single_version: bool) -> None:
-        self.run, self.server, self.single_version = run, server, single_version
+        self.run = run
+        self.server = server
+        self.single_version = single_version
         self.valid = False  # the head was one of a text, and all events since have joined on
         self.reader = EventReader()
 
--- a/otterreach/proxy/model_server.py
+++ b/otterreach/proxy/model_server.py
@@ -98,7 +98,8 @@
     """One incarnation of a server, at its address."""
 
     def __init__(self, client: Client, ident: str, address: str) -> None:
-        self.ident, self.address = ident, address
+        self.ident = ident
+        self.address = address
         self._client = client
         self._headers = {"Expect-Server": ident}
 
--- a/otterreach/proxy/node.py
+++ b/otterreach/proxy/node.py
@@ -28,7 +28,8 @@
 READY_AGE_S = 1.2  # the first time: the copy of the control state is no older
 TAKEN_OUT_S = 2.6  # after so long without a 200 the platform sends no new connections
 END_MARGIN_S = 0.8  # before graceS is over
-HOLD_SHARE, HOLD_MOST_S = 0.5, 1.5  # of a request's time, before the first configuration is known
+HOLD_SHARE = 0.5  # of a request's time, before the first configuration is known
+HOLD_MOST_S = 1.5
 UNKNOWN_LEFT_MS = 1000
 RUN_SHARE = 0.5  # of graceS: so long running items may go on
 
--- a/otterreach/proxy/pools.py
+++ b/otterreach/proxy/pools.py
@@ -21,7 +21,9 @@
 IDLE_MARGIN_S = 0.4  # before the time that Keep-Alive tells is over
 IDLE_S = 60.0  # where it tells none: the server closes first
 USER_TIMEOUT_MS = 1000  # bytes unacknowledged for so long never arrive later: no late run of something cancelled
-PROBE_IDLE_S, PROBE_GAP_S, PROBES = 1, 1, 2
+PROBE_IDLE_S = 1
+PROBE_GAP_S = 1
+PROBES = 2
 
 Address = tuple[str, int]
 Factory = Callable[[], "Connection"]
@@ -76,7 +78,8 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._change(State.CLOSED)
-        bearer, self._bearer = self._bearer, None
+        bearer = self._bearer
+        self._bearer = None
         if bearer:
             bearer.lost(self.unwritten)
 
@@ -129,7 +132,9 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, address: Address, opener: Opener = open_tcp, most: int = 64
     ) -> None:
-        self.loop, self.address, self.most = loop, address, most
+        self.loop = loop
+        self.address = address
+        self.most = most
         self.closed = False
         self.heard_at = -1e9  # when anything last came from the server
         self.opened = 0  # in all, for the books
--- a/otterreach/proxy/requests.py
+++ b/otterreach/proxy/requests.py
@@ -23,7 +23,8 @@
 FIRST_SHARE = 0.5  # of the time that is left, for an attempt after which another is possible
 LEAST_LEFT_S = 0.005
 MOST_UNSENT = 6  # attempts that never came to a write
-RETRY_LEAST_S, RETRY_MOST_S = 0.05, 1.0
+RETRY_LEAST_S = 0.05
+RETRY_MOST_S = 1.0
 STALE_S = 1.0  # with a copy of the control state older than this, that there is no route is not sure
 
 
@@ -79,7 +80,8 @@
     """The ordinary path. `age_s`: how old the copy of the control state may be."""
 
     def __init__(self, fleet: Fleet, age_s: Callable[[], float]) -> None:
-        self.fleet, self.age_s = fleet, age_s
+        self.fleet = fleet
+        self.age_s = age_s
         self.loop = fleet.loop
 
     def deadline_of(self, request: http1.Request, route: Route, client: Client) -> float:
@@ -96,7 +98,8 @@
             client.refuse(RETRY_LEAST_S * 4)
 
     def accept(self, request: http1.Request, client: Client, route: Route) -> Try:
-        host, path = text(request.headers.get(b"host")), path_of(request)
+        host = text(request.headers.get(b"host"))
+        path = path_of(request)
         deadline = self.deadline_of(request, route, client)
         return Try(request, client, host, path, outbound_of(request), deadline, route.idempotent)
 
--- a/otterreach/proxy/reward_calls.py
+++ b/otterreach/proxy/reward_calls.py
@@ -15,7 +15,8 @@
 
 SCORER_SHARE = 0.8  # of this proxy's share of the scorers' slots: clients' own requests need some too
 FEWEST_CALLS = 2
-LEAST_ATTEMPT_S, MOST_ATTEMPT_S = 1.0, 3.0
+LEAST_ATTEMPT_S = 1.0
+MOST_ATTEMPT_S = 3.0
 RECHECK_S = 0.05  # while nothing may go out
 RETRY_PAUSE_S = 0.02
 
@@ -32,13 +33,16 @@
     """All reward calls of this proxy."""
 
     def __init__(self, fleet: Fleet, directory: JobStoreDirectory, permission: SendPermission) -> None:
-        self.fleet, self.loop = fleet, fleet.loop
-        self.directory, self.permission = directory, permission
+        self.fleet = fleet
+        self.loop = fleet.loop
+        self.directory = directory
+        self.permission = permission
         self._under_way = 0
 
     async def call(self, run: ItemRun) -> Reward:
         """Tries until there is a score, or the item is given up."""
-        outbound, path = self._outbound(run), run.work.scorer_path.partition("?")[0]
+        outbound = self._outbound(run)
+        path = run.work.scorer_path.partition("?")[0]
         item_route = self.fleet.config.route(run.host, run.path)
         tries = item_route.tries if item_route else 1
         avoided: set[str] = set()
--- a/otterreach/proxy/runner.py
+++ b/otterreach/proxy/runner.py
@@ -29,7 +29,10 @@
     """All items of this proxy."""
 
     def __init__(self, fleet: Fleet, endpoint: Caller, settings: Settings) -> None:
-        self.fleet, self.loop, self.settings, self.endpoint = fleet, fleet.loop, settings, endpoint
+        self.fleet = fleet
+        self.loop = fleet.loop
+        self.settings = settings
+        self.endpoint = endpoint
         self.directory = JobStoreDirectory(fleet, endpoint, settings, self._load, self.end_job, self._report_running)
         placer = ItemPlacer(fleet, self.directory)
         self.queue = ItemQueue(fleet, placer, settings.cores, self._start)
--- a/otterreach/proxy/streams.py
+++ b/otterreach/proxy/streams.py
@@ -21,17 +21,23 @@
     """One answer to a client, over all servers that make it."""
 
     def __init__(self, attempt: Try, route: Route) -> None:
-        self.attempt, self.client = attempt, attempt.client
+        self.attempt = attempt
+        self.client = attempt.client
         self.resume = route.resume
-        self.begun = self.broken = False
+        self.begun = False
+        self.broken = False
         self.last = whole_number(attempt.request.headers.get(b"last-event-id"))
         self.first_s = 0.0  # from the write to the first event, of the present server
         self._reader = EventReader()
-        self._good = self._joins = False
+        self._good = False
+        self._joins = False
         self.exchange: Exchange | None = None
 
     def attach(self, exchange: Exchange) -> None:
-        self.exchange, self._reader, self._good, self.first_s = exchange, EventReader(), False, 0.0
+        self.exchange = exchange
+        self._reader = EventReader()
+        self._good = False
+        self.first_s = 0.0
         self._joins = self.last is not None and self.begun  # the first event must be the one after the last
 
     def head(self, status: int, headers: Headers) -> None:
@@ -73,7 +79,9 @@
     """The path of `stream` routes; retries and refusals are those of ordinary requests."""
 
     def __init__(self, requests: Requests) -> None:
-        self.requests, self.fleet, self.loop = requests, requests.fleet, requests.loop
+        self.requests = requests
+        self.fleet = requests.fleet
+        self.loop = requests.loop
 
     async def handle(self, request: http1.Request, client: Client, route: Route) -> None:
         if not request.headers.get(b"request-id"):
--- a/otterreach/proxy/text_generation.py
+++ b/otterreach/proxy/text_generation.py
@@ -23,14 +23,18 @@
     """Runs items at servers."""
 
     def __init__(self, fleet: Fleet, placer: ItemPlacer, queue: ItemQueue, permission: SendPermission) -> None:
-        self.fleet, self.loop = fleet, fleet.loop
-        self.placer, self.queue, self.permission = placer, queue, permission
+        self.fleet = fleet
+        self.loop = fleet.loop
+        self.placer = placer
+        self.queue = queue
+        self.permission = permission
         self._checked_at = self.loop.time()
 
     async def generate(self, run: ItemRun) -> str:
         """The whole text. Returns nothing, or why the item has failed for good."""
         while isinstance(run.placement, Placement):
-            route, server = run.placement.route, run.placement.server
+            route = run.placement.route
+            server = run.placement.server
             outcome, attempt = await self._attempt(run, route, server)
             verdict = self._judge(run, route, server, outcome, attempt)
             if verdict is not None:
@@ -58,7 +62,8 @@
         try:
             return await self.fleet.attempt(server, exchange), attempt
         finally:
-            run.exchange = run.server = None
+            run.exchange = None
+            run.server = None
 
     def _resume_headers(self, run: ItemRun, route: Route) -> Headers:
         """What asks the server to go on after the last event."""
@@ -110,7 +115,8 @@
         while True:
             await asyncio.sleep(SILENCE_CHECK_S)
             now = self.loop.time()
-            late, self._checked_at = now - self._checked_at > 3 * SILENCE_CHECK_S, now
+            late = now - self._checked_at > 3 * SILENCE_CHECK_S
+            self._checked_at = now
             if late:
                 continue
             for run in list(self.queue.runs.values()):
--- a/otterreach/runtime/compaction.py
+++ b/otterreach/runtime/compaction.py
@@ -35,7 +35,10 @@
     """Rewrites one journal whenever it is due; at most one rewrite at a time."""
 
     def __init__(self, journal: Rewritable, live: LiveSlices, live_bytes: Callable[[], int], limits: Limits) -> None:
-        self.journal, self.live, self.live_bytes, self.limits = journal, live, live_bytes, limits
+        self.journal = journal
+        self.live = live
+        self.live_bytes = live_bytes
+        self.limits = limits
         self.loop = asyncio.get_running_loop()
         self._running: asyncio.Task[None] | None = None
         self._retry_at = 0.0
@@ -54,7 +57,8 @@
             self._running = asyncio.ensure_future(self._run())
 
     async def _run(self) -> None:
-        before, began = self.journal.size, self.loop.time()
+        before = self.journal.size
+        began = self.loop.time()
         if await self.journal.rewrite(self.live):
             seconds = round(self.loop.time() - began, 3)
             log("journal_rewritten", before=before, after=self.journal.size, seconds=seconds)
--- a/otterreach/runtime/http_client.py
+++ b/otterreach/runtime/http_client.py
@@ -114,7 +114,8 @@
         assert self.reusable
         self.reusable = False
         self._stop_resting()
-        self._ident, self._interchangeable = ident, interchangeable
+        self._ident = ident
+        self._interchangeable = interchangeable
         self._used += 1
         self._parser = http1.ResponseParser(must_frame=True)
         self._answer = asyncio.get_running_loop().create_future()
--- a/otterreach/runtime/journal.py
+++ b/otterreach/runtime/journal.py
@@ -319,7 +319,7 @@
 
 
 def open_journal(path: Path) -> tuple[Journal, Iterator[Record]]:
-    """The journal and its records. A damaged one is renamed: this disk counts as a new, empty one then. Raises OSError."""
+    """The journal and its records. A damaged one is renamed, and a new, empty one begun. Raises OSError."""
     journal = Journal(path)
     try:
         return journal, journal.open()
--- a/otterreach/runtime/settings.py
+++ b/otterreach/runtime/settings.py
@@ -118,8 +118,10 @@
         raise SettingsError("setting portRange: two ports are needed")
     port = int(ports[0])
     seeds = tuple(f"{_address(str(peer), 'peers')[0]}:{port}" for peer in row.items("peers"))
-    caps, survive = row.child("caps", required=False), row.child("survive", required=False)
-    binds, zones = _table(raw, "binds"), _table(raw, "zones")
+    caps = row.child("caps", required=False)
+    survive = row.child("survive", required=False)
+    binds = _table(raw, "binds")
+    zones = _table(raw, "zones")
     datadir = row.text("datadir", "")
     return Settings(
         node=row.text("node"),
--- a/otterreach/scaletest/cost.py
+++ b/otterreach/scaletest/cost.py
@@ -97,10 +97,14 @@
         store.records(kind)  # decoded once
     items = list(store.items.values())
     one = next(i for i in items if i.key.startswith("server/"))
-    beat, change = Changes(5, store.revision, [], store.digest, 1), Changes(5, store.revision, [one], store.digest, 0)
+    beat = Changes(5, store.revision, [], store.digest, 1)
+    change = Changes(5, store.revision, [one], store.digest, 0)
     whole = Changes(5, store.revision, items, store.digest, 0)
-    body, whole_body, orders = encode(beat), encode(whole), orders_of(store, "front-1")
-    random, other = Random(1), [0] * 16
+    body = encode(beat)
+    whole_body = encode(whole)
+    orders = orders_of(store, "front-1")
+    random = Random(1)
+    other = [0] * 16
 
     def scan() -> None:
         """What the primary controller looks through each 0.2 s."""
--- a/otterreach/scaletest/hollow.py
+++ b/otterreach/scaletest/hollow.py
@@ -42,7 +42,9 @@
     """What a follower has in force, told as it changes."""
 
     def __init__(self, name: str, store: ReplicatedStore, servers: int, members: int, tell: Tell) -> None:
-        self.name, self.store, self.tell = name, store, tell
+        self.name = name
+        self.store = store
+        self.tell = tell
         self._want = {"server": servers, "member": members}
         self._have: dict[str, set[str]] = {"server": set(), "member": set()}
         self._new: set[str] = set()
@@ -93,7 +95,8 @@
         self.node.endpoint.spawn(self._pings())
 
     async def _pings(self) -> None:
-        settings, endpoint = self.node.settings, self.node.endpoint
+        settings = self.node.settings
+        endpoint = self.node.endpoint
         loop = asyncio.get_running_loop()
         waiting: set[str] = set()
 
@@ -114,9 +117,15 @@
     """A hollow server: heartbeats at a controller, the next one after a failure."""
 
     def __init__(self, n: int, controllers: list[str], beat_s: float, gap_s: float, random: Random) -> None:
-        self.n, self.controllers, self.beat_s, self.gap_s, self.random = n, controllers, beat_s, gap_s, random
+        self.n = n
+        self.controllers = controllers
+        self.beat_s = beat_s
+        self.gap_s = gap_s
+        self.random = random
         self.client = JsonClient()
-        self.state, self.gen, self.calls = "up", 1, 0
+        self.state = "up"
+        self.gen = 1
+        self.calls = 0
         self.place = random.randrange(len(controllers))
         self.soon = asyncio.Event()
 
@@ -135,7 +144,8 @@
         self.calls += 1
         body = json.dumps(registration(self.n, self.calls, self.state, self.gen)).encode()
         for _ in self.controllers:
-            address, path = self.controllers[self.place % len(self.controllers)], f"/servers/{server_id(self.n)}"
+            address = self.controllers[self.place % len(self.controllers)]
+            path = f"/servers/{server_id(self.n)}"
             reply = await self.client.call(address, "PUT", path, body, BEAT_TIMEOUT_S)
             status = getattr(reply, "status", 0)
             if status == 200:
--- a/otterreach/scaletest/meter.py
+++ b/otterreach/scaletest/meter.py
@@ -94,7 +94,8 @@
     rows = [json.loads(row) for row in text.splitlines() if row.endswith("}}")]
     if len(rows) < 2:
         return 0.0, Counter()
-    first, last = _nearest(rows, begin), _nearest(rows, end)
+    first = _nearest(rows, begin)
+    last = _nearest(rows, end)
     found = Counter(last["counts"])
     found.subtract(first["counts"])
     return last["t"] - first["t"], Counter({name: count for name, count in found.items() if count > 0})
--- a/otterreach/scaletest/processes.py
+++ b/otterreach/scaletest/processes.py
@@ -42,7 +42,9 @@
     """One process. `role`: what the table adds it to."""
 
     def __init__(self, role: str, name: str, folder: Path) -> None:
-        self.role, self.name, self.folder = role, name, folder
+        self.role = role
+        self.name = name
+        self.folder = folder
         self.process: asyncio.subprocess.Process | None = None
         self._reading: asyncio.Task[None] | None = None
 
--- a/otterreach/scaletest/run.py
+++ b/otterreach/scaletest/run.py
@@ -25,7 +25,8 @@
 
 FILL_S = 30.0  # besides the joining, until everything is known everywhere
 REST_SHARE, CHANGE_SHARE, DRAIN_SHARE = 0.45, 0.15, 0.1  # of the seconds; the version gets what is left
-CHANGES, DRAINS = 3, 3
+CHANGES = 3
+DRAINS = 3
 VERSION_OVER_S = 4.0
 MEMORY_SHARE = 0.5
 TELL_S = 1.0
@@ -40,9 +41,12 @@
     """One run in one folder."""
 
     def __init__(self, size: Size, seconds: float, folder: Path) -> None:
-        self.size, self.seconds, self.folder = size, seconds, folder
+        self.size = size
+        self.seconds = seconds
+        self.folder = folder
         self.net = draw_net()
-        self.plan, self.bounds = sizes.plan(size), sizes.bounds()
+        self.plan = sizes.plan(size)
+        self.bounds = sizes.bounds()
         self.machines = sizes.machines(size, self.net, folder)
         self.seeds = sizes.seeds(self.machines["core"])
         self.controllers = [m.ctl for m in self.machines["core"]]
@@ -123,7 +127,8 @@
 
     async def _fill(self) -> float | None:
         """Until every hollow front knows all servers and members; None if that does not come."""
-        begun, told = time.monotonic(), 0.0
+        begun = time.monotonic()
+        told = 0.0
         while time.monotonic() - begun < FILL_S + self.size.joining_s:
             full = self.events[("full", None)]
             if len(full) == self.size.fronts:
@@ -138,7 +143,8 @@
 
     async def _measure(self, name: str, work: Any) -> None:
         """What all use while `work` goes on."""
-        before, begun = {c.name: c.used() for c in self.children}, time.monotonic()
+        before = {c.name: c.used() for c in self.children}
+        begun = time.monotonic()
         result = await work
         ended = time.monotonic()
         samples = [self._sample(c, before[c.name], begun, ended) for c in self.children]
@@ -214,7 +220,8 @@
         """All servers come to a new version within VERSION_OVER_S, and say so; nobody orders them here."""
 
         async def work() -> dict[str, Any]:
-            begun, spare = time.monotonic(), self.seconds * (1 - REST_SHARE - CHANGE_SHARE - DRAIN_SHARE)
+            begun = time.monotonic()
+            spare = self.seconds * (1 - REST_SHARE - CHANGE_SHARE - DRAIN_SHARE)
             self._order({"order": "version", "over_s": VERSION_OVER_S, "count": self.size.servers})
             while time.monotonic() - begun < spare and len(self.events[("version", None)]) < self.size.fronts:
                 await asyncio.sleep(0.1)
--- a/otterreach/scaletest/size.py
+++ b/otterreach/scaletest/size.py
@@ -12,7 +12,8 @@
 from otterreach.loadtest.plan import BOUNDS, Plan
 
 ZONES = 12
-SERVICES, ROUTES_EACH = 24, 3
+SERVICES = 24
+ROUTES_EACH = 3
 SERVER_PORT = 8080
 MODEL = "m-one"
 SEEDS = 3
@@ -67,7 +68,8 @@
     for name, kind, count, first in classes:
         found[name] = []
         for n in range(count):
-            place, last = n % ZONES, first + n // ZONES
+            place = n % ZONES
+            last = first + n // ZONES
             found[name].append(Machine(f"{name}-{n}", kind, f"{net}.{place + 1}.{last}", f"hall-{place}", folder))
     return found
 
--- a/otterreach/sidecar/__main__.py
+++ b/otterreach/sidecar/__main__.py
@@ -19,7 +19,9 @@
 ACCEPT_S = 0.5  # after SIGTERM: new connections go on coming for up to 0.4 s
 # After SIGTERM the platform may kill once the longest deadline is over, which it counts as 3 s where it is
 # longer, and 0.7 s more.
-KILL_COUNTS_S, KILL_AFTER_S, KILL_RESERVE_S = 3.0, 0.7, 0.1
+KILL_COUNTS_S = 3.0
+KILL_AFTER_S = 0.7
+KILL_RESERVE_S = 0.1
 LIST_S = 10.0  # at the start, for a list newer than `known`, where lists are pushed; 30 s are allowed in all
 WAIT_SHARE = 0.5  # of the time in which news must be known
 COLLECT = (10_000, 20, 20)  # cycles are rare here: parsers let go of themselves
@@ -32,7 +34,8 @@
     SIGHUP at an awkward moment waits instead of killing the process."""
 
     def __init__(self) -> None:
-        self.stop, self.reload = asyncio.Event(), asyncio.Event()
+        self.stop = asyncio.Event()
+        self.reload = asyncio.Event()
 
     def install(self) -> None:
         loop = asyncio.get_running_loop()
@@ -44,7 +47,8 @@
 async def run(config: Config, signals: Signals, on_listening: Callable[[Address], None]) -> None:
     """One sidecar from its start until it is told to stop and all that it took is answered."""
     loop = asyncio.get_running_loop()
-    settings, sockets = config.settings, max(16, config.sockets - SPARE_SOCKETS)
+    settings = config.settings
+    sockets = max(16, config.sockets - SPARE_SOCKETS)
     most = int(sockets * CLIENTS_SHARE)
     endpoints = Endpoints(settings.report_columns, settings.connect_timeout_ns, config.keepalive_ns, sockets - most)
     sidecar = Sidecar(config, endpoints)
--- a/otterreach/sidecar/config.py
+++ b/otterreach/sidecar/config.py
@@ -73,7 +73,8 @@
         started = max(1, since_ms * 1_000_000 - self.epoch_ns) if since_ms else 0
         zone = self.zones.get(raw.get("locality", ""), len(self.zones))
         kind = self.kinds.get(raw.get("flavor", ""), len(self.kinds))
-        weight, cell = float(raw.get("size", 1.0)), int(raw.get("cell", 0))
+        weight = float(raw.get("size", 1.0))
+        cell = int(raw.get("cell", 0))
         return Member(str(raw["id"]), address, Listed(0, weight, cell, kind, zone, state, started))
 
 
@@ -179,7 +180,8 @@
             raise ConfigError(f"LB_CONFIG: key settings.{key}: names are needed") from None
 
     epoch_ns = time.time_ns() - time.monotonic_ns()
-    classes, tenants = places("request-classes", True), places("tenants", True)
+    classes = places("request-classes", True)
+    tenants = places("tenants", True)
     return Names(classes, tenants, places("zones", False), places("skus", False), epoch_ns)
 
 
--- a/otterreach/sidecar/discovery.py
+++ b/otterreach/sidecar/discovery.py
@@ -17,9 +17,12 @@
 # What a silent watch misses counts as told 6 s after its last word (4 s after a move), and a call may wait a
 # second to be turned away. So silence ends a watch once an empty line, due every 2 s, is surely late.
 SILENCE_S = 3.0
-PATIENCE_GROWTH, LONGEST_PATIENCE_S = 1.5, 6.0  # with a call, where those before got no answer
+# with a call, where those before got no answer
+PATIENCE_GROWTH = 1.5
+LONGEST_PATIENCE_S = 6.0
 CONNECT_S = 1.0  # TCP tries again after as long
-FIRST_WAIT_S, LONGEST_WAIT_S = 0.05, 2.0
+FIRST_WAIT_S = 0.05
+LONGEST_WAIT_S = 2.0
 MAX_OBJECT = 4 * 1024 * 1024
 KEY = re.compile(rb'"(revision|complete|members)"\s*:')
 TOKEN = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}\[\]]')
@@ -31,7 +34,8 @@
     def __init__(self) -> None:
         self._rest = b""  # of a line
         self._lines: list[bytes] = []  # of an object that goes on
-        self._depth = self._size = 0
+        self._depth = 0
+        self._size = 0
         self._keys: set[bytes] = set()  # of the list itself, as far as it has come
 
     def feed(self, data: bytes) -> list[bytes]:
@@ -64,7 +68,8 @@
     def _part(self, done: list[bytes]) -> None:
         """No list has a key twice: what was taken for its last entry has been the next list all along."""
         start = max((n for n, line in enumerate(self._lines) if line.startswith(b"{")), default=0)
-        behind, self._lines = self._lines[start:], self._lines[:start]
+        behind = self._lines[start:]
+        self._lines = self._lines[:start]
         self._end(done)
         for line in behind:
             self._take(line)
@@ -87,7 +92,9 @@
     def _end(self, done: list[bytes]) -> None:
         if self._lines:
             done.append(b"\n".join(self._lines))
-        self._lines, self._depth, self._size = [], 0, 0
+        self._lines = []
+        self._depth = 0
+        self._size = 0
         self._keys.clear()
 
 
@@ -111,10 +118,13 @@
         on_word: Callable[[], None] = lambda: None,
         longest_wait_s: float = LONGEST_WAIT_S,
     ) -> None:
-        self._address, self._names = address, names
-        self._on_list, self._on_word = on_list, on_word  # on_word: it has told all that it has for now
+        self._address = address
+        self._names = names
+        self._on_list = on_list
+        self._on_word = on_word  # called once it has told all that it has for now
         self._revision = revision
-        self._wait_s, self._longest_wait_s = FIRST_WAIT_S, longest_wait_s
+        self._wait_s = FIRST_WAIT_S
+        self._longest_wait_s = longest_wait_s
         self._patience_s = 0.0  # with the next call, where that is longer than silence may last
         self._turn: asyncio.Task[None] | None = None
 
@@ -124,7 +134,9 @@
         if address == self._address:
             return
         print("discovery: now at {}:{}".format(*address), file=sys.stderr)
-        self._address, self._wait_s, self._patience_s = address, FIRST_WAIT_S, 0.0
+        self._address = address
+        self._wait_s = FIRST_WAIT_S
+        self._patience_s = 0.0
         if self._turn:
             self._turn.cancel()
 
@@ -148,14 +160,16 @@
         except Exception:  # Danger: whatever it was, without a watch drains are missed for good
             traceback.print_exc()
         # Jittered: all sidecars lose discovery at the same moment.
-        wait_s, self._wait_s = self._wait_s, min(2 * self._wait_s, self._longest_wait_s, LONGEST_WAIT_S)
+        wait_s = self._wait_s
+        self._wait_s = min(2 * self._wait_s, self._longest_wait_s, LONGEST_WAIT_S)
         await asyncio.sleep(wait_s * random.uniform(0.5, 1.0))
 
     async def _watch_once(self) -> None:
         async with asyncio.timeout(CONNECT_S):
             reader, writer = await asyncio.open_connection(*self._address)
         body: list[bytes] = []
-        objects, parser = Objects(), http1.ResponseParser(body.append)
+        objects = Objects()
+        parser = http1.ResponseParser(body.append)
         try:
             target = b"/v1/servers?stream=1&index=%d" % self._revision
             request = http1.Request(b"GET", target, {}, b"", True)
@@ -197,4 +211,5 @@
             print(f"discovery: a line was skipped: {error}"[:300], file=sys.stderr)
             return
         self._on_list(update)
-        self._revision, self._wait_s = update.revision, FIRST_WAIT_S
+        self._revision = update.revision
+        self._wait_s = FIRST_WAIT_S
--- a/otterreach/sidecar/endpoints.py
+++ b/otterreach/sidecar/endpoints.py
@@ -48,8 +48,13 @@
         on_end: Callable[[Attempt], None],
         wanted: Callable[[], bool] = lambda: True,
     ) -> None:
-        self.request_id, self.number, self.endpoint = request_id, number, endpoint
-        self.request, self.deadline_ns, self.on_end, self.wanted = request, deadline_ns, on_end, wanted
+        self.request_id = request_id
+        self.number = number
+        self.endpoint = endpoint
+        self.request = request
+        self.deadline_ns = deadline_ns
+        self.on_end = on_end
+        self.wanted = wanted
         self.started_ns = time.monotonic_ns()
         self.status: Status | None = None
         self.response: http1.Response | None = None
@@ -61,7 +66,8 @@
     def end(self, status: Status, response: http1.Response | None = None) -> None:
         """The first end is the only one."""
         if self.status is None:
-            self.status, self.response = status, response
+            self.status = status
+            self.response = response
             self._timer.cancel()
             self.on_end(self)
 
@@ -69,7 +75,8 @@
         """Stop waiting. What never had a connection has surely not run, whatever made us stop."""
         if self.status is not None:
             return
-        connection, self.connection = self.connection, None
+        connection = self.connection
+        self.connection = None
         if connection and status is Status.TIMEOUT:
             connection.suspect(self.started_ns)
         unsent = connection is None or connection.unwritten
@@ -82,14 +89,17 @@
     """What is known of one endpoint's address, and the connections to it."""
 
     def __init__(self, address: Address, started_ns: int, open_to_new: bool) -> None:
-        self.address, self.started_ns, self.open_to_new = address, started_ns, open_to_new
+        self.address = address
+        self.started_ns = started_ns
+        self.open_to_new = open_to_new
         self.host = f"{address.host}:{address.port}".encode()
         self.heard_ns = 0  # when anything last came from it
         self.idle: list[Connection] = []  # the latest used last
         self.waiting: set[Attempt] = set()  # for a connection of their own
 
     def close_idle(self) -> None:
-        idle, self.idle = self.idle, []
+        idle = self.idle
+        self.idle = []
         for connection in idle:
             connection.discard()
 
@@ -107,7 +117,8 @@
 
     def __init__(self, owner: Endpoints, pool: Pool) -> None:
         super().__init__()
-        self._owner, self._pool = owner, pool
+        self._owner = owner
+        self._pool = pool
         self._attempt: Attempt | None = None
         self._parser: http1.ResponseParser | None = None
 
@@ -116,7 +127,8 @@
         self._owner.connections.add(self)
 
     def start(self, attempt: Attempt, data: bytes) -> None:
-        self._attempt, attempt.connection = attempt, self
+        self._attempt = attempt
+        attempt.connection = self
         self._parser = http1.ResponseParser()
         self._write(data)
 
@@ -163,7 +175,8 @@
         self._end(status, response, reusable)
 
     def _end(self, status: Status, response: http1.Response | None = None, reusable: bool = False) -> None:
-        attempt, self._attempt = self._attempt, None
+        attempt = self._attempt
+        self._attempt = None
         assert attempt
         attempt.connection = None
         self._drop_parser()
@@ -202,7 +215,8 @@
         self.columns = columns
         self._connect_timeout_s = connect_timeout_ns / 1e9 or 1.0
         self._idle_s = keepalive_ns / 1e9 * IDLE_SHARE
-        self._most, self._rest_s = most, rest_s
+        self._most = most
+        self._rest_s = rest_s
         self._opening = 0
         self._pools: dict[int, Pool] = {}
         self._tasks: set[asyncio.Task[None]] = set()
--- a/otterreach/sidecar/http1.py
+++ b/otterreach/sidecar/http1.py
@@ -60,8 +60,11 @@
         self.bounds = bounds
         self.headers: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
-        self.raw_size = self.head_size = self.body_size = 0
-        self.in_head, self.ambiguous = True, False
+        self.raw_size = 0
+        self.head_size = 0
+        self.body_size = 0
+        self.in_head = True
+        self.ambiguous = False
 
     @property
     def head_too_large(self) -> bool:
@@ -84,7 +87,8 @@
         return b"content-length" in self.headers or b"transfer-encoding" in self.headers
 
     def add_header(self, name: bytes, value: bytes) -> None:
-        name, value = name.lower(), value or b""
+        name = name.lower()
+        value = value or b""
         self.head_size += len(name) + len(value)
         if self.in_head:  # trailers come too late to mean anything
             if name not in self.headers:
@@ -114,7 +118,9 @@
         self.wants_continue = False
         self._bounds = bounds or Bounds(most, most_head)
         self._done: list[Request] = []
-        self._message, self._target, self._begun = _Message(self._bounds), b"", False
+        self._message = _Message(self._bounds)
+        self._target = b""
+        self._begun = False
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
 
     @property
@@ -147,7 +153,8 @@
                 before.raw_size += len(data)
             if self._message.too_large:
                 self.error = self.error or self._too_large()
-        done, self._done = self._done, []
+        done = self._done
+        self._done = []
         return done
 
     def _too_large(self) -> int:
@@ -178,14 +185,18 @@
         self._message.add_body(data)
 
     def on_message_complete(self) -> None:
-        message, parser = self._message, self._parser
+        message = self._message
+        parser = self._parser
         if message.too_large:
             self.error = self.error or self._too_large()
         if parser and not self.error:
-            body, keep = b"".join(message.body), parser.should_keep_alive()
+            body = b"".join(message.body)
+            keep = parser.should_keep_alive()
             self._done.append(Request(parser.get_method(), self._target, message.headers, body, keep))
-        self._message, self._target = _Message(self._bounds), b""
-        self._begun = self.wants_continue = False
+        self._message = _Message(self._bounds)
+        self._target = b""
+        self._begun = False
+        self.wants_continue = False
 
 
 class ResponseParser:
@@ -203,8 +214,10 @@
         self.response: Response | None = None
         self.status = 0  # once the head is whole
         self.broken = False
-        self._sink, self._on_head = on_body, on_head
-        self._bounds, self._must_frame = bounds, must_frame
+        self._sink = on_body
+        self._on_head = on_head
+        self._bounds = bounds
+        self._must_frame = must_frame
         self._message = _Message(bounds)
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
 
@@ -280,14 +293,16 @@
         if self.status == HTTPStatus.SWITCHING_PROTOCOLS:
             self.broken = True
         elif self.status < HTTPStatus.OK:  # 100 Continue and its like announce, they do not answer
-            self.status, raw_size = 0, self._message.raw_size
+            self.status = 0
+            raw_size = self._message.raw_size
             self._message = _Message(self._bounds)
             self._message.raw_size = raw_size
         elif not self.broken:
             message = self._message
             # Danger: bytes past the bound were not kept; what is left would pass for the whole.
             self.broken = message.too_large
-            body, keep = b"".join(message.body), self._parser.should_keep_alive()
+            body = b"".join(message.body)
+            keep = self._parser.should_keep_alive()
             self.response = None if self.broken else Response(self.status, message.headers, body, keep)
 
 
--- a/otterreach/sidecar/server.py
+++ b/otterreach/sidecar/server.py
@@ -61,7 +61,8 @@
     cls = names.classes.get((unquote_to_bytes(name) if b"%" in name else name).decode("latin-1"))
     if cls is None:
         raise BadCall(HTTPStatus.NOT_FOUND, "no such class of requests")
-    headers, effect = request.headers, settings.classes[cls].effect
+    headers = request.headers
+    effect = settings.classes[cls].effect
     keyed = len(parts) > 1 and (settings.warm_keys or settings.classes[cls].in_order)
     if not PLAIN.fullmatch(headers.get(b"x-trace-id", b"")):
         raise BadCall(HTTPStatus.BAD_REQUEST, "X-Trace-Id is missing, or no plain text")
@@ -110,7 +111,8 @@
         self._server = server
         self._parser = http1.RequestParser()
         self._queue: deque[tuple[http1.Request, int]] = deque()  # with when it came
-        self._busy = self._closing = False
+        self._busy = False
+        self._closing = False
         self._keep_alive = True
         self._current = 0  # the driver's id of the request being worked on
         self._trace_id = b""  # of the same, while it is open
@@ -176,7 +178,9 @@
             request, came_ns = self._queue.popleft()
             if self._transport and len(self._queue) <= MOST_PIPELINED:
                 self._transport.resume_reading()
-            self._busy, self._current, self._keep_alive = True, 0, request.keep_alive
+            self._busy = True
+            self._current = 0
+            self._keep_alive = request.keep_alive
             self.served = True
             self._server.work(self)
             self._work_on(request, came_ns)
@@ -239,7 +243,8 @@
         """An error, and the end of the connection: kept, it would bring the same again at once. Danger:
         closing with input unread resets it, and the client never reads the answer. So end our side, and
         wait for the client's end a little."""
-        self._busy, self._closing = False, True
+        self._busy = False
+        self._closing = True
         self._queue.clear()
         self._server.rest(self)
         if self._transport:
@@ -298,7 +303,9 @@
     """The listener. It accepts by itself, so that nothing queued is reset when it closes."""
 
     def __init__(self, sidecar: Sidecar, names: Names, settings: Settings, most: int) -> None:
-        self.sidecar, self.names, self.settings = sidecar, names, settings
+        self.sidecar = sidecar
+        self.names = names
+        self.settings = settings
         self.stopping = False
         self.last_ns = NEVER_NS  # by then every request has to be answered
         self.open_ids: set[bytes] = set()  # trace ids of the requests being worked on
@@ -428,7 +435,8 @@
         loop = asyncio.get_running_loop()
         end = loop.time() + within_s
         loop.call_at(end, self.sidecar.answer_all)
-        self.stopping, self.last_ns = True, time.monotonic_ns() + int(new_s * 1e9)
+        self.stopping = True
+        self.last_ns = time.monotonic_ns() + int(new_s * 1e9)
         # Clients use a connection for as long as it is open: closed now, they still find the listener.
         for connection in self.connections:
             connection.leave(late=False)
--- a/otterreach/sidecar/sidecar.py
+++ b/otterreach/sidecar/sidecar.py
@@ -51,7 +51,9 @@
     __slots__ = ("attempts", "backstop", "call", "deadline_ns", "left", "reply")
 
     def __init__(self, call: Call, deadline_ns: int, reply: Callable[[Answer], None], left: Callable[[], bool]) -> None:
-        self.call, self.deadline_ns, self.left = call, deadline_ns, left
+        self.call = call
+        self.deadline_ns = deadline_ns
+        self.left = left
         self.reply: Callable[[Answer], None] | None = reply  # None: answered, or nobody waits
         self.attempts: list[Attempt] = []
         self.backstop: asyncio.TimerHandle | None = None
@@ -66,7 +68,8 @@
         self._ready: set[int] = set()
         # Danger: what pushed lists tell counts from a process's first moment, and `known` may be older.
         self._told = config.settings.discovery != "push"
-        self._next_request = self._next_number = 0
+        self._next_request = 0
+        self._next_number = 0
         self._events: deque[api.Event] = deque()
         self._handling = False
         self._complained_at = 0.0
@@ -92,7 +95,8 @@
         """A request has come; `reply` is called once, maybe before this returns. `left` tells whether its
         client has gone, which may be known before `client_gone` is called."""
         self._next_request += 1
-        request_id, now = self._next_request, time.monotonic_ns()
+        request_id = self._next_request
+        now = time.monotonic_ns()
         left_ns = max(0, call.left_ns - ANSWER_RESERVE_NS)
         exchange = self._exchanges[request_id] = _Exchange(call, now + left_ns, reply, left)
         loop = asyncio.get_running_loop()
@@ -220,7 +224,8 @@
         return exchange.reply is not None
 
     def _ended(self, attempt: Attempt) -> None:
-        exchange, status = self._exchanges[attempt.request_id], attempt.status
+        exchange = self._exchanges[attempt.request_id]
+        status = attempt.status
         assert status is not None
         if status is Status.OK and attempt.response and exchange.reply:
             self._answer(exchange, Answer(200, attempt.response.body))
--- a/otterreach/simulation/__main__.py
+++ b/otterreach/simulation/__main__.py
@@ -56,7 +56,8 @@
         smaller = plan.without(index)
         tried, _ = run(seed, smaller)
         if tried.failure is not None and tried.failure.rule == rule:
-            world, plan = tried, smaller
+            world = tried
+            plan = smaller
         index -= 1
     return world, plan
 
--- a/otterreach/simulation/control.py
+++ b/otterreach/simulation/control.py
@@ -25,7 +25,9 @@
 from otterreach.simulation.world import CTL, World
 
 SLAS = {"contactMs": 3000, "ackMs": 4000, "syncS": 4.5, "drainMs": 2000, "applyMs": 2000, "leaseMs": 3000}
-CONTACT_S, ACK_S, APPLY_S = 3.0, 4.0, 2.0
+CONTACT_S = 3.0
+ACK_S = 4.0
+APPLY_S = 2.0
 THAW_S = 0.3
 START_S = 8.0
 SYNC_S = 4.5
@@ -66,7 +68,8 @@
     """One run."""
 
     def __init__(self, world: World, setup: Setup) -> None:
-        self.world, self.setup = world, setup
+        self.world = world
+        self.setup = setup
         self.random = Random(world.seed ^ 0xC0)
         self.stopping = False
         for n in range(setup.controllers):
@@ -75,7 +78,8 @@
             world.add(f"front-{n}", "front", n % 3, proxy)
         cores = world.of_role("core")
         world.seeds = [box.ip for box in cores[:3]]
-        names, others = [box.name for box in cores], [box.name for box in world.of_role("front")]
+        names = [box.name for box in cores]
+        others = [box.name for box in world.of_role("front")]
         self.plan = faults.draw(
             Random(world.seed ^ 0xFA), names, others, world.survive, True, setup.members, setup.survive_zones > 0
         )
--- a/otterreach/simulation/disk.py
+++ b/otterreach/simulation/disk.py
@@ -20,7 +20,8 @@
     """One file, as the machine's kernel sees it (`data`) and as far as it lasts (`synced` bytes of it)."""
 
     def __init__(self, random: Random, sync_s: tuple[float, float] = (0.0005, 0.004)) -> None:
-        self.random, self.sync_s = random, sync_s
+        self.random = random
+        self.sync_s = sync_s
         self.data = b""
         self.synced = 0
         self.broken = False  # refuses writes
@@ -33,15 +34,18 @@
     def power_lost(self) -> None:
         """Of the unsynced rest: all, none, a part, or a part with bad bytes. A rewrite that isn't in place is gone."""
         if self.former is not None and self.random.random() < 0.5:
-            self.data, self.synced = self.former, len(self.former)
+            self.data = self.former
+            self.synced = len(self.former)
         rest = self.data[self.synced :]
         kept = self.random.choice([b"", rest, rest[: self.random.randint(0, len(rest))], bytes(len(rest))])
         self.data = self.data[: self.synced] + kept
         self.synced = len(self.data)
-        self.second, self.former = 0, None
+        self.second = 0
+        self.former = None
 
     def wipe(self) -> None:
-        self.data, self.synced = b"", 0
+        self.data = b""
+        self.synced = 0
 
     def delay(self) -> float:
         """How long a sync that begins now takes."""
@@ -71,7 +75,9 @@
     def read(self) -> list[Record]:
         disk = self.disk
         records, end = scan(disk.data)
-        disk.data, disk.second, disk.former = disk.data[:end], 0, None
+        disk.data = disk.data[:end]
+        disk.second = 0
+        disk.former = None
         self.size = self._synced = disk.synced = end
         return records
 
@@ -94,19 +100,23 @@
     async def _flush(self) -> None:
         while self._waiting and self.failed is None:
             async with self._in_use:
-                waiting, self._waiting = self._waiting, []
-                data, self._pending = b"".join(self._pending), []
+                waiting = self._waiting
+                self._waiting = []
+                data = b"".join(self._pending)
+                self._pending = []
                 if self.failed is None:
                     await self._write(data)
             self._settle(waiting)
         if self.failed is not None:
-            waiting, self._waiting = self._waiting, []
+            waiting = self._waiting
+            self._waiting = []
             self._settle(waiting)
 
     async def _write(self, data: bytes) -> None:
         disk = self.disk
         if disk.second and not disk.fits(len(data)):
-            disk.second, self._given_up = 0, True
+            disk.second = 0
+            self._given_up = True
         if disk.broken or not disk.fits(len(data)):
             disk.data += data[: disk.random.randint(0, len(data))]
             self._fail()
@@ -131,7 +141,8 @@
     async def rewrite(self, live: LiveSlices) -> bool:
         if self._copied is not None or self.failed is not None:
             return False
-        self._copied, self._given_up = [], False
+        self._copied = []
+        self._given_up = False
         try:
             return await self._fill(live()) and await self._replace()
         finally:
@@ -154,7 +165,8 @@
     def _second_fits(self) -> bool:
         """Whether the disk takes the second file; without room for it the first is still in use."""
         assert self._copied is not None
-        size, self.disk.second = sum(len(record) for record in self._copied), 0
+        size = sum(len(record) for record in self._copied)
+        self.disk.second = 0
         if self.disk.broken:
             self._fail()
         if self.failed is not None or self._given_up or not self.disk.fits(size):
@@ -170,8 +182,10 @@
             await asyncio.sleep(disk.delay())
             if not self._second_fits():
                 return False
-            records, self._pending = self._copied[:count], self._copied[count:]
-            disk.former, disk.data = disk.data[: disk.synced], b"".join(records)
+            records = self._copied[:count]
+            self._pending = self._copied[count:]
+            disk.former = disk.data[: disk.synced]
+            disk.data = b"".join(records)
             disk.synced = self._synced = len(disk.data)
             self.size = self._synced + sum(len(record) for record in self._pending)
             self._copied = None
--- a/otterreach/simulation/explore.py
+++ b/otterreach/simulation/explore.py
@@ -72,7 +72,8 @@
 
     def __init__(self, bounds: Bounds, within_s: float = 1e9, most_states: int = 10**9, seed: int = 0) -> None:
         """`seed`: tries what clients and faults do in another order; 0: as they are listed."""
-        self.bounds, self.most_states = bounds, most_states
+        self.bounds = bounds
+        self.most_states = most_states
         self.random = Random(seed) if seed else None
         self.found = Found()
         self._seen: dict[Any, int] = {}
@@ -123,7 +124,9 @@
             model.end()
         self.found.depth = max(self.found.depth, len(trace))
         if model.failure is not None:
-            self.found.rule, self.found.failure, self.found.trace = model.failure.rule, str(model.failure), trace
+            self.found.rule = model.failure.rule
+            self.found.failure = str(model.failure)
+            self.found.trace = trace
 
     def _all_deviations(self) -> int:
         return 10**9 if self.bounds.deviations is None else self.bounds.deviations
@@ -152,7 +155,8 @@
     def _choices(self, model: Model, left: int) -> list[tuple[Event, int]]:
         """Messages and syncs out of their order, and timers while there are any, cost a deviation; what clients and
         faults do has bounds of its own."""
-        network, timers = model.network(), model.timers()
+        network = model.network()
+        timers = model.timers()
         waiting = [*enumerate(network), *((min(1, len(network)), timer) for timer in timers)]
         if self.bounds.deviations is None:
             waiting = [(0, event) for _, event in waiting]
--- a/otterreach/simulation/faults.py
+++ b/otterreach/simulation/faults.py
@@ -27,12 +27,16 @@
 AFTER_MESSAGE_S = (0.0, 0.0005, 0.002, 0.006)
 ARMED_S = 2.0  # longer than any kind of message is rare
 ROOM_BYTES = 200  # left on a full disk
-STILL_S, TURN_S = (0.01, 0.15), (0.05, 0.25)  # a slow machine: how long it stands still, and how often
+# a slow machine: how long it stands still, and how often
+STILL_S = (0.01, 0.15)
+TURN_S = (0.05, 0.25)
 LEADER_SHARE = 0.3
 ZONE = "zone:"  # and the name of a zone, in place of a name: all controllers there
 LOSS_SHARE = 0.4
 BRIEF_LOSS_SHARE = 0.25
-BRIEF_S, BRIEF_RECOVERY_S = 0.8, 1.2  # of a brief run: faults begin and last, and what is left for an election
+# of a brief run: faults begin and last, and what is left for an election
+BRIEF_S = 0.8
+BRIEF_RECOVERY_S = 1.2
 MEMBER_SHARE = 0.4
 REPLACE_S = (5.0, 8.0)  # syncS and more: the new one has to be there
 
@@ -113,7 +117,8 @@
 
 
 def _brief_fault(random: Random, names: list[str]) -> Fault:
-    kind, name = random.choice(MORE_KINDS), random.choice([LEADER, *names])
+    kind = random.choice(MORE_KINDS)
+    name = random.choice([LEADER, *names])
     return Fault(random.uniform(0.1, BRIEF_S), kind, (name,), random.uniform(0.05, BRIEF_S))
 
 
@@ -183,7 +188,8 @@
     """Carries a plan out. Machines under several faults at a time come back when the last one is over."""
 
     def __init__(self, world: World, plan: Plan) -> None:
-        self.world, self.plan = world, plan
+        self.world = world
+        self.plan = plan
         self.active: list[Fault] = []
         self.leader: Callable[[], str] = lambda: ""  # name of the machine that leads
         self.members = MemberChanges(world)
--- a/otterreach/simulation/history.py
+++ b/otterreach/simulation/history.py
@@ -11,7 +11,9 @@
 from otterreach.simulation.linearizability import Change, Outcome, Read, find_violation
 
 Expect = Callable[[Any, str, str], None]
-OK, INVALID, STALE = 200, 400, 412
+OK = 200
+INVALID = 400
+STALE = 412
 
 
 @dataclass(slots=True)
@@ -55,7 +57,8 @@
             self._settle(change, Outcome.REFUSED, now)
 
     def _wake(self) -> None:
-        waiting, self._waiting = self._waiting, []
+        waiting = self._waiting
+        self._waiting = []
         for future in waiting:
             if not future.done():
                 future.set_result(None)
@@ -69,7 +72,8 @@
     def _settle(self, change: Change, outcome: Outcome, now: float) -> None:
         """All clear answers to one change are the same, whenever and wherever it was sent again."""
         if change.outcome is Outcome.UNCLEAR:
-            change.outcome, change.answered = outcome, now
+            change.outcome = outcome
+            change.answered = now
         same = change.outcome is outcome
         self.expect(same, "refused and acknowledged", f"{change}, at {now:.3f} {outcome.value}")
 
--- a/otterreach/simulation/invariants.py
+++ b/otterreach/simulation/invariants.py
@@ -32,7 +32,8 @@
     """Watches all controllers and copies of one run."""
 
     def __init__(self, world: World, history: History) -> None:
-        self.world, self.history = world, history
+        self.world = world
+        self.history = history
         self.primaries: dict[int, str] = {}  # id by number
         self.acked_items: dict[str, int] = {}  # key -> rev
         self.ends: dict[str, int] = {}  # key -> rev of its last end, acknowledged or not
@@ -171,7 +172,8 @@
     """What one process' copy has held so far in its life."""
 
     def __init__(self, name: str, world: World) -> None:
-        self.name, self.world = name, world
+        self.name = name
+        self.world = world
         self._rev = -1
         self._config = (0, 0)  # rev, gen
         self._servers: dict[str, tuple[int, int]] = {}  # rev, rank
@@ -182,7 +184,8 @@
         self._rev = store.revision
         config = store.items.get("config")
         if config and config.revision != self._config[0]:
-            gen, old = json.loads(config.value)["gen"], self._config[1]
+            gen = json.loads(config.value)["gen"]
+            old = self._config[1]
             self.world.expect(gen >= old, "copy goes back", f"{self.name}: {gen} after {old}")
             self._config = (config.revision, gen)
         for ident in history.servers:
--- a/otterreach/simulation/job_members.py
+++ b/otterreach/simulation/job_members.py
@@ -36,7 +36,10 @@
     """Changes of store machines, one after the other."""
 
     def __init__(self, world: World, random: Random, store_node: Main, lots: dict[str, Lot]) -> None:
-        self.world, self.random, self.store_node, self.lots = world, random, store_node, lots
+        self.world = world
+        self.random = random
+        self.store_node = store_node
+        self.lots = lots
         self.stopping = False
         self.leaving: set[str] = set()  # machines that are to be emptied
         self.lost_disk_at = -1e9  # when a disk was last lost by a fault
--- a/otterreach/simulation/job_proxy.py
+++ b/otterreach/simulation/job_proxy.py
@@ -17,7 +17,8 @@
 
 CALL_S = 0.8
 SLOTS = 6
-RUN_S, LONG_S = (0.02, 0.8), (2.0, 5.0)
+RUN_S = (0.02, 0.8)
+LONG_S = (2.0, 5.0)
 
 
 class Judge(Protocol):
@@ -42,7 +43,8 @@
     """What JobStoreDirectory uses of a proxy's fleet."""
 
     def __init__(self, node: Node) -> None:
-        self.store, self.loop = node.store, asyncio.get_running_loop()
+        self.store = node.store
+        self.loop = asyncio.get_running_loop()
         self.draw = Draw(node.random)
 
 
@@ -60,7 +62,9 @@
     must say that its batch job is in force."""
 
     def __init__(self, scenario: Judge, box: Box, node: Node) -> None:
-        self.scenario, self.box, self.node = scenario, box, node
+        self.scenario = scenario
+        self.box = box
+        self.node = node
         self.loop = asyncio.get_running_loop()
         self.queue: dict[tuple[str, str], AssignItems] = {}
         self.running: set[tuple[str, str]] = set()
--- a/otterreach/simulation/job_trainers.py
+++ b/otterreach/simulation/job_trainers.py
@@ -40,7 +40,8 @@
     """All trainers of a run, and what they have been told."""
 
     def __init__(self, world: World, random: Random) -> None:
-        self.world, self.random = world, random
+        self.world = world
+        self.random = random
         self.lots: dict[str, Lot] = {}
         self.taken = 0  # batch jobs
         self.stopping = False
--- a/otterreach/simulation/jobs.py
+++ b/otterreach/simulation/jobs.py
@@ -169,7 +169,8 @@
             before = self.trainers.taken
             await self._until(lambda before=before: self.trainers.taken > before, CLEAR_S, "a batch job in calm times")
         await asyncio.sleep(max(0.0, start + self.plan.end - world.now))
-        self.trainers.stopping = self.members.stopping = True
+        self.trainers.stopping = True
+        self.members.stopping = True
         tasks.append(changes)
         for task in tasks:
             await asyncio.wait([task], timeout=30.0)
--- a/otterreach/simulation/loop.py
+++ b/otterreach/simulation/loop.py
@@ -22,7 +22,8 @@
     """Whatever runs in one context: `start` a coroutine as this process, freeze it, kill it."""
 
     def __init__(self, name: str, address: str) -> None:
-        self.name, self.address = name, address
+        self.name = name
+        self.address = address
         self.frozen = False
         self.dead = False
         self.held: list[asyncio.Handle] = []
@@ -49,7 +50,8 @@
     def thaw(self, loop: VirtualLoop, due: list[asyncio.Handle] | None = None) -> None:
         """What has become due meanwhile runs now: `due`, or all in the order in which it became due."""
         self.frozen = False
-        held, self.held = self.held, []
+        held = self.held
+        self.held = []
         for handle in held if due is None else due:
             loop.ready(handle)
 
--- a/otterreach/simulation/model_server.py
+++ b/otterreach/simulation/model_server.py
@@ -19,8 +19,13 @@
     """`excused` tells of a sender whose orders don't count now: it was just thawed, or its link healed."""
 
     def __init__(self, world: World, random: Random, ident: str, gen: int, excused: Callable[[str], bool]) -> None:
-        self.world, self.random, self.ident, self.gen, self.excused = world, random, ident, gen, excused
-        self.calls = self.orders = 0
+        self.world = world
+        self.random = random
+        self.ident = ident
+        self.gen = gen
+        self.excused = excused
+        self.calls = 0
+        self.orders = 0
         self.busy_until = 0.0
         self.owners: dict[int, str] = {}  # by fence
         self.last = (0, "", -1e9)  # fence, owner, when
@@ -48,7 +53,8 @@
         self.gen = max(self.gen, gen)
 
     def _check(self, fence: int, owner: str, now: float) -> None:
-        expect, (last_fence, last_owner, at) = self.world.expect, self.last
+        expect = self.world.expect
+        (last_fence, last_owner, at) = self.last
         if self.excused(owner):
             return
         known = self.owners.setdefault(fence, owner)
--- a/otterreach/simulation/net.py
+++ b/otterreach/simulation/net.py
@@ -45,7 +45,8 @@
     """An address; `life` rises with each loss of power."""
 
     def __init__(self, ip: str, zone: str = "") -> None:
-        self.ip, self.zone = ip, zone
+        self.ip = ip
+        self.zone = zone
         self.powered = True
         self.life = 0
 
@@ -56,7 +57,9 @@
     def __init__(
         self, network: Network, process: Process, factory: Callable[[], Any], address: tuple[str, int]
     ) -> None:
-        self.network, self.process, self.factory = network, process, factory
+        self.network = network
+        self.process = process
+        self.factory = factory
         self.sockets = [Socket(address)]
         self.open = True
 
@@ -74,7 +77,9 @@
     """All machines and what is between them."""
 
     def __init__(self, loop: VirtualLoop, random: Random, delay_s: tuple[float, float] = (0.0003, 0.002)) -> None:
-        self.loop, self.random, self.delay_s = loop, random, delay_s
+        self.loop = loop
+        self.random = random
+        self.delay_s = delay_s
         loop.network = self
         self.machines: dict[str, Machine] = {}
         self.servers: dict[tuple[str, int], Server] = {}
@@ -114,7 +119,8 @@
         self.again()
 
     def again(self) -> None:
-        stuck, self.stuck = self.stuck, []
+        stuck = self.stuck
+        self.stuck = []
         for flow, chunk in stuck:
             flow.again(chunk)
 
@@ -142,7 +148,9 @@
     def process_ended(self, process: Process) -> None:
         """The kernel resets what the process had open."""
         for transport in [t for t in self.transports if t.process is process and not t.lost]:
-            transport.lost = transport.closing = transport.reset = True
+            transport.lost = True
+            transport.closing = True
+            transport.reset = True
             if transport.can_send:
                 self.refuse(transport, transport.out.target)
         self.transports = [t for t in self.transports if not t.lost]
@@ -178,7 +186,8 @@
         return server
 
     async def connect(self, process: Process, factory: Callable[[], Any], host: str, port: int) -> Any:
-        source, target = self.machine(process.address), self.machine(host)
+        source = self.machine(process.address)
+        target = self.machine(host)
         while True:
             await asyncio.sleep(self.delay(source, target))
             if self.path(source, target) and self.path(target, source):
@@ -191,10 +200,12 @@
         return self._join(process, factory, server)
 
     def _join(self, process: Process, factory: Callable[[], Any], server: Server) -> Any:
-        source, target = self.machine(process.address), self.machine(server.process.address)
+        source = self.machine(process.address)
+        target = self.machine(server.process.address)
         near = Transport(self, source, process, source.life)
         far = Transport(self, target, server.process, target.life)
-        near.out, far.out = Flow(self, near, far), Flow(self, far, near)
+        near.out = Flow(self, near, far)
+        far.out = Flow(self, far, near)
         self.transports = [t for t in self.transports if not t.lost]
         self.transports += [near, far]
 
--- a/otterreach/simulation/operators.py
+++ b/otterreach/simulation/operators.py
@@ -27,7 +27,9 @@
     """Calls `ctl` of one machine after the other. A share of the answers to it is lost on the way."""
 
     def __init__(self, random: Random, addresses: Callable[[], list[str]], lost_share: float = 0.0) -> None:
-        self.random, self.addresses, self.lost_share = random, addresses, lost_share
+        self.random = random
+        self.addresses = addresses
+        self.lost_share = lost_share
         self.last = ""
 
     async def ask(
@@ -51,7 +53,10 @@
     """Changes on top of the newest version that it knows; the number of the next one often falls on another's."""
 
     def __init__(self, name: str, caller: Caller, history: History, stopping: Callable[[], bool]) -> None:
-        self.name, self.caller, self.history, self.stopping = name, caller, history, stopping
+        self.name = name
+        self.caller = caller
+        self.history = history
+        self.stopping = stopping
         self.random = caller.random
         self.loop = asyncio.get_running_loop()
         self.base = 0
@@ -76,7 +81,8 @@
 
     def _draw(self) -> Sent:
         self.count += 1
-        random, mark = self.random, f"{self.name}-{self.count}"
+        random = self.random
+        mark = f"{self.name}-{self.count}"
         base = random.choice(self.bases) if random.random() < STALE_SHARE else self.base
         change = Change(base, base + random.randint(1, 3), mark, True, self.loop.time())
         if base and random.random() < PATCH_SHARE:
--- a/otterreach/simulation/registration.py
+++ b/otterreach/simulation/registration.py
@@ -46,8 +46,12 @@
         new_server: NewServer,
         stopping: Callable[[], bool],
     ) -> None:
-        self.prefix, self.address, self.caller, self.history = prefix, address, caller, history
-        self.new_server, self.stopping = new_server, stopping
+        self.prefix = prefix
+        self.address = address
+        self.caller = caller
+        self.history = history
+        self.new_server = new_server
+        self.stopping = stopping
 
     async def run(self) -> None:
         count = 0
--- a/otterreach/simulation/small_checks.py
+++ b/otterreach/simulation/small_checks.py
@@ -46,7 +46,8 @@
 
     def reply(self, member: Member, ask: Any, reply: Any) -> None:
         """A reply is about to leave: what it says has to be on disk, and to fit with what was said before."""
-        ident, said = member.control.id, self.seen.promised
+        ident = member.control.id
+        said = self.seen.promised
         if isinstance(reply, Promise) and reply.ok and not ask.probe:
             self.expect(member.control.accepted, "empty disk votes", f"{ident} promises {ask.number}")
             self.expect(ask.number > said.get(ident, 0), "promised twice", f"{ident}: {ask.number}")
@@ -85,7 +86,8 @@
 
     def _stands(self, control: ControlReplication) -> None:
         """A candidate counts its own vote: it must not have promised the number to another."""
-        ident, said = control.id, self.seen.promised.get(control.id, 0)
+        ident = control.id
+        said = self.seen.promised.get(control.id, 0)
         stood = self.seen.stood.get(ident, 0)
         self.expect(stood == control.promised or control.promised > said, "stands after a promise", f"{ident}: {said}")
         self.seen.stood[ident] = control.promised
--- a/otterreach/simulation/small_model.py
+++ b/otterreach/simulation/small_model.py
@@ -27,7 +27,8 @@
     """One run. `events` are what may happen next, `step` lets one happen and checks all invariants."""
 
     def __init__(self, bounds: Bounds) -> None:
-        self.bounds, self.checks = bounds, Checks()
+        self.bounds = bounds
+        self.checks = Checks()
         self.loop = StepLoop()
         self.loop.set_exception_handler(self._unhandled)
         self.flight: list[Message] = []
@@ -81,7 +82,8 @@
         self.order.append(("deliver", message.ident))
 
     def request(self, call: Call, value: Any) -> None:
-        caller, target = call.caller, call.target
+        caller = call.caller
+        target = call.target
         caller.note("calls", target.name, target.life)
         self.calls.append(call)
         number = str(caller.connection.get(target.name, 0))
@@ -144,7 +146,9 @@
         return self.used.get(kind, 0) < most
 
     def _of_member(self, member: Member) -> list[Event]:
-        bounds, control, events = self.bounds, member.control, list[Event]()
+        bounds = self.bounds
+        control = member.control
+        events = list[Event]()
         if control.is_primary and self._may("write", bounds.writes):
             events.append(("write", member.name))
         if control.is_primary and self._may("read", bounds.reads):
@@ -171,7 +175,8 @@
         return events
 
     def step(self, event: Event) -> None:
-        kind, name = event[0], event[1]
+        kind = event[0]
+        name = event[1]
         if kind in ("deliver", "sync"):
             skipped = [e for e in self.network() if e != event and self.order.index(e) < self.order.index(event)]
             self.order = [e for e in self.order if e != event and e not in skipped] + skipped
--- a/otterreach/simulation/small_parts.py
+++ b/otterreach/simulation/small_parts.py
@@ -117,15 +117,19 @@
         return await future
 
     def _begin(self) -> None:
-        self.batch, self.pending = self.pending, []
-        self.syncing, self._waiting = self._waiting, []
+        self.batch = self.pending
+        self.pending = []
+        self.syncing = self._waiting
+        self._waiting = []
         if self.syncing:
             self.member.model.order.append(("sync", self.member.name))
 
     def synced(self) -> None:
         """The disk has what was being synced."""
         self.member.disk += self.batch
-        done, self.syncing, self.batch = self.syncing, [], []
+        done = self.syncing
+        self.syncing = []
+        self.batch = []
         for future in done:
             if not future.done():
                 future.set_result(True)
@@ -157,7 +161,8 @@
         return None
 
     async def call(self, address: str, value: Any, timeout_s: float) -> Any:
-        member, model = self.member, self.member.model
+        member = self.member
+        model = self.member.model
         target = model.at(address)
         loop = asyncio.get_running_loop()
         future: asyncio.Future[Any] = loop.create_future()
@@ -218,7 +223,8 @@
     def __init__(self, model: Model, number: int) -> None:
         self.settings = settings_of(f"m{number}", number, model.bounds.survive)
         super().__init__(f"m{number}", self.settings.ip)
-        self.model, self.number = model, number
+        self.model = model
+        self.number = number
         self.clock = 0.0
         self.timers: list[asyncio.TimerHandle] = []
         self.disk: list[Entry] = []
@@ -239,7 +245,9 @@
 
     def begin(self) -> None:
         """A new life on what the disk has."""
-        self.dead, self.timers, self.clock = False, [], self.clock + 10.0
+        self.dead = False
+        self.timers = []
+        self.clock = self.clock + 10.0
         self.life += 1
         self.context = copy_context()
         self.context.run(OWNER.set, self)
--- a/otterreach/simulation/transport.py
+++ b/otterreach/simulation/transport.py
@@ -30,7 +30,9 @@
     """One direction of a connection."""
 
     def __init__(self, network: Network, source: Transport, target: Transport) -> None:
-        self.network, self.source, self.target = network, source, target
+        self.network = network
+        self.source = source
+        self.target = target
         self.chunks: deque[Chunk] = deque()  # not yet acknowledged
         self.last_at = 0.0
         self._watching = False
@@ -50,7 +52,9 @@
         self.network.later(self.last_at - now, self._arrive, chunk)
 
     def _arrive(self, chunk: Chunk) -> None:
-        net, source, target = self.network, self.source, self.target
+        net = self.network
+        source = self.source
+        target = self.target
         if source.reset or chunk not in self.chunks or not chunk.delivered and not source.can_send:
             return
         if not chunk.delivered:
@@ -108,7 +112,8 @@
     """What the code asks of a socket."""
 
     def __init__(self, address: tuple[str, int], transport: Transport | None = None) -> None:
-        self.address, self.transport = address, transport
+        self.address = address
+        self.transport = transport
 
     def setsockopt(self, *_: Any) -> None:
         pass
@@ -132,7 +137,10 @@
 
     def __init__(self, network: Network, machine: Machine, process: Process, life: int) -> None:
         super().__init__()
-        self.network, self.machine, self.process, self.life = network, machine, process, life
+        self.network = network
+        self.machine = machine
+        self.process = process
+        self.life = life
         self.protocol: Any = None
         self.out: Flow
         self.lost = False  # connection_lost has been called or is on its way
@@ -174,7 +182,8 @@
     def lose(self, error: Exception | None) -> None:
         """This end is over."""
         if not self.lost:
-            self.lost = self.closing = True
+            self.lost = True
+            self.closing = True
             self.network.loop.call_as(self.process, self._ended, error)
 
     def _ended(self, error: Exception | None) -> None:
@@ -203,7 +212,8 @@
 
     def abort(self) -> None:
         if not self.lost or not self.reset:
-            self.reset = self.closing = True
+            self.reset = True
+            self.closing = True
             self.network.refuse(self, self.out.target)
             self.lose(None)
 
@@ -211,7 +221,8 @@
         return self.closing
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        own, other = (self.machine.ip, 40_000), (self.out.target.machine.ip, 40_001)
+        own = (self.machine.ip, 40_000)
+        other = (self.out.target.machine.ip, 40_001)
         known = {"socket": Socket(own, self), "sockname": own, "peername": other}
         return known.get(name, default)
 
@@ -226,7 +237,8 @@
 
     def resume_reading(self) -> None:
         self._paused = False
-        unread, self._unread = self._unread, []
+        unread = self._unread
+        self._unread = []
         for data in unread:
             self.network.loop.call_as(self.process, self._take, data)
 
--- a/otterreach/simulation/world.py
+++ b/otterreach/simulation/world.py
@@ -41,7 +41,12 @@
     """A machine: its disk, and the life that its process is in."""
 
     def __init__(self, world: World, name: str, role: str, ip: str, zone: str, main: Main) -> None:
-        self.world, self.name, self.role, self.ip, self.zone, self.main = world, name, role, ip, zone, main
+        self.world = world
+        self.name = name
+        self.role = role
+        self.ip = ip
+        self.zone = zone
+        self.main = main
         self.disk = Disk(world.random)
         self.process: Process | None = None
         self.lives = 0
@@ -119,7 +124,8 @@
             self.world.net.process_ended(self.process)
             self.first = False
             self.world.changed = True
-            self.node = self.object = None
+            self.node = None
+            self.object = None
 
     def terminate(self) -> None:
         """SIGTERM; it is started again if it is wanted."""
@@ -155,7 +161,9 @@
     """One run: everything in it follows from the seed."""
 
     def __init__(self, seed: int, survive: int = 1, slas: dict[str, Any] | None = None, survive_zones: int = 0) -> None:
-        self.seed, self.survive, self.survive_zones = seed, survive, survive_zones
+        self.seed = seed
+        self.survive = survive
+        self.survive_zones = survive_zones
         self.slas = slas or {}
         self.random = Random(seed)
         self.loop = VirtualLoop()
@@ -207,7 +215,9 @@
     def watch(self, summary: Callable[[], Any], *checks: Callable[[], None], always: bool = True) -> None:
         """`checks` run whenever `summary` has changed; its values are the states that are counted. Not `always`: it is
         asked only after steps in which `changed` was set."""
-        self._summary, self.checks, self._always = summary, list(checks), always
+        self._summary = summary
+        self.checks = list(checks)
+        self._always = always
 
     def _after(self) -> None:
         if not (self._always or self.changed):
@@ -245,12 +255,15 @@
     def _collect(self) -> None:
         """What dead processes left ends in silence, and not in the middle of the next run."""
         for box in self.boxes.values():
-            box.process = box.node = box.object = None
+            box.process = None
+            box.node = None
+            box.object = None
         self.processes.clear()
         self.net.transports.clear()
         self.net.servers.clear()
         self.net.stuck.clear()
-        hook, sys.unraisablehook = sys.unraisablehook, lambda _: None
+        hook = sys.unraisablehook
+        sys.unraisablehook = lambda _: None
         try:
             gc.collect()
         finally:
@@ -271,13 +284,15 @@
     def _stand_ins(self) -> Iterator[None]:
         """Ids and the log follow the seed and virtual time; all else is handed in."""
         ids = Random(self.seed ^ 0x1D)
-        drawn, logger = identity.draw_disk_id, otterreach.runtime.log._logger
+        drawn = identity.draw_disk_id
+        logger = otterreach.runtime.log._logger
         identity.draw_disk_id = lambda: f"{ids.getrandbits(48):012x}"
         otterreach.runtime.log._logger = _Lines(self)
         try:
             yield
         finally:
-            identity.draw_disk_id, otterreach.runtime.log._logger = drawn, logger
+            identity.draw_disk_id = drawn
+            otterreach.runtime.log._logger = logger
             self._unwrap()
 
 
