--- a/otterreach/proxy/model_server.py
+++ b/otterreach/proxy/model_server.py
@@ -29,7 +29,7 @@
         path: str,
         body: bytes,
         timeout_s: float,
-        may: Callable[[], bool] = ...,
+        may_write: Callable[[], bool] = ...,
         headers: Mapping[str, str] = ...,
         interchangeable: bool = ...,
     ) -> Reply | Failure: ...
@@ -113,9 +113,11 @@
             return None
         return read_report(reply.body)
 
-    async def order(self, order: Order, may: Callable[[], bool]) -> tuple[OrderResult, int]:
-        """What became of it, and the status; 0 without an answer. `may` is asked right before it is written."""
-        reply = await self._client.call(self.address, "POST", "/order", order.encode(), CALL_S, may, self._headers)
+    async def order(self, order: Order, may_write: Callable[[], bool]) -> tuple[OrderResult, int]:
+        """What became of it, and the status; 0 without an answer. `may_write` is asked right before it is written."""
+        reply = await self._client.call(
+            self.address, "POST", "/order", order.encode(), CALL_S, may_write, self._headers
+        )
         if isinstance(reply, Failure):
             not_sent = reply.code in (Code.UNREACHABLE, Code.STALE_EPOCH)
             return OrderResult.NOT_SENT if not_sent else OrderResult.UNCLEAR, 0
--- a/otterreach/runtime/codes.py
+++ b/otterreach/runtime/codes.py
@@ -7,7 +7,7 @@
 
 
 class Code(IntEnum):
-    """Each number keeps its meaning for ever; the comment is the line of the table."""
+    """Each number keeps its meaning for good; the comment is the line of the table."""
 
     OK = 0  # done
     UNREACHABLE = 10  # no connection to the other process
@@ -49,6 +49,7 @@
     reason: str
 
     def __bool__(self) -> bool:
+        """A failure is false."""
         return False
 
     @property
--- a/otterreach/runtime/compaction.py
+++ b/otterreach/runtime/compaction.py
@@ -1,4 +1,4 @@
-"""When a journal is rewritten: once it is long and most of it is out of date, as a task beside everything else."""
+"""When a journal is rewritten: once it is long and most of it is out of date, as a background task."""
 
 from __future__ import annotations
 
@@ -20,7 +20,8 @@
     size: int
     failed: Failure | None
 
-    async def rewrite(self, live: LiveSlices) -> bool: ...
+    async def rewrite(self, live: LiveSlices) -> bool:
+        """Replace the file by one that holds the live state."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,6 +46,7 @@
 
     @property
     def due(self) -> bool:
+        """Whether the journal is long enough for a rewrite."""
         size = self.journal.size
         return size > self.limits.bytes and size > self.limits.growth * self.live_bytes()
 
--- a/otterreach/runtime/http_client.py
+++ b/otterreach/runtime/http_client.py
@@ -20,16 +20,16 @@
 from otterreach.sidecar import http1
 from otterreach.sidecar.transport import ServerConnection
 
-IDLE_MOST_S = 60.0  # at rest for longer a connection is closed; a vanished machine would never close it
-IDLE_MARGIN_S = 0.4  # before the time that Keep-Alive tells is over
+MAX_IDLE_S = 60.0  # idle for longer a connection is closed; a vanished machine would never close it
+IDLE_MARGIN_S = 0.4  # before the time that Keep-Alive names is over
 NO_HEADERS: Mapping[str, str] = {}
 ANY_PATH = ""  # of connections that may carry any call
 Release = Callable[["_Connection"], None]
-FailureDomain = tuple[str, str]  # an address, and the path whose calls may go there
+PoolKey = tuple[str, str]  # an address, and the path whose calls may use the connection
 
 
 def keep_alive_s(headers: Mapping[bytes, bytes]) -> float | None:
-    """The time that Keep-Alive tells, in seconds."""
+    """The time that the Keep-Alive header names, in seconds."""
     for part in headers.get(b"keep-alive", b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.strip().lower() == b"timeout" and value.strip().isdigit():
@@ -37,14 +37,14 @@
     return None
 
 
-def idle_most_s(headers: Mapping[bytes, bytes], plain_s: float) -> float:
-    """How long a connection may rest after an answer with these headers."""
-    told = keep_alive_s(headers)
-    return plain_s if told is None else max(told - IDLE_MARGIN_S, told / 2)
+def max_idle_s(headers: Mapping[bytes, bytes], plain_s: float) -> float:
+    """How long a connection may be idle after an answer with these headers."""
+    named_s = keep_alive_s(headers)
+    return plain_s if named_s is None else max(named_s - IDLE_MARGIN_S, named_s / 2)
 
 
 class _Connection(ServerConnection):
-    """One connection: at rest, or in the hands of one call."""
+    """One connection: idle, or used by one call."""
 
     def __init__(self, on_close: Release) -> None:
         super().__init__()
@@ -56,28 +56,31 @@
         self._proven = False  # the last answer bore its call's id
         self._parser: http1.ResponseParser | None = None
         self._answer: asyncio.Future[http1.Response | Failure] | None = None
-        self._rest_timer: asyncio.TimerHandle | None = None
+        self._idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is open."""
         super().connection_made(transport)
         tune(transport.get_extra_info("socket"))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._fail("closed before a whole answer")
+        """The connection is gone."""
+        self._fail("closed before a complete answer")
         self.close()
 
     def data_received(self, data: bytes) -> None:
-        if self._parser is None:  # at rest: nobody asked
+        """Bytes have come."""
+        if self._parser is None:  # idle: nobody asked
             self.close()
             return
         response = self._parser.feed(data)
         if response is not None:
-            self._take(response)
+            self._handle_response(response)
         elif self._parser.broken:
             self._fail("no answer of the protocol")
 
-    def _take(self, response: http1.Response) -> None:
-        """A whole answer. The one place that makes the connection reusable."""
+    def _handle_response(self, response: http1.Response) -> None:
+        """A complete answer. The one place that makes the connection reusable."""
         ident = response.headers.get(REQUEST_ID)
         matched = ident == self._ident
         without_id = ident is None and (self._used == 1 or self._interchangeable and not self._proven)
@@ -86,16 +89,16 @@
         elif matched or without_id:
             self._proven = matched
             self.reusable = response.keep_alive and (matched or self._interchangeable)
-            self._settle(response)
+            self._complete(response)
         else:
             # Danger: an extra answer to an earlier call may come in the place of this one's.
             self._fail("an answer to another call")
 
     def _fail(self, reason: str) -> None:
         # What has not left whole for the kernel never leaves: the close drops it.
-        self._settle(Failure(Code.UNREACHABLE if self.unwritten else Code.CLOSED, reason))
+        self._complete(Failure(Code.UNREACHABLE if self.unwritten else Code.CLOSED, reason))
 
-    def _settle(self, outcome: http1.Response | Failure) -> None:
+    def _complete(self, outcome: http1.Response | Failure) -> None:
         if self._parser:
             self._parser.close()
             self._parser = None
@@ -113,7 +116,7 @@
         """Write a request and wait for its answer. Whatever ends this but a matched answer closes the connection."""
         assert self.reusable
         self.reusable = False
-        self._stop_resting()
+        self._stop_idle_timer()
         self._ident = ident
         self._interchangeable = interchangeable
         self._used += 1
@@ -134,29 +137,29 @@
             if not answered or not self.reusable:
                 self.close()
 
-    def rest(self, seconds: float) -> None:
-        """Nothing is asked for now; the end comes after some time."""
-        self._stop_resting()
-        self._rest_timer = asyncio.get_running_loop().call_later(seconds, self.close)
+    def start_idle_timer(self, seconds: float) -> None:
+        """No call is in progress: close after this time."""
+        self._stop_idle_timer()
+        self._idle_timer = asyncio.get_running_loop().call_later(seconds, self.close)
 
-    def _stop_resting(self) -> None:
-        if self._rest_timer:
-            self._rest_timer.cancel()
-            self._rest_timer = None
+    def _stop_idle_timer(self) -> None:
+        if self._idle_timer:
+            self._idle_timer.cancel()
+            self._idle_timer = None
 
     def close(self) -> None:
-        """No other call goes out on it, and nothing more of this one."""
+        """Send no other call on it, and nothing more of this one."""
         self.reusable = False
-        self._stop_resting()
+        self._stop_idle_timer()
         self._on_close(self)
         self._abort()
 
 
 class JsonClient:
-    """Calls with JSON bodies. A connection at rest is kept for each address: new ones are dear."""
+    """Calls with JSON bodies. One idle connection is kept for each address: new ones are expensive."""
 
     def __init__(self) -> None:
-        self._resting: dict[FailureDomain, _Connection] = {}
+        self._idle: dict[PoolKey, _Connection] = {}
         self._numbers = count(1)
 
     async def call(
@@ -166,21 +169,23 @@
         path: str,
         body: bytes,
         timeout_s: float,
-        may: Callable[[], bool] = lambda: True,
+        may_write: Callable[[], bool] = lambda: True,
         headers: Mapping[str, str] = NO_HEADERS,
         interchangeable: bool = False,
     ) -> Reply | Failure:
         """The answer. TIMED_OUT and CLOSED leave open whether it was done, any other Failure says that it was not.
-        `may` is asked right before the write: to open a connection may take its time. `interchangeable`: an answer to
-        an earlier call of this path does as well."""
+
+        :param may_write: asked right before the write: to open a connection may take its time
+        :param interchangeable: an answer to an earlier call of this path does as well
+        """
         loop = asyncio.get_running_loop()
         until = loop.time() + timeout_s
-        connection = self._take(address, path, interchangeable) or await self._open(address, until)
+        connection = self._take_idle(address, path, interchangeable) or await self._open(address, until)
         if isinstance(connection, Failure):
             return connection
         in_time = loop.time() < until
-        if not in_time or not may():
-            self._keep(address, path, connection, IDLE_MOST_S)
+        if not in_time or not may_write():
+            self._keep(address, path, connection, MAX_IDLE_S)
             code = Code.STALE_EPOCH if in_time else Code.UNREACHABLE
             return Failure(code, f"{address}: not written")
         ident = b"call-%d" % next(self._numbers)
@@ -189,13 +194,13 @@
         if isinstance(outcome, Failure):
             return Failure(outcome.code, f"{address}: {outcome.reason}")
         if connection.reusable:
-            self._keep(address, path, connection, idle_most_s(outcome.headers, IDLE_MOST_S))
+            self._keep(address, path, connection, max_idle_s(outcome.headers, MAX_IDLE_S))
         return Reply(outcome.status, outcome.body)
 
-    def _take(self, address: str, path: str, interchangeable: bool) -> _Connection | None:
-        """A connection at rest that still stands and that such a call may use."""
-        for place in [(address, path), (address, ANY_PATH)] if interchangeable else [(address, ANY_PATH)]:
-            connection = self._resting.pop(place, None)
+    def _take_idle(self, address: str, path: str, interchangeable: bool) -> _Connection | None:
+        """An idle connection that is still open and that such a call may use."""
+        for key in [(address, path), (address, ANY_PATH)] if interchangeable else [(address, ANY_PATH)]:
+            connection = self._idle.pop(key, None)
             if connection is None:
                 continue
             if connection.reusable and connection.fresh():
@@ -204,16 +209,16 @@
         return None
 
     def _keep(self, address: str, path: str, connection: _Connection, seconds: float) -> None:
-        place = (address, ANY_PATH if connection.certain else path)
-        if place in self._resting or connection.closing:
+        key = (address, ANY_PATH if connection.certain else path)
+        if key in self._idle or connection.closing:
             connection.close()
             return
-        self._resting[place] = connection
-        connection.rest(seconds)
+        self._idle[key] = connection
+        connection.start_idle_timer(seconds)
 
     def _closed(self, connection: _Connection) -> None:
-        for place in [place for place, resting in self._resting.items() if resting is connection]:
-            del self._resting[place]
+        for key in [key for key, idle in self._idle.items() if idle is connection]:
+            del self._idle[key]
 
     async def _open(self, address: str, until: float) -> _Connection | Failure:
         host, _, port = address.rpartition(":")
--- a/otterreach/runtime/log.py
+++ b/otterreach/runtime/log.py
@@ -20,6 +20,7 @@
 
 
 def quote(value: Any) -> str:
+    """A value as it stands in a line: in quotes if it holds blanks."""
     text = str(value)
     if text and not any(c in text for c in ' "=\n'):
         return text
@@ -27,7 +28,7 @@
 
 
 def log(event: str, level: str = "INFO", **pairs: Any) -> None:
-    """`event` and its pairs, values with spaces in quotes; t is the steady clock in seconds."""
+    """`event` and its pairs, values with spaces in quotes; t is the monotonic clock in seconds."""
     logger = _logger or _set_up()
     rest = " ".join(f"{key}={quote(value)}" for key, value in pairs.items())
     line = f"t={time.monotonic():.3f} level={level} event={event}" + (f" {rest}" if rest else "")
--- a/otterreach/runtime/records.py
+++ b/otterreach/runtime/records.py
@@ -76,10 +76,12 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
+        """The record from its stored form."""
         raw = json.loads(value)
         return cls(raw["role"], raw.get("address", ""), raw.get("zone", ""), raw.get("region", ""), raw.get("disk", ""))
 
     def encode(self) -> bytes:
+        """The stored form."""
         raw = {
             "role": self.role,
             "address": self.address,
@@ -140,6 +142,7 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
+        """The record from its stored form."""
         raw = json.loads(value)
         return cls(
             service=str(raw.get("backend", "")),
@@ -157,6 +160,7 @@
         )
 
     def encode(self) -> bytes:
+        """The stored form."""
         raw: dict[str, Any] = {
             "backend": self.service,
             "addr": self.address,
@@ -195,12 +199,14 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
+        """The record from its stored form."""
         raw = json.loads(value)
         backups = raw.get("backups") or ()
         learners = raw.get("joining") or ()
         return cls(raw["epoch"], str(raw.get("primary") or ""), tuple(backups), tuple(learners))
 
     def encode(self) -> bytes:
+        """The stored form."""
         raw = {
             "epoch": self.epoch,
             "primary": self.primary,
@@ -220,9 +226,11 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
+        """The record from its stored form."""
         return cls(int(json.loads(value)["gen"]))
 
     def encode(self) -> bytes:
+        """The stored form."""
         return json.dumps({"gen": self.version}).encode()
 
 
@@ -236,9 +244,11 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
+        """The record from its stored form."""
         return cls(json.loads(value).get("disk", ""))
 
     def encode(self) -> bytes:
+        """The stored form."""
         return json.dumps({"disk": self.disk}).encode()
 
 
@@ -256,10 +266,12 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
+        """The record from its stored form."""
         raw = json.loads(value)
         return cls(raw["holder"], raw.get("wait_ms", 0))
 
     def encode(self) -> bytes:
+        """The stored form."""
         return json.dumps({"holder": self.holder, "wait_ms": self.wait_ms}).encode()
 
 
@@ -275,10 +287,12 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
+        """The record from its stored form."""
         raw = json.loads(value)
         return cls(tuple(raw["registrars"]), raw["primary"], raw.get("number", 0))
 
     def encode(self) -> bytes:
+        """The stored form."""
         raw = {"registrars": list(self.controllers), "primary": self.primary, "number": self.epoch}
         return json.dumps(raw).encode()
 
@@ -294,10 +308,12 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
+        """The record from its stored form."""
         raw = json.loads(value)
         return cls(int(raw["rev"]), tuple(raw.get("marks") or ()))
 
     def encode(self) -> bytes:
+        """The stored form."""
         return json.dumps({"rev": self.revision, "marks": list(self.period_ends)}).encode()
 
 
@@ -312,10 +328,12 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
+        """The record from its stored form."""
         raw = json.loads(value)
         return cls(raw["base"], raw["digest"])
 
     def encode(self) -> bytes:
+        """The stored form."""
         return json.dumps({"base": self.base, "digest": self.digest}, separators=(",", ":")).encode()
 
 
@@ -329,7 +347,9 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
+        """The record from its stored form."""
         return cls(value)
 
     def encode(self) -> bytes:
+        """The stored form."""
         return self.value
--- a/otterreach/runtime/settings.py
+++ b/otterreach/runtime/settings.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The figures of the rules, in seconds where the page has milliseconds."""
+    """The platform's service levels (`slas`), in seconds where the file has milliseconds."""
 
     peer_lag_s: float
     reuse_s: float
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a process is told at its start, and again whenever the file changes."""
+    """What the settings file says, at a start and whenever the file changes."""
 
     node: str
     machine: str
--- a/otterreach/scaletest/meter.py
+++ b/otterreach/scaletest/meter.py
@@ -43,7 +43,7 @@
     return body
 
 
-class CountedCaller(http._Caller):
+class CountedCaller(http._CallerConnection):
     """A connection of a caller over HTTP."""
 
     def data_received(self, data: bytes) -> None:
@@ -72,7 +72,7 @@
     for module, attribute, counted in (
         (rpc, "Link", CountedLink),
         (rpc, "encode", counted_encode),
-        (http, "_Caller", CountedCaller),
+        (http, "_CallerConnection", CountedCaller),
     ):
         setattr(module, attribute, counted)
     threading.Thread(target=_tell, args=(Path(name),), daemon=True).start()
--- a/tests/test_http_calls.py
+++ b/tests/test_http_calls.py
@@ -11,7 +11,7 @@
 from otterreach.runtime import http
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.http import JsonServer, Reply
-from otterreach.runtime.http_client import IDLE_MARGIN_S, IDLE_MOST_S, JsonClient
+from otterreach.runtime.http_client import IDLE_MARGIN_S, MAX_IDLE_S, JsonClient
 from otterreach.sidecar import http1
 from tests import virtual
 from tests.virtual import MemoryLoop, MemoryTransport, connect
@@ -301,7 +301,7 @@
 
 def test_what_may_not_go_out_is_not_written_and_harms_no_connection() -> None:
     async def main(world: World) -> None:
-        reply = await world.ask("/first", may=lambda: False)
+        reply = await world.ask("/first", may_write=lambda: False)
         assert isinstance(reply, Failure) and not reply.maybe_done
         assert await world.ask("/second") == Reply(200, b"/second")
         assert [r.target for end in world.ends for r in end.requests] == [b"/second"] and world.loop.opened == 1
@@ -318,7 +318,7 @@
     play(plain, main)
 
 
-@pytest.mark.parametrize(("head", "most_s"), [(b"", IDLE_MOST_S), (b"Keep-Alive: timeout=5\r\n", 5 - IDLE_MARGIN_S)])
+@pytest.mark.parametrize(("head", "most_s"), [(b"", MAX_IDLE_S), (b"Keep-Alive: timeout=5\r\n", 5 - IDLE_MARGIN_S)])
 def test_a_connection_at_rest_ends_after_a_time(head: bytes, most_s: float) -> None:
     async def main(world: World) -> None:
         await world.ask("/first")
@@ -403,7 +403,7 @@
 
     async def main() -> None:
         raw, transport, _ = await serve(handle)
-        await asyncio.sleep(http.IDLE_S - 1.0)
+        await asyncio.sleep(http.IDLE_TIMEOUT_S - 1.0)
         transport.write(GET % (0, 0))
         await asyncio.sleep(3.0)
         assert raw.data.endswith(b"done") and not raw.lost
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -48,12 +48,12 @@
         path: str,
         body: bytes,
         timeout_s: float,
-        may: Callable[[], bool] = lambda: True,
+        may_write: Callable[[], bool] = lambda: True,
         headers: Mapping[str, str] = NO_HEADERS,
         interchangeable: bool = False,
     ) -> Reply | Failure:
         await asyncio.sleep(self.connect_s)
-        if not may():
+        if not may_write():
             return Failure(Code.STALE_EPOCH, "")
         self.heads.append((path, headers.get("Expect-Server", "")))
         if path == "/order":
