--- a/otterreach/proxy/batch_jobs.py
+++ b/otterreach/proxy/batch_jobs.py
@@ -20,15 +20,16 @@
 
 JOB_PATH = "/lots/"
 ITEM_PATH = "/items/"
-SUBMIT_S = 0.8  # to try for, where neither the client nor the route says less
-READ_S = 0.5
+SUBMIT_TIMEOUT_S = 0.8  # to try for, where neither the client nor the route says less
+READ_TIMEOUT_S = 0.5
 CALL_S = 0.8
-MOST_WAIT_MS = 5000
+MAX_WAIT_MS = 5000
 RETRY_S = 0.2
 JSON = {b"content-type": b"application/json"}
 
 
 def is_batch_job_call(request: http1.Request) -> bool:
+    """Whether a request without a route reads or ends a batch job, or reads an item."""
     path = path_of(request)
     return path.startswith((JOB_PATH, ITEM_PATH)) and request.method in (b"GET", b"DELETE")
 
@@ -51,13 +52,14 @@
             await self._read(request, client, unquote(path[len(JOB_PATH) :]))
 
     async def submit(self, request: http1.Request, client: Client, route: Route) -> None:
+        """A submission on a rollout route, to its answer."""
         job = text(request.headers.get(b"request-id"))
         if not job or route.kind != ROLLOUT:
             client.respond(HTTPStatus.BAD_REQUEST)
             return
         ask = SubmitJob(job, text(request.headers.get(b"host")), route.name, request.body)
         asked = whole_number(request.headers.get(b"deadline-ms"))
-        within = min(route.timeout_s, max(SUBMIT_S, route.target_s))
+        within = min(route.timeout_s, max(SUBMIT_TIMEOUT_S, route.target_s))
         within = within if asked is None else min(within, asked / 1000)
         # Danger: a retry after an unclear call is safe, for one id is one batch job; a refusal after one is not.
         reply = await self.directory.ask(job, ask, within, CALL_S + len(request.body) / 20e6)
@@ -70,7 +72,7 @@
         elif reply.code is Code.BAD_JOB:
             client.respond(HTTPStatus.BAD_REQUEST)
         else:
-            client.refuse(RETRY_S)
+            client.respond_unavailable(RETRY_S)
 
     async def _read(self, request: http1.Request, client: Client, job: str) -> None:
         query = parse_qs(text(request.target.partition(b"?")[2]))
@@ -78,9 +80,9 @@
         if past is None:
             client.respond(HTTPStatus.BAD_REQUEST)
             return
-        wait_ms = min(MOST_WAIT_MS, whole_number(request.headers.get(b"wait-ms")) or 0)
+        wait_ms = min(MAX_WAIT_MS, whole_number(request.headers.get(b"wait-ms")) or 0)
         wait_s = wait_ms / 1000
-        reply = await self.directory.ask(job, ReadJob(job, past, wait_ms), READ_S + wait_s, CALL_S + wait_s)
+        reply = await self.directory.ask(job, ReadJob(job, past, wait_ms), READ_TIMEOUT_S + wait_s, CALL_S + wait_s)
         if isinstance(reply, JobResults):
             body = b'{"total":%d,"nextCursor":%d,"results":[%s]}' % (reply.total, reply.next_cursor, reply.body)
             client.respond(HTTPStatus.OK, JSON, body)
@@ -89,7 +91,7 @@
 
     async def _item(self, request: http1.Request, client: Client, job: str) -> None:
         item = parse_qs(text(request.target.partition(b"?")[2])).get("id", [""])[0]
-        reply = await self.directory.ask(job, ReadItem(job, item), READ_S, CALL_S)
+        reply = await self.directory.ask(job, ReadItem(job, item), READ_TIMEOUT_S, CALL_S)
         if isinstance(reply, ItemBody):
             client.respond(HTTPStatus.OK, {b"content-type": b"application/octet-stream"}, reply.body)
         else:
@@ -108,4 +110,4 @@
         if gone:
             client.respond(HTTPStatus.NOT_FOUND)
         else:
-            client.refuse(RETRY_S)
+            client.respond_unavailable(RETRY_S)
--- a/otterreach/proxy/directory.py
+++ b/otterreach/proxy/directory.py
@@ -25,9 +25,16 @@
 PING_TIMEOUT_S = 0.6
 LEASE_SHARE = 0.4  # of cancelMs: the rest is for what is on its way, and for clocks that run apart
 RETRY_S = 0.04  # between two tries of a call
-LEAST_TIMEOUT_S = 0.05
+MIN_TIMEOUT_S = 0.05
 # A call that got one of these was not done, and another node may do it, or the same one a little later.
-TRY_AGAIN = (Code.NOT_PRIMARY, Code.NOT_SYNCED, Code.UNREACHABLE, Code.STALE_EPOCH, Code.NO_HANDLER, Code.NOT_MEMBER)
+RETRYABLE_CODES = (
+    Code.NOT_PRIMARY,
+    Code.NOT_SYNCED,
+    Code.UNREACHABLE,
+    Code.STALE_EPOCH,
+    Code.NO_HANDLER,
+    Code.NOT_MEMBER,
+)
 
 
 T = TypeVar("T")
@@ -81,14 +88,14 @@
         self._ended = ended
         self._moved = moved
         self._incarnation = fleet.draw.random.getrandbits(48) + 1
-        self._pinged: set[str] = set()  # addresses whose Pong is still out
+        self._pings_in_flight: set[str] = set()  # addresses whose Pong is still out
 
     async def run(self) -> None:
         """For ever: ping all."""
         while True:
             for address in self.store_addresses():
-                if address not in self._pinged:
-                    self._pinged.add(address)
+                if address not in self._pings_in_flight:
+                    self._pings_in_flight.add(address)
                     self.endpoint.spawn(self._ping(address))
             await asyncio.sleep(PING_S)
 
@@ -108,7 +115,7 @@
             if not isinstance(reply, Failure):
                 self._apply(address, sent, reply)
         finally:
-            self._pinged.discard(address)
+            self._pings_in_flight.discard(address)
 
     def _apply(self, address: str, sent: float, pong: ProxyPong) -> None:
         """What a Pong tells; `sent` is when its ping left."""
@@ -123,7 +130,7 @@
             if known is None or (known.epoch, known.address) != (served.epoch, address):
                 self._moved(served.partition, address)
 
-    def in_force(self, job: str) -> bool:
+    def is_confirmed_recently(self, job: str) -> bool:
         """Whether it was known a short while ago that the batch job may go on."""
         owner = self.owners.get(partition_of(job))
         return owner is not None and self.loop.time() - owner.as_of < self.lease_s
@@ -152,10 +159,10 @@
             address = self.address_of(job)
             left = end - self.loop.time()
             if address:
-                reply = await self.endpoint.call(address, value, min(each_s, max(LEAST_TIMEOUT_S, left)))
+                reply = await self.endpoint.call(address, value, min(each_s, max(MIN_TIMEOUT_S, left)))
                 if not isinstance(reply, Failure):
                     return reply
-                if reply.code not in TRY_AGAIN and not reply.maybe_done:
+                if reply.code not in RETRYABLE_CODES and not reply.maybe_done:
                     return reply if unclear is None else unclear
                 last = reply
                 unclear = reply if reply.maybe_done else unclear
--- a/otterreach/proxy/draw.py
+++ b/otterreach/proxy/draw.py
@@ -17,44 +17,49 @@
 
 ALPHA = 0.3  # weight of a new response time: the source finds one sample enough, so a short memory
 FAIL_ALPHA = 0.5
-USUAL_ALPHA = 0.05  # a route's usual time moves over some 20 answers
-MOST = 50.0  # bound on one sample, in usual times: one stall must not starve for ever
-REFUSED = 15.0  # a refusal, in usual times
-REFUSED_S = 0.7  # the same as below, of a refusal: the server is there, and has room again soon
-FORGET_S = 2.0  # an estimate of which nothing is heard has come half the way back to the mean
-LOAD_OLD_S = 1.5  # a told load is of no more use
-NEW_CONNECTION = 3.0  # one that has to be opened first is dear: at least that much counts as response time,
-NEW_SHARE = 0.1  # and as much as leaves all servers without one so much of the odds, while those with one are well
-LEAST = 0.02  # bound from below: nobody is that much faster
+TYPICAL_TIME_ALPHA = 0.05  # a route's usual time moves over some 20 answers
+MAX_SAMPLE = 50.0  # bound on one sample, in usual times: one stall must not starve for ever
+REJECTION_SAMPLE = 15.0  # a refusal, in usual times
+REJECTION_HALF_LIFE_S = 0.7  # the same as below, of a refusal: the server is there, and has room again soon
+HALF_LIFE_S = 2.0  # an estimate of which nothing is is_known has come half the way back to the mean
+MAX_LOAD_AGE_S = 1.5  # a told load is of no more use
+NEW_CONNECTION_FACTOR = 3.0  # one that has to be opened first is dear: at least that much counts as response time,
+NEW_CONNECTION_SHARE = (
+    0.1  # and as much as leaves all servers without one so much of the odds, while those with one are well
+)
+MIN_SAMPLE = 0.02  # bound from below: nobody is that much faster
 
 
 class Estimate:
     """What is known of one server's speed and load. Ends with its incarnation."""
 
-    __slots__ = ("fades_s", "in_flight", "load", "load_at", "sent_since", "slowness", "updated_at")
+    __slots__ = ("half_life_s", "in_flight", "load", "load_at", "sent_since", "slowness", "updated_at")
 
     def __init__(self) -> None:
-        self.slowness = 0.0  # response time over the usual; 0: nothing heard yet
+        self.slowness = 0.0  # response time over the usual; 0: nothing is_known yet
         self.updated_at = 0.0
-        self.fades_s = FORGET_S  # half of what is learned is gone after it
+        self.half_life_s = HALF_LIFE_S  # half of what is learned is gone after it
         self.in_flight = 0  # own
         self.load = 0  # as the server last reported it
         self.load_at = -1e9
         self.sent_since = 0  # own sends less own ends since it was told
 
     @property
-    def heard(self) -> bool:
+    def is_known(self) -> bool:
+        """Whether there has been any response time."""
         return self.slowness > 0
 
-    def sent(self) -> None:
+    def record_sent(self) -> None:
+        """A request has been sent."""
         self.in_flight += 1
         self.sent_since += 1
 
-    def ended(self) -> None:
+    def record_ended(self) -> None:
+        """A request has ended, however."""
         self.in_flight -= 1
         self.sent_since -= 1
 
-    def tell_load(self, value: bytes | None, now: float) -> None:
+    def record_reported_load(self, value: bytes | None, now: float) -> None:
         """Server-Load: running, waiting and slots. What can't be read is as if it weren't there."""
         if not value:
             return
@@ -65,7 +70,8 @@
             self.sent_since = 0
 
     def load_now(self, now: float, proxies: int) -> float:
-        if now - self.load_at < LOAD_OLD_S:
+        """L_i: the reported load and what was sent since; without a report, the own requests times the proxies."""
+        if now - self.load_at < MAX_LOAD_AGE_S:
             return max(self.in_flight, self.load + self.sent_since)
         return self.in_flight * proxies
 
@@ -76,43 +82,45 @@
     def __init__(self, random: Random) -> None:
         self.random = random
         self.proxies = 1
-        self._usual: dict[str, float] = {}  # route -> seconds
+        self._typical_s: dict[str, float] = {}  # route -> seconds
 
-    def answered(self, estimate: Estimate, route: str, seconds: float, now: float) -> None:
+    def record_response(self, estimate: Estimate, route: str, seconds: float, now: float) -> None:
         """A response time."""
-        usual = self._usual.get(route)
-        self._usual[route] = seconds if usual is None else usual + USUAL_ALPHA * (seconds - usual)
-        self._add_sample(estimate, seconds / max(usual or seconds, 1e-6), ALPHA, now)
+        typical_s = self._typical_s.get(route)
+        self._typical_s[route] = (
+            seconds if typical_s is None else typical_s + TYPICAL_TIME_ALPHA * (seconds - typical_s)
+        )
+        self._add_sample(estimate, seconds / max(typical_s or seconds, 1e-6), ALPHA, now)
 
-    def failed(self, estimate: Estimate, route: str, timeout_s: float, now: float) -> None:
+    def record_failure(self, estimate: Estimate, route: str, timeout_s: float, now: float) -> None:
         """A time-out, a failed connection or a reset: as if it had lasted the time-out."""
-        usual = self._usual.get(route, timeout_s / MOST)
-        self._add_sample(estimate, timeout_s / max(usual, 1e-6), FAIL_ALPHA, now)
+        typical_s = self._typical_s.get(route, timeout_s / MAX_SAMPLE)
+        self._add_sample(estimate, timeout_s / max(typical_s, 1e-6), FAIL_ALPHA, now)
 
-    def refused(self, estimate: Estimate, now: float) -> None:
+    def record_rejection(self, estimate: Estimate, now: float) -> None:
         """Turned away before it ran."""
-        self._add_sample(estimate, REFUSED, FAIL_ALPHA, now)
-        estimate.fades_s = REFUSED_S
+        self._add_sample(estimate, REJECTION_SAMPLE, FAIL_ALPHA, now)
+        estimate.half_life_s = REJECTION_HALF_LIFE_S
 
     def _add_sample(self, estimate: Estimate, sample: float, alpha: float, now: float) -> None:
-        sample = min(MOST, max(LEAST, sample))
-        old = estimate.slowness if estimate.heard else 1.0 if alpha == FAIL_ALPHA else sample
+        sample = min(MAX_SAMPLE, max(MIN_SAMPLE, sample))
+        old = estimate.slowness if estimate.is_known else 1.0 if alpha == FAIL_ALPHA else sample
         estimate.slowness = old + alpha * (sample - old)
         estimate.updated_at = now
-        estimate.fades_s = FORGET_S
+        estimate.half_life_s = HALF_LIFE_S
 
     def expected(self, estimates: Sequence[Estimate], now: float, proxies: int = 0) -> list[float]:
-        """w_i of each; one not yet heard from takes the mean x of the others, and its own load. `proxies`: that send
+        """w_i of each; one not yet is_known from takes the mean x of the others, and its own load. `proxies`: that send
         there, if not all."""
-        heard = [e.slowness for e in estimates if e.heard]
-        mean = sum(heard) / len(heard) if heard else 1.0
+        is_known = [e.slowness for e in estimates if e.is_known]
+        mean = sum(is_known) / len(is_known) if is_known else 1.0
         proxies = proxies or self.proxies
         return [(e.load_now(now, proxies) + 1) * self._slowness_now(e, mean, now) for e in estimates]
 
     def _slowness_now(self, estimate: Estimate, mean: float, now: float) -> float:
-        if not estimate.heard:
+        if not estimate.is_known:
             return mean
-        return mean + (estimate.slowness - mean) * exp2((estimate.updated_at - now) / estimate.fades_s)
+        return mean + (estimate.slowness - mean) * exp2((estimate.updated_at - now) / estimate.half_life_s)
 
     def pick(
         self, estimates: Sequence[Estimate], now: float, without_idle: Sequence[bool] = (), proxies: int = 0
@@ -121,7 +129,7 @@
         odds = [1 / w for w in self.expected(estimates, now, proxies)]
         if any(without_idle) and not all(without_idle):
             new = sum(without_idle)
-            dear = max(NEW_CONNECTION, new / (NEW_SHARE * (len(odds) - new)))
+            dear = max(NEW_CONNECTION_FACTOR, new / (NEW_CONNECTION_SHARE * (len(odds) - new)))
             odds = [share / dear if without else share for share, without in zip(odds, without_idle, strict=True)]
         return draw(self.random, odds)
 
--- a/otterreach/proxy/events.py
+++ b/otterreach/proxy/events.py
@@ -4,11 +4,13 @@
 
 from dataclasses import dataclass
 
-MOST_EVENT = 8 * 1024 * 1024
+MAX_EVENT_BYTES = 8 * 1024 * 1024
 
 
 @dataclass(slots=True)
 class Event:
+    """One event of a stream."""
+
     ident: int | None  # None: it has none, or one that is no number
     data: bytes
     version: int | None  # of the weights, where it changes with this event
@@ -42,9 +44,11 @@
 
     @property
     def partial(self) -> bool:
+        """Whether an event has begun and not ended."""
         return bool(self.rest.strip(b"\n"))
 
     def feed(self, data: bytes) -> list[Event]:
+        """The events that these bytes complete."""
         rest = self.rest + data
         if b"\r" in rest:
             held = b"\r" if rest.endswith(b"\r") else b""  # its line feed may come with the next bytes
@@ -79,6 +83,7 @@
 
     @property
     def text(self) -> bytes:
+        """What has been generated so far."""
         return b"\n".join(self._data)
 
     def take(self, event: Event) -> bool:
--- a/otterreach/proxy/exchange.py
+++ b/otterreach/proxy/exchange.py
@@ -14,10 +14,10 @@
 from otterreach.proxy.pools import IDLE_MARGIN_S, Connection, Pool
 from otterreach.sidecar import http1
 
-FORGOTTEN_S = 0.05  # a kept connection that ends so soon after a request, unanswered, had been forgotten
+FORGOTTEN_CONNECTION_S = 0.05  # a kept connection that ends so soon after a request, unanswered, had been forgotten
 Headers = dict[bytes, bytes]
 # Headers that concern one connection, and those that are written anew for each attempt or answer.
-HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -30,22 +30,24 @@
         b"expect",
     )
 )
-OWN = frozenset((b"deadline-ms", b"expect-server"))
-SINGLE = frozenset((b"content-length", b"transfer-encoding", b"request-id", b"reply-seal"))
-BOUNDS = http1.Bounds(body=64 * 1024 * 1024, head=64 * 1024, single=SINGLE, joins=True)
+PROXY_HEADERS = frozenset((b"deadline-ms", b"expect-server"))
+SINGLE_VALUE_HEADERS = frozenset((b"content-length", b"transfer-encoding", b"request-id", b"reply-seal"))
+BOUNDS = http1.Bounds(body=64 * 1024 * 1024, head=64 * 1024, single=SINGLE_VALUE_HEADERS, joins=True)
 
 
-class Fate(Enum):
+class Execution(Enum):
+    """Whether the server has executed the request."""
+
     ANSWERED = auto()  # the server's whole answer
-    NOT_RUN = auto()  # the server has not run the request, and will not
-    MAY_HAVE_RUN = auto()
+    NOT_EXECUTED = auto()  # the server has not run the request, and will not
+    MAY_HAVE_EXECUTED = auto()
 
 
 @dataclass(slots=True)
 class Outcome:
     """What came of an attempt. `status` and `headers` also stand where the answer broke off after its head."""
 
-    fate: Fate
+    execution: Execution
     reason: str = ""
     status: int = 0
     headers: Headers = field(default_factory=dict)
@@ -56,7 +58,8 @@
 
     @property
     def success(self) -> bool:
-        return self.fate is Fate.ANSWERED and 200 <= self.status < 300
+        """Whether it is a complete answer with a 2xx status."""
+        return self.execution is Execution.ANSWERED and 200 <= self.status < 300
 
 
 @dataclass(slots=True)
@@ -70,6 +73,7 @@
     request_id: bytes
 
     def encode(self, server: str, left_s: float, extra: Headers) -> bytes:
+        """The bytes of an attempt. `left_s`: the deadline that the server is told; `extra`: headers of this attempt."""
         lines = [self.method + b" " + self.target + b" HTTP/1.1"]
         lines += [name + b": " + value for name, value in self.headers.items() if name not in extra]
         lines += [name + b": " + value for name, value in extra.items()]
@@ -80,7 +84,7 @@
         return b"\r\n".join(lines) + b"\r\n\r\n" + self.body
 
 
-def passed_on(headers: Headers, without: frozenset[bytes] = HOP | OWN) -> Headers:
+def end_to_end_headers(headers: Headers, without: frozenset[bytes] = HOP_BY_HOP_HEADERS | PROXY_HEADERS) -> Headers:
     """A client's headers for a server: all but those of one connection, and those that Connection names."""
     named = {name.strip().lower() for name in headers.get(b"connection", b"").split(b",")}
     return {name: value for name, value in headers.items() if name not in without and name not in named}
@@ -100,7 +104,7 @@
         on_head: Callable[[int, Headers], None] | None = None,
         on_body: Callable[[bytes], None] | None = None,
         fresh_only: bool = False,
-        told_s: float | None = None,
+        announced_time_s: float | None = None,
     ) -> None:
         self.pool = pool
         self.server = server
@@ -113,19 +117,22 @@
         self.started = self.loop.time()
         self.heard_at = self.started  # when a byte last came
         self.sent_at = 0.0
-        self._told_end = deadline if told_s is None else self.started + told_s  # the deadline the server is told
+        self._announced_deadline = (
+            deadline if announced_time_s is None else self.started + announced_time_s
+        )  # the deadline the server is told
         self._on_head = on_head
         self._on_body = on_body
-        self._pieces: list[bytes] = []
+        self._body_chunks: list[bytes] = []
         self._status = 0
         self._headers: Headers = {}
-        self._foreign = False
+        self._is_foreign = False
         self._connection: Connection | None = None
         self._parser: http1.ResponseParser | None = None
         self._done: asyncio.Future[Outcome] = self.loop.create_future()
 
     @property
-    def over(self) -> bool:
+    def is_done(self) -> bool:
+        """Whether there is an outcome."""
         return self._done.done()
 
     async def run(self) -> Outcome:
@@ -139,12 +146,12 @@
     async def _run(self) -> Outcome:
         connection = await self.pool.take(self.deadline - self.loop.time(), self.fresh_only)
         if connection is None:
-            return Outcome(Fate.NOT_RUN, "no_connection", timed_out=self.loop.time() >= self.deadline)
+            return Outcome(Execution.NOT_EXECUTED, "no_connection", timed_out=self.loop.time() >= self.deadline)
         # Danger: in a loop that is behind, or after standing still, all may have changed while connecting.
-        left = self._told_end - self.loop.time()
+        left = self._announced_deadline - self.loop.time()
         if self.loop.time() >= self.deadline or left <= 0 or not self.wanted():
             connection.release()
-            return Outcome(Fate.NOT_RUN, "unwanted")
+            return Outcome(Execution.NOT_EXECUTED, "unwanted")
         self._connection = connection
         self._parser = http1.ResponseParser(self._body, self._head, BOUNDS, must_frame=True)
         self.sent_at = self.loop.time()
@@ -162,8 +169,8 @@
         unwritten = self._connection is not None and self._connection.unwritten
         if not self._connection:
             return
-        fate = Fate.NOT_RUN if unwritten else Fate.MAY_HAVE_RUN
-        self._end(Outcome(fate, reason, self._status, self._headers, sent=not unwritten, timed_out=timed_out))
+        execution = Execution.NOT_EXECUTED if unwritten else Execution.MAY_HAVE_EXECUTED
+        self._end(Outcome(execution, reason, self._status, self._headers, sent=not unwritten, timed_out=timed_out))
 
     def _drop(self) -> None:
         """Let go of connection and parser; a connection still in use closes with what was on it."""
@@ -186,13 +193,14 @@
             self._done.set_result(outcome)
 
     def received(self, data: bytes) -> None:
+        """Bytes have come from the server."""
         self.heard_at = self.loop.time()
         if self._parser is None or self._done.done():
             return
         response = self._parser.feed(data)
         if self._done.done():  # a listener has given up meanwhile
             return
-        if self._foreign:
+        if self._is_foreign:
             self._fail("foreign_answer")
         elif self._status and self.outbound.method == b"HEAD":  # its length is that of a body that never comes
             self._answered(http1.Response(self._status, self._headers, b"", False))
@@ -202,63 +210,64 @@
             self._fail("broken_answer")
 
     def lost(self, unwritten: bool) -> None:
+        """The connection is gone."""
         connection = self._connection
         self._connection = None
         if not self._done.done():
-            fate = Fate.NOT_RUN if unwritten else Fate.MAY_HAVE_RUN
+            execution = Execution.NOT_EXECUTED if unwritten else Execution.MAY_HAVE_EXECUTED
             kept = connection is not None and connection.used > 1 and not self._status
-            reason = "forgotten" if kept and self.loop.time() - self.sent_at < FORGOTTEN_S else "closed"
-            self._end(Outcome(fate, reason, self._status, self._headers, sent=not unwritten))
+            reason = "forgotten" if kept and self.loop.time() - self.sent_at < FORGOTTEN_CONNECTION_S else "closed"
+            self._end(Outcome(execution, reason, self._status, self._headers, sent=not unwritten))
 
     def _fail(self, reason: str) -> None:
         assert self._connection
         unwritten = self._connection.unwritten
-        fate = Fate.NOT_RUN if unwritten else Fate.MAY_HAVE_RUN
-        self._end(Outcome(fate, reason, self._status, self._headers, sent=True))
+        execution = Execution.NOT_EXECUTED if unwritten else Execution.MAY_HAVE_EXECUTED
+        self._end(Outcome(execution, reason, self._status, self._headers, sent=True))
 
     def _head(self, status: int, headers: Headers) -> None:
         """Danger: an extra answer to an earlier request may come in this one's place; the id tells."""
         ident = headers.get(b"request-id")
         first = self._connection is not None and self._connection.used == 1
         if ident != self.outbound.request_id and (ident is not None or not first):
-            self._foreign = True
+            self._is_foreign = True
             return
         self._status = status
         self._headers = headers
         if self._connection and (seconds := keep_alive_s(headers)) is not None:
-            self._connection.idle_most = max(seconds - IDLE_MARGIN_S, seconds / 2)
+            self._connection.max_idle_s = max(seconds - IDLE_MARGIN_S, seconds / 2)
         if self._on_head and b"not-run" not in headers and status != HTTPStatus.MISDIRECTED_REQUEST:
             self._on_head(status, headers)
 
     def _body(self, data: bytes) -> None:
-        if self._foreign or self._done.done():
+        if self._is_foreign or self._done.done():
             return
         if self._on_body and 200 <= self._status < 300:
             self._on_body(data)
         else:
-            self._pieces.append(data)
+            self._body_chunks.append(data)
 
     def _answered(self, response: http1.Response) -> None:
         connection = self._connection
         assert connection
-        body = b"".join(self._pieces)
+        body = b"".join(self._body_chunks)
         status = response.status
         headers = response.headers
         not_run = b"not-run" in headers or status == HTTPStatus.MISDIRECTED_REQUEST
         if connection.unwritten and not not_run and b"request-id" not in headers:
             # Danger: a server may answer before it has read a long body, and its answer bears the request's id. One
             # without any is of the connection: it has not got the request.
-            self._end(Outcome(Fate.NOT_RUN, "early_answer", sent=True))
+            self._end(Outcome(Execution.NOT_EXECUTED, "early_answer", sent=True))
             return
         # Danger: a second copy of a failure would pass for the answer to the next attempt, which has the same id.
         reusable = response.keep_alive and not connection.unwritten and (not_run or status < 500)
         if not_run:
             reason = "wrong_server" if status == HTTPStatus.MISDIRECTED_REQUEST else "turned_away"
-            self._end(Outcome(Fate.NOT_RUN, reason, status, headers, body, sent=True), reusable)
+            self._end(Outcome(Execution.NOT_EXECUTED, reason, status, headers, body, sent=True), reusable)
         elif 200 <= status < 300 and (b"reply-seal" not in headers or b"content-encoding" in headers):
-            self._end(Outcome(Fate.MAY_HAVE_RUN, "no_seal", status, headers, sent=True))
+            self._end(Outcome(Execution.MAY_HAVE_EXECUTED, "no_seal", status, headers, sent=True))
         else:
-            self._end(Outcome(Fate.ANSWERED, "", status, headers, body, sent=True), reusable)
+            self._end(Outcome(Execution.ANSWERED, "", status, headers, body, sent=True), reusable)
 
 
 def keep_alive_s(headers: Headers) -> float | None:
--- a/otterreach/proxy/fleet.py
+++ b/otterreach/proxy/fleet.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from otterreach.proxy.draw import Draw, Estimate
-from otterreach.proxy.exchange import Exchange, Fate, Headers, Outbound, Outcome
+from otterreach.proxy.exchange import Exchange, Execution, Headers, Outbound, Outcome
 from otterreach.proxy.pools import Opener, Pool
 from otterreach.runtime import configuration as configuration_module
 from otterreach.runtime.configuration import Configuration, ConfigurationRecord, Route
@@ -20,11 +20,11 @@
 from otterreach.runtime.store import Item, ReplicatedStore, Watcher
 from otterreach.sidecar.transport import open_tcp
 
-CONNECTION_SHARE = 0.9  # of maxConns: all proxies together stay below it
-FEWEST_CONNECTIONS = 2
-PLAIN_CONNECTIONS = 64  # for each proxy, where the configuration bounds nothing
-SWEEP_S = 0.5
-NOT_ITS_FAULT = ("unwanted", "wrong_server", "forgotten")  # of a server: says nothing of its speed
+CONNECTION_LIMIT_SHARE = 0.9  # of maxConns: all proxies together stay below it
+MIN_CONNECTIONS = 2
+DEFAULT_CONNECTIONS = 64  # for each proxy, where the configuration bounds nothing
+SWEEP_INTERVAL_S = 0.5
+NOT_SERVER_FAULTS = ("unwanted", "wrong_server", "forgotten")  # of a server: says nothing of its speed
 
 
 class Server:
@@ -85,8 +85,8 @@
         self.config = Configuration()
         self.servers: dict[str, Server] = {}
         self.runners = 1  # proxies that run items
-        self.changed: list[Callable[[], None]] = []  # told after each change
-        self._told = False
+        self.on_change: list[Callable[[], None]] = []  # told after each change
+        self._notification_scheduled = False
         self._watch(ConfigurationRecord, self._configuration_changed)
         self._watch(ServerRecord, self._server_changed)
         self._watch(MemberRecord, self._member_changed)
@@ -101,7 +101,7 @@
         self.config = configuration_module.read(self.store.record(ConfigurationRecord))
         log("config", version=self.config.version, routes=len(self.config.routes))
         self._share_connections()
-        self._tell()
+        self._notify_soon()
 
     def _server_changed(self, item: Item) -> None:
         ident = item.name
@@ -111,7 +111,7 @@
             if server:
                 server.pool.close()
                 del self.servers[ident]
-            self._tell()
+            self._notify_soon()
             return
         address = _address(record.address)
         if server is None or server.pool.address != address:
@@ -123,7 +123,7 @@
         if server.state != ServerState.UP:
             server.pool.close()
         self._share(server)
-        self._tell()
+        self._notify_soon()
 
     def _member_changed(self, item: Item) -> None:
         members = self.store.records(MemberRecord).values()
@@ -131,7 +131,7 @@
         if proxies != self.draw.proxies:
             self.draw.proxies = max(1, proxies)
             self._share_connections()
-        self._tell()
+        self._notify_soon()
 
     def _share_connections(self) -> None:
         for server in self.servers.values():
@@ -140,35 +140,36 @@
     def _share(self, server: Server) -> None:
         service = self.config.services.get(server.service)
         most = service.max_connections if service else 0
-        share = int(most * CONNECTION_SHARE / self.sharers(server.service)) if most else PLAIN_CONNECTIONS
-        server.pool.most = max(FEWEST_CONNECTIONS, share)
+        share = int(most * CONNECTION_LIMIT_SHARE / self.senders_to(server.service)) if most else DEFAULT_CONNECTIONS
+        server.pool.most = max(MIN_CONNECTIONS, share)
 
-    def _tell(self) -> None:
+    def _notify_soon(self) -> None:
         """Danger: many items come in one piece; who listens is told once, after them."""
-        if not self._told:
-            self._told = True
-            self.loop.call_soon(self._tell_now)
+        if not self._notification_scheduled:
+            self._notification_scheduled = True
+            self.loop.call_soon(self._notify)
 
-    def _tell_now(self) -> None:
-        self._told = False
-        for listener in self.changed:
+    def _notify(self) -> None:
+        self._notification_scheduled = False
+        for listener in self.on_change:
             listener()
 
     @property
     def proxies(self) -> int:
+        """How many proxies there are, this one included."""
         return self.draw.proxies
 
-    def share_among(self, runners: int) -> None:
+    def set_runner_count(self, runners: int) -> None:
         """So many proxies run items."""
         if runners != self.runners:
             self.runners = runners
             self._share_connections()
 
-    def sharers(self, service: str) -> int:
+    def senders_to(self, service: str) -> int:
         """How many proxies send to a service."""
         return self.runners if service in self.config.item_services else self.proxies
 
-    def cap_of(self, services: Collection[str]) -> int:
+    def slots_of(self, services: Collection[str]) -> int:
         """The slots of all servers of these services that take requests."""
         return sum(s.cap for s in self.servers.values() if s.service in services and s.open)
 
@@ -197,8 +198,8 @@
             return None
         estimates = [server.estimate for server in servers]
         without_idle = [not server.pool.idle for server in servers]
-        sharers = self.sharers(servers[0].service)
-        return servers[self.draw.pick(estimates, self.loop.time(), without_idle, sharers)]
+        senders_to = self.senders_to(servers[0].service)
+        return servers[self.draw.pick(estimates, self.loop.time(), without_idle, senders_to)]
 
     def may_write(self, server: Server, host: str, path: str) -> bool:
         """By the newest that is known: the request's route is there, and allows this server, which takes requests."""
@@ -217,29 +218,32 @@
         on_head: Callable[[int, Headers], None] | None = None,
         on_body: Callable[[bytes], None] | None = None,
         fresh_only: bool = False,
-        told_s: float | None = None,
+        announced_time_s: float | None = None,
     ) -> Exchange:
-        return Exchange(server.pool, server.id, outbound, deadline, wanted, extra, on_head, on_body, fresh_only, told_s)
+        """An attempt at a server, not yet started: see Exchange."""
+        return Exchange(
+            server.pool, server.id, outbound, deadline, wanted, extra, on_head, on_body, fresh_only, announced_time_s
+        )
 
     async def attempt(self, server: Server, exchange: Exchange) -> Outcome:
         """Run an exchange, and keep the books on its server but for the response time."""
-        server.estimate.sent()
+        server.estimate.record_sent()
         try:
             outcome = await exchange.run()
         finally:
-            server.estimate.ended()
-        server.estimate.tell_load(outcome.headers.get(b"server-load"), self.loop.time())
-        if outcome.fate is Fate.NOT_RUN and outcome.reason == "wrong_server":
+            server.estimate.record_ended()
+        server.estimate.record_reported_load(outcome.headers.get(b"server-load"), self.loop.time())
+        if outcome.execution is Execution.NOT_EXECUTED and outcome.reason == "wrong_server":
             self._misdirected(server, outcome)
         return outcome
 
-    def blame(self, server: Server, route: str, outcome: Outcome, timeout_s: float) -> None:
+    def record_failed_attempt(self, server: Server, route: str, outcome: Outcome, timeout_s: float) -> None:
         """A failed attempt enters the estimate of its server, if it is the server's."""
         now = self.loop.time()
         if outcome.reason == "turned_away":
-            self.draw.refused(server.estimate, now)
-        elif outcome.reason not in NOT_ITS_FAULT:
-            self.draw.failed(server.estimate, route, timeout_s, now)
+            self.draw.record_rejection(server.estimate, now)
+        elif outcome.reason not in NOT_SERVER_FAULTS:
+            self.draw.record_failure(server.estimate, route, timeout_s, now)
 
     def _misdirected(self, server: Server, outcome: Outcome) -> None:
         other = outcome.headers.get(b"server-id", b"").decode("latin-1")
@@ -249,7 +253,8 @@
             log("wrong_server", server=server.id, found=other)
 
     async def sweep(self) -> None:
+        """Close idle connections in time; for ever."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             for server in self.servers.values():
                 server.pool.sweep()
--- a/otterreach/proxy/ingress.py
+++ b/otterreach/proxy/ingress.py
@@ -13,12 +13,14 @@
 from otterreach.sidecar.transport import AcceptedConnection
 
 BACKLOG = 1024
-MOST_PIPELINED = 8  # requests read ahead on one connection
-SWEEP_S = 0.25
+MAX_PIPELINED = 8  # requests read ahead on one connection
+SWEEP_INTERVAL_S = 0.25
 LINGER_S = 1.0  # after an error: for its client to read why
-UNREAD_S = 10.0  # an answer that its client does not read
-MOST_UNREAD = 8 * 1024 * 1024  # of a stream
-SINGLE = frozenset((b"content-length", b"transfer-encoding", b"host", b"request-id", b"deadline-ms", b"last-event-id"))
+UNREAD_TIMEOUT_S = 10.0  # an answer that its client does not read
+MAX_UNREAD_BYTES = 8 * 1024 * 1024  # of a stream
+SINGLE_VALUE_HEADERS = frozenset(
+    (b"content-length", b"transfer-encoding", b"host", b"request-id", b"deadline-ms", b"last-event-id")
+)
 CONNECTION_HEADERS = frozenset(
     (
         b"connection",
@@ -42,7 +44,11 @@
         self._ingress = ingress
         caps = ingress.caps()
         bounds = http1.Bounds(
-            caps.body_bytes, caps.header_bytes, SINGLE, True, int(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
+            caps.body_bytes,
+            caps.header_bytes,
+            SINGLE_VALUE_HEADERS,
+            True,
+            int(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE),
         )
         self._parser = http1.RequestParser(bounds=bounds)
         self._queue: deque[tuple[http1.Request, float, float]] = deque()  # with when it began to come, and when whole
@@ -59,25 +65,28 @@
         self.came_at = 0.0  # when it was whole
 
     @property
-    def gone(self) -> bool:
+    def is_closed(self) -> bool:
+        """Whether nothing can be sent to the client any more."""
         return self._closing or self._transport is None or self._transport.is_closing()
 
-    def left(self) -> bool:
+    def has_left(self) -> bool:
         """The client has gone. Danger: after a stand-still of this process its end waits in the kernel, behind its
         request, and what it asked would still be sent on."""
-        return self.gone or self.ended
+        return self.is_closed or self.ended
 
     @property
-    def owed(self) -> bool:
+    def has_pending_answer(self) -> bool:
         """A request is being answered, or an answer is on its way out."""
         unsent = self._transport is not None and self._transport.get_write_buffer_size() > 0
         return self._task is not None or bool(self._queue) or unsent
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is open."""
         super().connection_made(transport)
         self._ingress.clients.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is gone: nothing on it is worked on any more."""
         self._closing = True
         self._ingress.clients.discard(self)
         self._parser.close()
@@ -86,6 +95,7 @@
             self._task.cancel()
 
     def data_received(self, data: bytes) -> None:
+        """Bytes have come."""
         if self._closing or self._parser.error:
             return
         now = self._loop.time()
@@ -95,7 +105,7 @@
         for request in self._parser.feed(data):
             self._queue.append((request, self._begun_at, now))
             self._begun_at = now
-        if len(self._queue) > MOST_PIPELINED and self._transport:
+        if len(self._queue) > MAX_PIPELINED and self._transport:
             self._paused = True
             self._transport.pause_reading()
         if not self._task:
@@ -113,7 +123,7 @@
                 self._announce()
             return
         self._request, self.begun_at, self.came_at = self._queue.popleft()
-        if self._paused and len(self._queue) <= MOST_PIPELINED:
+        if self._paused and len(self._queue) <= MAX_PIPELINED:
             self._paused = False
             self._transport.resume_reading()
         self._task = self._loop.create_task(self._work(self._request))
@@ -129,13 +139,13 @@
             await self._ingress.handler(request, self)
         except Exception as error:  # a fault in one request ends that request, not the process
             log("request_failed", level="ERROR", target=request.target.decode("latin-1"), error=repr(error))
-            if not self.gone and self._request is request:
+            if not self.is_closed and self._request is request:
                 # Danger: nobody knows here whether it ran, so this is no status that promises.
-                self.cut() if self._open else self.respond(int(HTTPStatus.BAD_GATEWAY))
+                self.abort() if self._open else self.respond(int(HTTPStatus.BAD_GATEWAY))
         finally:
             self._task = None
-        if self._request is request and not self.gone:
-            self.cut()  # the handler gave no answer
+        if self._request is request and not self.is_closed:
+            self.abort()  # the handler gave no answer
             return
         self._next()
 
@@ -143,14 +153,14 @@
         """The answer is out."""
         keep = self._request is not None and self._request.keep_alive
         self._request = None
-        if self._transport and (not keep or self._ingress.leaving and not self._queue):
+        if self._transport and (not keep or self._ingress.shutting_down and not self._queue):
             self._closing = True
             self._transport.close()
 
     def _ending(self) -> bytes:
         """What the head says of the connection."""
         keep = self._request is not None and self._request.keep_alive
-        if not keep or self._ingress.leaving and not self._queue:
+        if not keep or self._ingress.shutting_down and not self._queue:
             return b"Connection: close\r\n"
         return self._ingress.keep_alive
 
@@ -162,7 +172,7 @@
 
     def respond(self, status: int, headers: dict[bytes, bytes] | None = None, body: bytes = b"") -> None:
         """The whole answer."""
-        if self.gone or not self._transport or self._request is None:
+        if self.is_closed or not self._transport or self._request is None:
             return
         bodiless = status in http1.BODILESS
         length = b"" if bodiless else b"Content-Length: %d\r\n" % len(body)
@@ -171,31 +181,32 @@
         self._transport.write(self._head(status, headers or {}) + length + b"\r\n" + (b"" if bodiless else body))
         self._finish()
 
-    def refuse(self, retry_after_s: float) -> None:
+    def respond_unavailable(self, retry_after_s: float) -> None:
         """Not now: the request has not run and never will."""
         self.respond(int(HTTPStatus.SERVICE_UNAVAILABLE), {b"Retry-After": b"%.3f" % retry_after_s})
 
     def begin(self, status: int, headers: dict[bytes, bytes]) -> None:
         """The head of an answer whose body follows in pieces."""
-        if not self.gone and self._transport:
+        if not self.is_closed and self._transport:
             self._open = True
             self._transport.write(self._head(status, headers) + b"Transfer-Encoding: chunked\r\n\r\n")
 
     def write(self, data: bytes) -> None:
-        if self.gone or not self._transport or not data:
+        """Some bytes of the body."""
+        if self.is_closed or not self._transport or not data:
             return
         self._transport.write(b"%x\r\n%s\r\n" % (len(data), data))
-        if self._transport.get_write_buffer_size() > MOST_UNREAD:
-            self.cut()
+        if self._transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
+            self.abort()
 
     def end(self) -> None:
         """The body is whole."""
-        if not self.gone and self._transport:
+        if not self.is_closed and self._transport:
             self._open = False
             self._transport.write(b"0\r\n\r\n")
             self._finish()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End the connection in the middle: what was begun must not look complete."""
         self._closing = True
         self._request = None
@@ -210,7 +221,7 @@
             self._transport.write(http1.encode_response(status, close=True))
             if self._transport.can_write_eof():
                 self._transport.write_eof()
-            self._loop.call_later(LINGER_S, self.cut)
+            self._loop.call_later(LINGER_S, self.abort)
         self._closing = True
 
     def sweep(self, now: float, caps: Caps) -> None:
@@ -218,12 +229,12 @@
         if self._transport is None or self._closing:
             return
         if self._paused and self.ended:  # Danger: while reading pauses the loop is not told of the client's end
-            self.cut()
+            self.abort()
             return
         if not self._transport.get_write_buffer_size():
             self._unread_since = now
-        elif now - self._unread_since > UNREAD_S:
-            self.cut()
+        elif now - self._unread_since > UNREAD_TIMEOUT_S:
+            self.abort()
             return
         if self._task or self._queue:
             return
@@ -242,13 +253,13 @@
 
     def close_if_idle(self) -> None:
         """Danger: a request may wait in the kernel, and would be lost with its connection."""
-        if not self.owed and not self._parser.partial and self._transport and not self.unread:
+        if not self.has_pending_answer and not self._parser.partial and self._transport and not self.unread:
             self._closing = True
             self._transport.close()
 
-    def leave(self, late: bool) -> None:
+    def shut_down(self, late: bool) -> None:
         """The process ends: what rests is closed; late, what has not come whole by now as well."""
-        if self._parser.partial and late and not self.owed and not self._closing:
+        if self._parser.partial and late and not self.has_pending_answer and not self._closing:
             self._reject(int(HTTPStatus.SERVICE_UNAVAILABLE))
         else:
             self.close_if_idle()
@@ -261,7 +272,7 @@
         self.handler = handler
         self.caps = caps
         self.clients: set[Client] = set()
-        self.leaving = False
+        self.shutting_down = False
         self._server: asyncio.Server | None = None
 
     @property
@@ -271,29 +282,31 @@
         return b"Keep-Alive: timeout=%d\r\n" % seconds if seconds >= 1 else b""
 
     async def listen(self, host: str, port: int) -> int:
+        """Accept connections; returns the port. Raises OSError."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: Client(self), host, port, backlog=BACKLOG, reuse_address=True)
         return int(self._server.sockets[0].getsockname()[1])
 
     async def sweep(self) -> None:
+        """Enforce the time limits of connections; for ever."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             caps = self.caps()
             now = loop.time()
             for client in list(self.clients):
                 client.sweep(now, caps)
 
-    async def leave(self, accept_s: float, within_s: float) -> None:
+    async def shut_down(self, accept_s: float, within_s: float) -> None:
         """Go on accepting for a while, answer what was taken, end within the time; in seconds from now."""
         loop = asyncio.get_running_loop()
         start = loop.time()
-        self.leaving = True
+        self.shutting_down = True
         await asyncio.sleep(accept_s)
         if self._server:
             self._server.close()
         late_at = loop.time() + 1.0
         while self.clients and loop.time() - start < within_s:
             for client in list(self.clients):
-                client.leave(late=loop.time() > late_at)
+                client.shut_down(late=loop.time() > late_at)
             await asyncio.sleep(0.02)
--- a/otterreach/proxy/item_placement.py
+++ b/otterreach/proxy/item_placement.py
@@ -7,11 +7,11 @@
 
 from otterreach.proxy.directory import JobStoreDirectory
 from otterreach.proxy.fleet import Fleet, Server
-from otterreach.proxy.item_run import GivenUp, ItemRun, Placement, Reason
+from otterreach.proxy.item_run import Abandoned, ItemRun, Placement, Reason
 from otterreach.runtime.configuration import ROLLOUT, Route
 
 OVERCOMMIT = 1.1  # items at once over this proxy's share of the slots: servers have a queue
-FEWEST_PER_SERVER = 2
+MIN_PER_SERVER = 2
 ROUTE_GONE_S = 3.0  # a route must be missing for so long before its items are given up for it
 
 
@@ -22,12 +22,12 @@
         self.fleet = fleet
         self.directory = directory
 
-    def place(self, run: ItemRun) -> Placement | GivenUp | None:
+    def place(self, run: ItemRun) -> Placement | Abandoned | None:
         """Where it may go now; or that it is given up; or None: nowhere yet."""
         route = self._route(run)
         if reason := self._reason_to_give_up(run):
-            return GivenUp(reason)
-        if route is None or not self.directory.in_force(run.job):
+            return Abandoned(reason)
+        if route is None or not self.directory.is_confirmed_recently(run.job):
             return None
         if self._version_is_gone(run, route):
             run.restart()
@@ -62,7 +62,7 @@
         """Why it is given up, or nothing."""
         now = self.fleet.loop.time()
         missing_since = run.route_missing_since
-        if now > run.give_up_at:
+        if now > run.abandon_at:
             return Reason.WAITED
         if missing_since is not None and now - missing_since > ROUTE_GONE_S and self.fleet.config.version:
             return Reason.ROUTE_GONE
@@ -72,7 +72,7 @@
         """How many this proxy may have there at once. Danger: after a change of version one server may be the only
         one that fits, and all proxies would fill its queue."""
         share = ceil(server.cap * OVERCOMMIT / self.fleet.runners)
-        return min(server.cap, max(FEWEST_PER_SERVER, share))
+        return min(server.cap, max(MIN_PER_SERVER, share))
 
     def _version_is_gone(self, run: ItemRun, route: Route) -> bool:
         """What there is was generated under one version, and no server has that version any more."""
--- a/otterreach/proxy/item_queue.py
+++ b/otterreach/proxy/item_queue.py
@@ -10,13 +10,13 @@
 from otterreach.jobstore.placement import MIN_RUNNERS, RUNNER_SLOTS_SHARE
 from otterreach.proxy.fleet import Fleet
 from otterreach.proxy.item_placement import ItemPlacer
-from otterreach.proxy.item_run import GivenUp, ItemRun, Phase, Placement
+from otterreach.proxy.item_run import Abandoned, ItemRun, Phase, Placement
 
 ITEMS_PER_CORE = 40  # measured: an item's events take some 0.5 % of a core
-FEWEST_SLOTS = 2
+MIN_SLOTS = 2
 RETRY_PAUSE_S = 0.02  # between attempts of an item, doubled with each
-MOST_RETRY_PAUSE_S = 0.16
-MOST_DOUBLINGS = 6
+MAX_RETRY_PAUSE_S = 0.16
+MAX_DOUBLINGS = 6
 RECHECK_S = 0.05  # between two looks at the queue while nothing may go out
 WAITING = (Phase.QUEUED, Phase.RUNNING, Phase.PAUSED)
 
@@ -30,19 +30,19 @@
         self.fleet = fleet
         self.loop = fleet.loop
         self.placer = placer
-        self.slots = max(FEWEST_SLOTS, int(cores * ITEMS_PER_CORE))  # what its processor bears
+        self.slots = max(MIN_SLOTS, int(cores * ITEMS_PER_CORE))  # what its processor bears
         self.runs: dict[tuple[str, str], ItemRun] = {}
-        self.leaving = False  # nothing new is begun
+        self.shutting_down = False  # nothing new is begun
         self._start_task = start
         self._queue: list[tuple[float, int, ItemRun]] = []  # by when they are due
         self._scheduled = False
         self._recheck: asyncio.TimerHandle | None = None
         self._at_servers = 0
-        fleet.changed += [self._share_servers, self.schedule]
+        fleet.on_change += [self._share_servers, self.schedule]
 
     def load(self) -> tuple[int, int, list[str]]:
         """Slots, free ones, and the batch jobs of which something is here."""
-        slots = 0 if self.leaving else self.slots
+        slots = 0 if self.shutting_down else self.slots
         waiting = sum(1 for run in self.runs.values() if run.phase in WAITING)
         return slots, max(0, slots - waiting), sorted({run.job for run in self.runs.values()})
 
@@ -53,11 +53,11 @@
 
     def change_phase(self, run: ItemRun, phase: Phase) -> None:
         """The one place that changes a run's phase, and keeps the books."""
-        if run.phase is phase or run.phase is Phase.OVER:
+        if run.phase is phase or run.phase is Phase.DONE:
             return
         self._at_servers += (phase is Phase.RUNNING) - (run.phase is Phase.RUNNING)
         run.phase = phase
-        if phase is Phase.OVER:
+        if phase is Phase.DONE:
             self.runs.pop(run.key, None)
         elif phase is Phase.QUEUED:
             insort(self._queue, (run.due, run.order, run))
@@ -66,19 +66,19 @@
     def drop(self, run: ItemRun) -> None:
         """Break it off."""
         task = run.task
-        self.change_phase(run, Phase.OVER)
+        self.change_phase(run, Phase.DONE)
         if task:
             task.cancel()
 
-    async def wait_for_turn(self, run: ItemRun) -> None:
+    async def wait_for_server(self, run: ItemRun) -> None:
         """Pause a little, then wait for a server."""
-        run.next_turn = self.loop.create_future()
+        run.next_server = self.loop.create_future()
         run.retries += 1
-        longest = min(MOST_RETRY_PAUSE_S, RETRY_PAUSE_S * 2 ** min(run.retries, MOST_DOUBLINGS))
+        longest = min(MAX_RETRY_PAUSE_S, RETRY_PAUSE_S * 2 ** min(run.retries, MAX_DOUBLINGS))
         pause = longest * (0.5 + self.fleet.draw.random.random() / 2)
         self.change_phase(run, Phase.PAUSED)
         self.loop.call_later(pause, self.change_phase, run, Phase.QUEUED)
-        await run.next_turn
+        await run.next_server
 
     def schedule(self) -> None:
         """Look at the queue in the next turn of the loop."""
@@ -95,7 +95,7 @@
         stuck: set[tuple[str, int | None]] = set()  # of a batch job nothing more is tried once one finds no server
         for _, _, run in self._queue:
             need = (run.job, run.text_version)
-            if need in stuck or self.leaving and run.task is None:
+            if need in stuck or self.shutting_down and run.task is None:
                 continue
             placement = self.placer.place(run)
             if placement is not None:
@@ -109,17 +109,17 @@
         self._recheck = None
         self.schedule()
 
-    def _start(self, run: ItemRun, placement: Placement | GivenUp) -> None:
+    def _start(self, run: ItemRun, placement: Placement | Abandoned) -> None:
         """Danger: the task's first step counts it at its server, so it must come before the next look at the queue."""
         run.placement = placement
         if run.task is None:
             run.task = self._start_task(run)
-        elif run.next_turn and not run.next_turn.done():
-            run.next_turn.set_result(None)
+        elif run.next_server and not run.next_server.done():
+            run.next_server.set_result(None)
         self.change_phase(run, Phase.RUNNING)
 
     def _share_servers(self) -> None:
         """Few proxies run items, as many as job store nodes choose: each has that much more of the servers."""
-        wanted = self.fleet.cap_of(self.fleet.config.item_services) * RUNNER_SLOTS_SHARE
+        wanted = self.fleet.slots_of(self.fleet.config.item_services) * RUNNER_SLOTS_SHARE
         most = max(MIN_RUNNERS, ceil(wanted / self.slots))
-        self.fleet.share_among(max(1, min(self.fleet.proxies, most)))
+        self.fleet.set_runner_count(max(1, min(self.fleet.proxies, most)))
--- a/otterreach/proxy/item_reports.py
+++ b/otterreach/proxy/item_reports.py
@@ -13,9 +13,9 @@
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.log import log
 
-REPORT_S = 2.0
-REPORT_CALL_S = 0.8
-RESEND_S = 0.05
+REPORT_TIMEOUT_S = 2.0
+REPORT_CALL_TIMEOUT_S = 0.8
+REPORT_RETRY_S = 0.05
 FINAL = (Code.JOB_ENDED, Code.UNKNOWN_ITEM, Code.UNKNOWN_JOB, Code.BAD_MESSAGE)
 DONE = "done"
 ERRORED = "errored"
@@ -33,10 +33,10 @@
         """Tell the job store until it has taken it. `reason`: why the item has failed, or nothing."""
         finished = self._finished(run, reason, score)
         while True:
-            reply = await self.directory.ask(run.job, finished, REPORT_S, REPORT_CALL_S)
+            reply = await self.directory.ask(run.job, finished, REPORT_TIMEOUT_S, REPORT_CALL_TIMEOUT_S)
             if not isinstance(reply, Failure) or reply.code in FINAL:
                 break
-            await asyncio.sleep(RESEND_S)
+            await asyncio.sleep(REPORT_RETRY_S)
         if reason:
             log("item_errored", job=run.job, item=run.item, reason=reason)
 
@@ -51,7 +51,7 @@
         items = [f"{run.job} {run.item}" for run in runs if partition_of(run.job) == part]
         self._send(address, RunningItems(part, self.node, items))
 
-    def give_back(self, job: str, items: list[str]) -> None:
+    def return_items(self, job: str, items: list[str]) -> None:
         """Another proxy may run them."""
         address = self.directory.address_of(job)
         if address and items:
--- a/otterreach/proxy/item_run.py
+++ b/otterreach/proxy/item_run.py
@@ -10,12 +10,12 @@
 
 from otterreach.jobstore.messages import AssignItems, WorkItem
 from otterreach.proxy.events import EventReader, Transcript, versions_of
-from otterreach.proxy.exchange import HOP, OWN, Exchange, Headers, Outbound
+from otterreach.proxy.exchange import HOP_BY_HOP_HEADERS, PROXY_HEADERS, Exchange, Headers, Outbound
 from otterreach.proxy.fleet import Server
 from otterreach.runtime.configuration import Route
 
 MAX_WAIT_MARGIN_S = 0.5  # more than maxWaitS: clocks and messages take their time
-WRITTEN_ANEW = HOP | OWN | {b"host", b"request-id", b"last-event-id", b"expect-version"}
+WRITTEN_ANEW = HOP_BY_HOP_HEADERS | PROXY_HEADERS | {b"host", b"request-id", b"last-event-id", b"expect-version"}
 
 
 class Phase(Enum):
@@ -27,7 +27,7 @@
     PAUSED = auto()  # between a failed attempt and the queue
     REWARDING = auto()
     REPORTING = auto()
-    OVER = auto()
+    DONE = auto()
 
 
 class Reason:
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GivenUp:
+class Abandoned:
     """The item goes nowhere any more."""
 
     reason: str
@@ -74,13 +74,13 @@
         self.model = assign.model
         self.min_version = assign.min_version
         self.due = now + assign.left_ms / 1000
-        self.give_up_at = now + assign.wait_ms / 1000 + MAX_WAIT_MARGIN_S
+        self.abandon_at = now + assign.wait_ms / 1000 + MAX_WAIT_MARGIN_S
         self.work = work
         self.path = work.path.partition("?")[0]
         self.phase = Phase.NEW
         self.task: asyncio.Task[None] | None = None
-        self.placement: Placement | GivenUp | None = None
-        self.next_turn: asyncio.Future[None] | None = None  # of one that waits for its next server
+        self.placement: Placement | Abandoned | None = None
+        self.next_server: asyncio.Future[None] | None = None  # of one that waits for its next server
         self.failures = 0  # answers of 500
         self.reward_failures = 0
         self.retries = 0  # since something was last generated
--- a/otterreach/proxy/model_server.py
+++ b/otterreach/proxy/model_server.py
@@ -32,7 +32,8 @@
         may_write: Callable[[], bool] = ...,
         headers: Mapping[str, str] = ...,
         interchangeable: bool = ...,
-    ) -> Reply | Failure: ...
+    ) -> Reply | Failure:
+        """See JsonClient.call."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,6 +49,7 @@
     method: str = "wait"
 
     def encode(self) -> bytes:
+        """The body of `POST /order`."""
         return json.dumps({name: value for name, value in asdict(self).items() if value is not None}).encode()
 
 
@@ -59,7 +61,7 @@
     CONFLICT = auto()  # not taken: another one is under way, or it has taken others than was expected
     FENCED = auto()  # not taken: the server has seen a higher fence
     WRONG_SERVER = auto()  # not taken: the address belongs to another server
-    REFUSED = auto()  # not taken: no such order
+    REJECTION_SAMPLE = auto()  # not taken: no such order
     NOT_SENT = auto()  # never written whole
     UNCLEAR = auto()  # it may have been taken: the report tells
 
@@ -67,7 +69,7 @@
 BY_STATUS: dict[int, OrderResult] = {
     HTTPStatus.OK: OrderResult.HOLDS,
     HTTPStatus.ACCEPTED: OrderResult.TAKEN,
-    HTTPStatus.BAD_REQUEST: OrderResult.REFUSED,
+    HTTPStatus.BAD_REQUEST: OrderResult.REJECTION_SAMPLE,
     HTTPStatus.CONFLICT: OrderResult.CONFLICT,
     HTTPStatus.PRECONDITION_FAILED: OrderResult.FENCED,
     HTTPStatus.MISDIRECTED_REQUEST: OrderResult.WRONG_SERVER,
--- a/otterreach/proxy/node.py
+++ b/otterreach/proxy/node.py
@@ -26,12 +26,12 @@
 from otterreach.sidecar.transport import open_tcp
 
 READY_AGE_S = 1.2  # the first time: the copy of the control state is no older
-TAKEN_OUT_S = 2.6  # after so long without a 200 the platform sends no new connections
-END_MARGIN_S = 0.8  # before graceS is over
-HOLD_SHARE = 0.5  # of a request's time, before the first configuration is known
-HOLD_MOST_S = 1.5
+READINESS_DELAY_S = 2.6  # after so long without a 200 the platform sends no new connections
+SHUTDOWN_MARGIN_S = 0.8  # before graceS is over
+CONFIGURATION_WAIT_SHARE = 0.5  # of a request's time, before the first configuration is known
+MAX_CONFIGURATION_WAIT_S = 1.5
 UNKNOWN_LEFT_MS = 1000
-RUN_SHARE = 0.5  # of graceS: so long running items may go on
+RUNNING_ITEMS_GRACE_SHARE = 0.5  # of graceS: so long running items may go on
 
 
 class Proxy:
@@ -48,10 +48,10 @@
         self.orders = WeightOrders(node, JsonClient())
         self.ingress = Ingress(self.handle, lambda: self.fleet.config.caps)
         self.probes = JsonServer(self._probe)
-        self.leaving = False
+        self.shutting_down = False
         self._been_ready = False
         self._configured = asyncio.Event()
-        self.fleet.changed.append(self._on_change)
+        self.fleet.on_change.append(self._on_change)
 
     async def handle(self, request: http1.Request, client: Client) -> None:
         """A client's request, to the path that serves it."""
@@ -62,7 +62,7 @@
             if is_batch_job_call(request):
                 await self.batch_jobs.handle(request, client)
             else:
-                self.requests.no_route(client)
+                self.requests.answer_without_route(client)
         elif route.kind == ROLLOUT:
             await self.batch_jobs.submit(request, client, route)
         elif route.kind == STREAM:
@@ -73,7 +73,7 @@
     async def _first_configuration(self, request: http1.Request, client: Client) -> None:
         """Right after a start the configuration is a moment away: what can still be served waits for it."""
         left = whole_number(request.headers.get(b"deadline-ms")) or UNKNOWN_LEFT_MS
-        end = client.came_at + min(left / 1000 * HOLD_SHARE, HOLD_MOST_S)
+        end = client.came_at + min(left / 1000 * CONFIGURATION_WAIT_SHARE, MAX_CONFIGURATION_WAIT_S)
         with suppress(TimeoutError):
             async with asyncio.timeout_at(end):
                 await self._configured.wait()
@@ -88,12 +88,13 @@
         if not self._been_ready:
             known = bool(self.fleet.config.version) and bool(self.fleet.servers)
             self._been_ready = known and self.node.follower.age_s() < READY_AGE_S
-        return self._been_ready and not self.leaving
+        return self._been_ready and not self.shutting_down
 
     async def _probe(self, request: http1.Request) -> Reply:
         return Reply(HTTPStatus.OK if self.ready else HTTPStatus.SERVICE_UNAVAILABLE)
 
     async def start(self) -> None:
+        """Listen for clients and for readiness probes, and begin all background work. Raises OSError."""
         spawn = self.node.endpoint.spawn
         binds = self.settings.binds
         await self.ingress.listen(*binds["front"])
@@ -109,13 +110,13 @@
 
     async def stop(self) -> None:
         """Not ready from now on; what was taken is answered, new ones as long as they come, and the end in time."""
-        self.leaving = True
+        self.shutting_down = True
         grace = self.settings.bounds.grace_s
         log("shutting_down", node=self.settings.node)
         await asyncio.gather(
             self.orders.shut_down(),
-            self.runner.leave(grace * RUN_SHARE),
-            self.ingress.leave(min(TAKEN_OUT_S, grace / 2), grace - END_MARGIN_S),
+            self.runner.shut_down(grace * RUNNING_ITEMS_GRACE_SHARE),
+            self.ingress.shut_down(min(READINESS_DELAY_S, grace / 2), grace - SHUTDOWN_MARGIN_S),
         )
         self.probes.stop()
 
--- a/otterreach/proxy/pools.py
+++ b/otterreach/proxy/pools.py
@@ -15,11 +15,11 @@
 
 from otterreach.sidecar.transport import ServerConnection, open_tcp
 
-REST_S = 0.02  # between two requests on one connection: bytes that belong to no request follow within this
+MIN_IDLE_S = 0.02  # between two requests on one connection: bytes that belong to no request follow within this
 CONNECT_S = 0.15
-FRESH_S = 1.0  # idle for longer, a connection may have been forgotten: nothing unrepeatable is sent on it
+FRESH_IDLE_S = 1.0  # idle for longer, a connection may have been forgotten: nothing unrepeatable is sent on it
 IDLE_MARGIN_S = 0.4  # before the time that Keep-Alive tells is over
-IDLE_S = 60.0  # where it tells none: the server closes first
+DEFAULT_MAX_IDLE_S = 60.0  # where it tells none: the server closes first
 USER_TIMEOUT_MS = 1000  # bytes unacknowledged for so long never arrive later: no late run of something cancelled
 PROBE_IDLE_S = 1
 PROBE_GAP_S = 1
@@ -30,15 +30,19 @@
 Opener = Callable[[Address, Factory], Awaitable["Connection"]]
 
 
-class Bearer(Protocol):
+class ConnectionUser(Protocol):
     """What has a connection for itself for a while: an exchange."""
 
-    def received(self, data: bytes) -> None: ...
+    def received(self, data: bytes) -> None:
+        """Bytes have come."""
 
-    def lost(self, unwritten: bool) -> None: ...
+    def lost(self, unwritten: bool) -> None:
+        """The connection is gone. `unwritten`: part of the request has not left this machine."""
 
 
 class State(Enum):
+    """What a connection is used for."""
+
     NEW = auto()
     IDLE = auto()
     BUSY = auto()
@@ -52,9 +56,9 @@
         super().__init__()
         self.pool = pool
         self.state = State.NEW
-        self.idle_most = IDLE_S
+        self.max_idle_s = DEFAULT_MAX_IDLE_S
         self.used = 0  # exchanges begun on it
-        self._bearer: Bearer | None = None
+        self._user: ConnectionUser | None = None
 
     def _change(self, state: State) -> None:
         """The one place that changes the state, and keeps the pool's books."""
@@ -70,6 +74,7 @@
         self.state = state
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is open."""
         super().connection_made(transport)
         sock = transport.get_extra_info("socket")
         if sock is not None:
@@ -77,32 +82,35 @@
         self.pool.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is gone."""
         self._change(State.CLOSED)
-        bearer = self._bearer
-        self._bearer = None
-        if bearer:
-            bearer.lost(self.unwritten)
+        user = self._user
+        self._user = None
+        if user:
+            user.lost(self.unwritten)
 
     def data_received(self, data: bytes) -> None:
+        """Bytes have come."""
         self.pool.heard_at = self.pool.loop.time()
-        if self._bearer:
-            self._bearer.received(data)
+        if self._user:
+            self._user.received(data)
         else:
             self.discard()  # nobody asked
 
     def fresh(self) -> bool:
+        """Whether it is open, with nothing unread on it."""
         return self.state is not State.CLOSED and super().fresh()
 
-    def start(self, bearer: Bearer, data: bytes) -> None:
+    def start(self, user: ConnectionUser, data: bytes) -> None:
         """Write a request; the bearer gets what comes back."""
         self._change(State.BUSY)
-        self._bearer = bearer
+        self._user = user
         self.used += 1
         self._write(data)
 
     def release(self) -> None:
         """The exchange is over and the connection may carry another."""
-        self._bearer = None
+        self._user = None
         if self.pool.closed or self.closing or self.unwritten:
             self.discard()
         else:
@@ -110,7 +118,7 @@
 
     def discard(self) -> None:
         """Give up what is on it, and close."""
-        self._bearer = None
+        self._user = None
         self._change(State.CLOSED)
         self._abort()
 
@@ -148,12 +156,12 @@
         """Whether one more exchange finds a connection."""
         return bool(self.idle) or len(self.connections) + self._opening < self.most
 
-    def _rested(self, fresh_only: bool) -> Connection | None:
+    def _idle_connection(self, fresh_only: bool) -> Connection | None:
         now = self.loop.time()
         for connection in reversed(self.idle.copy()) if fresh_only else self.idle.copy():
-            if connection.idle_since > now - REST_S:
+            if connection.idle_since > now - MIN_IDLE_S:
                 continue
-            if fresh_only and connection.idle_since < now - FRESH_S:
+            if fresh_only and connection.idle_since < now - FRESH_IDLE_S:
                 return None
             if connection.fresh():
                 return connection
@@ -164,13 +172,13 @@
         """A connection that has rested, or a new one; None if there is none to be had in time."""
         end = self.loop.time() + timeout_s
         while self.idle:
-            connection = self._rested(fresh_only)
+            connection = self._idle_connection(fresh_only)
             if connection:
                 return connection
-            resting = [c.idle_since for c in self.idle if c.idle_since > self.loop.time() - REST_S]
+            resting = [c.idle_since for c in self.idle if c.idle_since > self.loop.time() - MIN_IDLE_S]
             if not resting:
                 break
-            wait = min(resting) + REST_S - self.loop.time()
+            wait = min(resting) + MIN_IDLE_S - self.loop.time()
             if self.loop.time() + wait > end:
                 return None
             await asyncio.sleep(max(wait, 0.001))
@@ -207,6 +215,7 @@
         return connection
 
     def close_idle(self) -> None:
+        """Close the connections that carry nothing."""
         for connection in self.idle.copy():
             connection.discard()
 
@@ -219,5 +228,5 @@
         """Close what the server would close soon."""
         now = self.loop.time()
         for connection in self.idle.copy():
-            if now - connection.idle_since > connection.idle_most:
+            if now - connection.idle_since > connection.max_idle_s:
                 connection.discard()
--- a/otterreach/proxy/reward_calls.py
+++ b/otterreach/proxy/reward_calls.py
@@ -7,16 +7,16 @@
 from http import HTTPStatus
 
 from otterreach.proxy.directory import JobStoreDirectory
-from otterreach.proxy.exchange import Fate, Outbound, Outcome
+from otterreach.proxy.exchange import Execution, Outbound, Outcome
 from otterreach.proxy.fleet import Fleet, Server
 from otterreach.proxy.item_run import ItemRun, Reason
 from otterreach.proxy.send_permission import SendPermission
 from otterreach.runtime.configuration import Route
 
 SCORER_SHARE = 0.8  # of this proxy's share of the scorers' slots: clients' own requests need some too
-FEWEST_CALLS = 2
-LEAST_ATTEMPT_S = 1.0
-MOST_ATTEMPT_S = 3.0
+MIN_CALLS = 2
+MIN_ATTEMPT_S = 1.0
+MAX_ATTEMPT_S = 3.0
 RECHECK_S = 0.05  # while nothing may go out
 RETRY_PAUSE_S = 0.02
 
@@ -37,7 +37,7 @@
         self.loop = fleet.loop
         self.directory = directory
         self.permission = permission
-        self._under_way = 0
+        self._in_flight = 0
 
     async def call(self, run: ItemRun) -> Reward:
         """Tries until there is a score, or the item is given up."""
@@ -47,25 +47,25 @@
         tries = item_route.tries if item_route else 1
         avoided: set[str] = set()
         while True:
-            if self.loop.time() > run.give_up_at:
+            if self.loop.time() > run.abandon_at:
                 return Reward(reason=Reason.WAITED)
             route = self.fleet.config.route(run.work.scorer_host, path)
-            if route is None or not self._has_room(route):
+            if route is None or not self._has_capacity(route):
                 await asyncio.sleep(RECHECK_S * self.fleet.draw.random.random())
                 continue
-            server = self.fleet.pick(route, avoided) if self.directory.in_force(run.job) else None
+            server = self.fleet.pick(route, avoided) if self.directory.is_confirmed_recently(run.job) else None
             if server is None:
                 await asyncio.sleep(RECHECK_S)
                 continue
             outcome = await self._attempt(run, route, server, outbound, path)
             if outcome.success:
-                self.fleet.draw.answered(server.estimate, route.name, outcome.took_s, self.loop.time())
+                self.fleet.draw.record_response(server.estimate, route.name, outcome.took_s, self.loop.time())
                 return Reward(score=outcome.headers[b"reply-seal"].decode("latin-1"))
-            if outcome.fate is Fate.ANSWERED and outcome.status == HTTPStatus.INTERNAL_SERVER_ERROR:
+            if outcome.execution is Execution.ANSWERED and outcome.status == HTTPStatus.INTERNAL_SERVER_ERROR:
                 run.reward_failures += 1
                 if run.reward_failures >= max(tries, route.tries):
                     return Reward(reason=Reason.REWARD_FAILED)
-            self.fleet.blame(server, route.name, outcome, max(route.target_s, LEAST_ATTEMPT_S))
+            self.fleet.record_failed_attempt(server, route.name, outcome, max(route.target_s, MIN_ATTEMPT_S))
             avoided = {server.id}
             await asyncio.sleep(RETRY_PAUSE_S * (1 + self.fleet.draw.random.random()))
 
@@ -75,20 +75,20 @@
         headers = {b"host": work.scorer_host.encode(), b"request-id": ident}
         return Outbound(b"POST", work.scorer_path.encode("latin-1"), headers, work.scorer_body, ident)
 
-    def _has_room(self, route: Route) -> bool:
+    def _has_capacity(self, route: Route) -> bool:
         """Whether one more reward call may be out: many items end at the same moment."""
-        cap = self.fleet.cap_of({name for name, _ in route.split})
-        return self._under_way < max(FEWEST_CALLS, round(cap / self.fleet.runners * SCORER_SHARE))
+        cap = self.fleet.slots_of({name for name, _ in route.split})
+        return self._in_flight < max(MIN_CALLS, round(cap / self.fleet.runners * SCORER_SHARE))
 
     async def _attempt(self, run: ItemRun, route: Route, server: Server, outbound: Outbound, path: str) -> Outcome:
-        within = min(route.timeout_s, MOST_ATTEMPT_S, max(LEAST_ATTEMPT_S, 4 * route.target_s))
+        within = min(route.timeout_s, MAX_ATTEMPT_S, max(MIN_ATTEMPT_S, 4 * route.target_s))
 
         def wanted() -> bool:
             return self.permission.may_send(run) and self.fleet.may_write(server, run.work.scorer_host, path)
 
         exchange = self.fleet.exchange(server, outbound, self.loop.time() + within, wanted)
-        self._under_way += 1
+        self._in_flight += 1
         try:
             return await self.fleet.attempt(server, exchange)
         finally:
-            self._under_way -= 1
+            self._in_flight -= 1
--- a/otterreach/proxy/runner.py
+++ b/otterreach/proxy/runner.py
@@ -22,7 +22,7 @@
 from otterreach.runtime.rpc import Link
 from otterreach.runtime.settings import Settings
 
-LEAVE_CHECK_S = 0.05
+SHUTDOWN_CHECK_S = 0.05
 
 
 class Runner:
@@ -69,8 +69,8 @@
         owner = self.directory.owners.get(assign.partition)
         if self._permission.has_ended(assign.job) or owner and assign.epoch < owner.epoch:
             return
-        if self.queue.leaving:
-            self._reports.give_back(assign.job, [work.item for work in assign.items])
+        if self.queue.shutting_down:
+            self._reports.return_items(assign.job, [work.item for work in assign.items])
             return
         now = self.loop.time()
         for work in assign.items:
@@ -107,27 +107,27 @@
             await self._reports.report_result(run, reason or reward.reason, reward.score)
         except Exception as error:  # a fault with one item ends it here, not the process; another proxy may do
             log("item_failed", level="ERROR", job=run.job, item=run.item, error=repr(error))
-            self._reports.give_back(run.job, [run.item])
+            self._reports.return_items(run.job, [run.item])
         finally:
-            self.queue.change_phase(run, Phase.OVER)
+            self.queue.change_phase(run, Phase.DONE)
 
-    async def leave(self, within_s: float) -> None:
+    async def shut_down(self, within_s: float) -> None:
         """The process ends: what has not begun goes back at once, what runs may end, the rest goes back then."""
-        self.queue.leaving = True
-        self._give_back_queued()
+        self.queue.shutting_down = True
+        self._return_queued()
         end = self.loop.time() + within_s
         while self.runs and self.loop.time() < end:
-            await asyncio.sleep(LEAVE_CHECK_S)
+            await asyncio.sleep(SHUTDOWN_CHECK_S)
         for run in list(self.runs.values()):
-            self._reports.give_back(run.job, [run.item])
+            self._reports.return_items(run.job, [run.item])
             self.queue.drop(run)
-        await asyncio.sleep(LEAVE_CHECK_S)  # for what was sent to leave
+        await asyncio.sleep(SHUTDOWN_CHECK_S)  # for what was sent to leave
 
-    def _give_back_queued(self) -> None:
+    def _return_queued(self) -> None:
         """What has not begun, a message for each batch job."""
         queued: dict[str, list[str]] = {}
         for run in [run for run in self.runs.values() if run.phase is Phase.QUEUED and run.task is None]:
             queued.setdefault(run.job, []).append(run.item)
-            self.queue.change_phase(run, Phase.OVER)
+            self.queue.change_phase(run, Phase.DONE)
         for job, items in queued.items():
-            self._reports.give_back(job, items)
+            self._reports.return_items(job, items)
--- a/otterreach/proxy/send_permission.py
+++ b/otterreach/proxy/send_permission.py
@@ -7,7 +7,7 @@
 from otterreach.proxy.directory import JobStoreDirectory
 from otterreach.proxy.item_run import ItemRun, Phase
 
-MOST_ENDED = 2000  # ids of ended batch jobs that are remembered
+MAX_ENDED_JOBS = 2000  # ids of ended batch jobs that are remembered
 
 
 class SendPermission:
@@ -20,7 +20,7 @@
     def end_job(self, job: str) -> None:
         """Nothing of it may go out any more."""
         self._ended[job] = None
-        if len(self._ended) > MOST_ENDED:
+        if len(self._ended) > MAX_ENDED_JOBS:
             self._ended.popitem(last=False)
 
     def has_ended(self, job: str) -> bool:
@@ -29,4 +29,8 @@
 
     def may_send(self, run: ItemRun) -> bool:
         """The check right before each write to a server."""
-        return run.phase is not Phase.OVER and not self.has_ended(run.job) and self.directory.in_force(run.job)
+        return (
+            run.phase is not Phase.DONE
+            and not self.has_ended(run.job)
+            and self.directory.is_confirmed_recently(run.job)
+        )
--- a/otterreach/proxy/streams.py
+++ b/otterreach/proxy/streams.py
@@ -5,22 +5,22 @@
 from http import HTTPStatus
 
 from otterreach.proxy.events import EventReader
-from otterreach.proxy.exchange import Exchange, Fate, Headers, Outcome
+from otterreach.proxy.exchange import Exchange, Execution, Headers, Outcome
 from otterreach.proxy.fleet import Server
 from otterreach.proxy.ingress import Client
-from otterreach.proxy.requests import Requests, Try, returned, whole_number
+from otterreach.proxy.requests import ClientRequest, Requests, response_headers, whole_number
 from otterreach.runtime.configuration import Route
 from otterreach.sidecar import http1
 
-SILENT_LEAST_S = 1.5  # a resumable stream that says nothing for so long is tried elsewhere, if that is possible
-SILENT_OBJECTIVES = 3.0
+MIN_SILENCE_S = 1.5  # a resumable stream that says nothing for so long is tried elsewhere, if that is possible
+SILENCE_IN_TARGETS = 3.0
 SILENCE_CHECK_S = 0.25
 
 
 class _Relay:
     """One answer to a client, over all servers that make it."""
 
-    def __init__(self, attempt: Try, route: Route) -> None:
+    def __init__(self, attempt: ClientRequest, route: Route) -> None:
         self.attempt = attempt
         self.client = attempt.client
         self.resume = route.resume
@@ -34,6 +34,7 @@
         self.exchange: Exchange | None = None
 
     def attach(self, exchange: Exchange) -> None:
+        """Another server goes on with the stream."""
         self.exchange = exchange
         self._reader = EventReader()
         self._good = False
@@ -45,9 +46,10 @@
         self._good = 200 <= status < 300 and b"reply-seal" in headers and b"content-encoding" not in headers
         if self._good and not self.begun:
             self.begun = True
-            self.client.begin(status, returned(headers))
+            self.client.begin(status, response_headers(headers))
 
     def body(self, data: bytes) -> None:
+        """Some bytes of the present server's answer."""
         assert self.exchange
         if not self._good:
             return
@@ -84,6 +86,7 @@
         self.loop = requests.loop
 
     async def handle(self, request: http1.Request, client: Client, route: Route) -> None:
+        """A request on a `stream` route, to the end of its answer."""
         if not request.headers.get(b"request-id"):
             client.respond(HTTPStatus.BAD_REQUEST)
             return
@@ -95,7 +98,7 @@
                 return
             server = self.fleet.pick(now_route, attempt.avoid)
             if server is None:
-                if relay.begun or not await self.requests.offered(attempt, now_route):
+                if relay.begun or not await self.requests.wait_for_admission(attempt, now_route):
                     self._give_up(attempt, now_route, relay)
                     return
                 continue
@@ -103,16 +106,16 @@
             if self._ended(attempt, now_route, server, outcome, relay):
                 return
 
-    def _route(self, attempt: Try, relay: _Relay) -> Route | None:
+    def _route(self, attempt: ClientRequest, relay: _Relay) -> Route | None:
         if not relay.begun:
             return self.requests.next_route(attempt)
         route = self.fleet.config.route(attempt.host, attempt.path)
         if route is None or not route.resume:
-            attempt.client.cut()
+            attempt.client.abort()
             return None
         return route
 
-    async def _one(self, attempt: Try, route: Route, server: Server, relay: _Relay) -> Outcome:
+    async def _one(self, attempt: ClientRequest, route: Route, server: Server, relay: _Relay) -> Outcome:
         extra: Headers = {}
         if relay.resume and relay.last is not None:
             extra[b"last-event-id"] = b"%d" % relay.last
@@ -127,43 +130,45 @@
             fresh_only=not attempt.idempotent,
         )
         relay.attach(exchange)
-        silent = max(SILENT_LEAST_S, SILENT_OBJECTIVES * route.target_s)
-        may_resume = attempt.idempotent and len(attempt.sent) + 1 < route.tries
+        silent = max(MIN_SILENCE_S, SILENCE_IN_TARGETS * route.target_s)
+        may_resume = attempt.idempotent and len(attempt.sent_to) + 1 < route.tries
         if may_resume:
             self.loop.call_later(SILENCE_CHECK_S, self._check_silence, exchange, silent)
         return await self.fleet.attempt(server, exchange)
 
     def _check_silence(self, exchange: Exchange, silent_s: float) -> None:
         """One check at a time, in place of a timer for each event."""
-        if exchange.over:
+        if exchange.is_done:
             return
         if exchange.sent_at and self.loop.time() - max(exchange.heard_at, exchange.sent_at) > silent_s:
             exchange.give_up("silent", True)
         else:
             self.loop.call_later(SILENCE_CHECK_S, self._check_silence, exchange, silent_s)
 
-    def _ended(self, attempt: Try, route: Route, server: Server, outcome: Outcome, relay: _Relay) -> bool:
+    def _ended(self, attempt: ClientRequest, route: Route, server: Server, outcome: Outcome, relay: _Relay) -> bool:
         """Whether the client has its last word."""
-        whole = outcome.fate is Fate.ANSWERED and outcome.success
+        whole = outcome.execution is Execution.ANSWERED and outcome.success
         if whole:
             relay.finish()
-            self.fleet.draw.answered(server.estimate, route.name, relay.first_s or outcome.took_s, self.loop.time())
+            self.fleet.draw.record_response(
+                server.estimate, route.name, relay.first_s or outcome.took_s, self.loop.time()
+            )
             return True
-        answered = self.requests.settle(attempt, route, server, outcome)
+        answered = self.requests.record_outcome(attempt, route, server, outcome)
         if answered and not relay.begun:
-            attempt.client.respond(outcome.status, returned(outcome.headers), outcome.body)
+            attempt.client.respond(outcome.status, response_headers(outcome.headers), outcome.body)
             return True
-        go_on = not answered and self.requests.may_go_on(attempt, route) and (not relay.begun or relay.resume)
+        go_on = not answered and self.requests.may_retry(attempt, route) and (not relay.begun or relay.resume)
         if go_on and not relay.broken:
             return False
         self._give_up(attempt, route, relay)
         return True
 
-    def _give_up(self, attempt: Try, route: Route, relay: _Relay) -> None:
+    def _give_up(self, attempt: ClientRequest, route: Route, relay: _Relay) -> None:
         """Danger: a stream that ends early must not look complete."""
         if relay.begun:
-            attempt.client.cut()
+            attempt.client.abort()
             return
-        last = self.requests.last_word(attempt, route)
+        last = self.requests.final_answer(attempt, route)
         if last is not None:
-            attempt.client.respond(last.status, returned(last.headers), last.body)
+            attempt.client.respond(last.status, response_headers(last.headers), last.body)
--- a/otterreach/proxy/text_generation.py
+++ b/otterreach/proxy/text_generation.py
@@ -5,17 +5,17 @@
 import asyncio
 from http import HTTPStatus
 
-from otterreach.proxy.exchange import Exchange, Fate, Headers, Outcome
+from otterreach.proxy.exchange import Exchange, Execution, Headers, Outcome
 from otterreach.proxy.fleet import Fleet, Server
 from otterreach.proxy.item_placement import ItemPlacer
 from otterreach.proxy.item_queue import ItemQueue
-from otterreach.proxy.item_run import GivenUp, ItemAttempt, ItemRun, Placement, Reason, StopReason
+from otterreach.proxy.item_run import Abandoned, ItemAttempt, ItemRun, Placement, Reason, StopReason
 from otterreach.proxy.send_permission import SendPermission
 from otterreach.runtime.configuration import Route
 
-SILENT_S = 1.2  # between events, of a server that says nothing on any connection
-SILENT_FIRST_S = 2.5  # before the first event: it may wait in the server's queue
-SERVER_SILENT_S = 0.8
+STREAM_TIMEOUT_S = 1.2  # between events, of a server that says nothing on any connection
+FIRST_EVENT_TIMEOUT_S = 2.5  # before the first event: it may wait in the server's queue
+SERVER_TIMEOUT_S = 0.8
 SILENCE_CHECK_S = 0.25
 
 
@@ -36,11 +36,11 @@
             route = run.placement.route
             server = run.placement.server
             outcome, attempt = await self._attempt(run, route, server)
-            verdict = self._judge(run, route, server, outcome, attempt)
+            verdict = self._evaluate(run, route, server, outcome, attempt)
             if verdict is not None:
                 return verdict
-            await self.queue.wait_for_turn(run)
-        assert isinstance(run.placement, GivenUp)
+            await self.queue.wait_for_server(run)
+        assert isinstance(run.placement, Abandoned)
         return run.placement.reason
 
     async def _attempt(self, run: ItemRun, route: Route, server: Server) -> tuple[Outcome, ItemAttempt]:
@@ -56,7 +56,7 @@
 
         run.events = 0
         exchange = run.exchange = self.fleet.exchange(
-            server, run.outbound, run.give_up_at, wanted, extra, attempt.on_head, attempt.on_body
+            server, run.outbound, run.abandon_at, wanted, extra, attempt.on_head, attempt.on_body
         )
         run.server = server
         try:
@@ -76,13 +76,15 @@
             run.restart()  # without ids nothing can be resumed
         return headers
 
-    def _judge(self, run: ItemRun, route: Route, server: Server, outcome: Outcome, attempt: ItemAttempt) -> str | None:
+    def _evaluate(
+        self, run: ItemRun, route: Route, server: Server, outcome: Outcome, attempt: ItemAttempt
+    ) -> str | None:
         """What an attempt means: None to go on, nothing if the text is whole, or why the item has failed."""
         if run.transcript.broken:
             run.restart()
         if outcome.success and attempt.valid and not attempt.reader.partial and len(run.transcript):
             seconds = outcome.took_s / (run.events + 2)
-            self.fleet.draw.answered(server.estimate, route.name, seconds, self.loop.time())
+            self.fleet.draw.record_response(server.estimate, route.name, seconds, self.loop.time())
             return ""
         if run.events:
             run.retries = 0
@@ -91,14 +93,14 @@
             if route.single and run.transcript.versions:
                 run.restart()
             return None
-        if outcome.fate is Fate.ANSWERED and (reason := self._judge_answer(run, route, outcome.status)):
+        if outcome.execution is Execution.ANSWERED and (reason := self._evaluate_answer(run, route, outcome.status)):
             return reason
         if outcome.reason == "wrong_server" and server.open and route.single and run.text_version is not None:
             server.learn_version(run.model, run.text_version + 1)  # it has moved on: versions only rise
-        self.fleet.blame(server, route.name, outcome, SILENT_S)
+        self.fleet.record_failed_attempt(server, route.name, outcome, STREAM_TIMEOUT_S)
         return None
 
-    def _judge_answer(self, run: ItemRun, route: Route, status: int) -> str:
+    def _evaluate_answer(self, run: ItemRun, route: Route, status: int) -> str:
         """A whole answer that is no text: why the item has failed, or nothing to go on."""
         if status == HTTPStatus.UNPROCESSABLE_ENTITY:
             return Reason.UNPROCESSABLE
@@ -125,7 +127,7 @@
 
     def _end_if_silent(self, run: ItemRun, exchange: Exchange, server: Server, now: float) -> None:
         quiet = now - max(exchange.heard_at, exchange.sent_at)
-        limit = SILENT_S if run.events else SILENT_FIRST_S
-        server_silent = now - server.pool.heard_at > SERVER_SILENT_S
+        limit = STREAM_TIMEOUT_S if run.events else FIRST_EVENT_TIMEOUT_S
+        server_silent = now - server.pool.heard_at > SERVER_TIMEOUT_S
         if quiet > limit and (server_silent or quiet > 2 * limit):
             exchange.give_up(StopReason.SILENT, True)
--- a/otterreach/simulation/job_proxy.py
+++ b/otterreach/simulation/job_proxy.py
@@ -82,7 +82,7 @@
             await asyncio.sleep(0.05)
             for key in list(self.queue):
                 busy = key in self.running or key in self.reporting or len(self.running) >= SLOTS
-                if not busy and self.directory.in_force(key[0]):
+                if not busy and self.directory.is_confirmed_recently(key[0]):
                     self.running.add(key)
                     self.scenario.begins(self.box, key)
                     spawn(self._one(key))
--- a/otterreach/simulation/planted_jobs.py
+++ b/otterreach/simulation/planted_jobs.py
@@ -69,7 +69,7 @@
     Planted(
         "item-sent-without-a-look",
         "a proxy sends items without knowing of late that their batch job goes on",
-        (Change(f"{DIRECTORY}.in_force", "self.loop.time() - owner.as_of < self.lease_s", "True"),),
+        (Change(f"{DIRECTORY}.is_confirmed_recently", "self.loop.time() - owner.as_of < self.lease_s", "True"),),
         "jobs",
         plan=PROXIES_CUT_OFF,
         rule="runs what was ended",
--- a/tests/test_hostile_peers.py
+++ b/tests/test_hostile_peers.py
@@ -29,7 +29,7 @@
 from tests.test_proxy_requests import ingress
 from tests.virtual import LATENCY_S, MemoryLoop, MemoryTransport, connect
 
-PROMISES = (408, 421, 429, 503)
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 TRIES = 2
 END = b"|end"
 
@@ -300,7 +300,7 @@
             assert answer.body.endswith(END) and answer.headers.get(b"request-id", ident.encode()) == ident.encode()
         if (stamp := answer.headers.get(b"reply-seal")) is not None:
             assert servers.sealed[stamp] == answer.status
-        if answer.status in PROMISES and kind != "idem":
+        if answer.status in NOT_EXECUTED_STATUSES and kind != "idem":
             assert runs == 0, f"{ident} got {answer.status} and ran"
 
 
@@ -344,7 +344,7 @@
     SWALLOWED = auto()
     UNFRAMED = auto()
     UNASKED = auto()  # an answer passes; later, at rest, one that nobody asked for
-    REFUSED = auto()  # the connection ends before the request is handed on
+    REJECTION_SAMPLE = auto()  # the connection ends before the request is handed on
 
 
 class Meddle(NamedTuple):
@@ -404,7 +404,7 @@
 
     def data_received(self, data: bytes) -> None:
         self.far.meddle = self.middle.next()
-        if self.far.meddle.how is Meddling.REFUSED:
+        if self.far.meddle.how is Meddling.REJECTION_SAMPLE:
             self.transport.abort()
         else:
             self.far.transport.write(data)
--- a/tests/test_proxy_parts.py
+++ b/tests/test_proxy_parts.py
@@ -11,7 +11,7 @@
 from otterreach.jobstore.messages import EndJob, ItemBody, JobResults, ReadItem, ReadJob, SubmitJob
 from otterreach.proxy.batch_jobs import BatchJobs, is_batch_job_call
 from otterreach.proxy.directory import JobStoreDirectory
-from otterreach.proxy.draw import FORGET_S, MOST, Draw, Estimate
+from otterreach.proxy.draw import HALF_LIFE_S, MAX_SAMPLE, Draw, Estimate
 from otterreach.proxy.events import EventReader, Transcript, versions_of
 from otterreach.proxy.ingress import Client, Ingress
 from otterreach.proxy.node import Proxy
@@ -51,7 +51,7 @@
 
     def test_one_not_heard_from_takes_the_mean_of_the_others(self) -> None:
         busy = Estimate()
-        busy.sent()
+        busy.record_sent()
         self.assertEqual(Draw(Random(1)).expected([known(1.0), known(3.0), Estimate(), busy], 0.0), [1, 3, 2, 4])
 
     def test_a_new_connection_is_dear(self) -> None:
@@ -66,14 +66,14 @@
 
     def test_what_is_told_counts_as_load_until_it_is_old(self) -> None:
         estimate = known(1.0)
-        estimate.tell_load(b"3,2,8", 10.0)
-        estimate.sent()
+        estimate.record_reported_load(b"3,2,8", 10.0)
+        estimate.record_sent()
         self.assertEqual(estimate.load_now(10.1, 5), 6)
-        estimate.ended()
+        estimate.record_ended()
         self.assertEqual(estimate.load_now(10.1, 5), 5)
         self.assertEqual(estimate.load_now(20.0, 5), 0)
         for value in (b"", b"x", b"1", b"a,b,c", None):
-            estimate.tell_load(value, 30.0)
+            estimate.record_reported_load(value, 30.0)
             self.assertEqual(estimate.load_now(30.0, 5), 0)
 
     def test_where_nothing_is_told_the_others_do_alike(self) -> None:
@@ -83,18 +83,18 @@
         draw, bad, good = Draw(Random(1)), Estimate(), Estimate()
         for estimate in (bad, good):
             for _ in range(5):
-                draw.answered(estimate, "r", 0.05, 0.0)
-        draw.failed(bad, "r", 1.5, 0.0)
+                draw.record_response(estimate, "r", 0.05, 0.0)
+        draw.record_failure(bad, "r", 1.5, 0.0)
         self.assertGreater(bad.slowness, 10.0)
-        self.assertLessEqual(bad.slowness, MOST)
+        self.assertLessEqual(bad.slowness, MAX_SAMPLE)
         self.assertLess(self.shares(draw, [bad, good])[0], 0.1)
-        self.assertGreater(self.shares(draw, [bad, good], FORGET_S * 8)[0], 0.4)
+        self.assertGreater(self.shares(draw, [bad, good], HALF_LIFE_S * 8)[0], 0.4)
 
     def test_requests_of_two_sizes_are_measured_by_their_own_usual_time(self) -> None:
         draw, estimate = Draw(Random(1)), Estimate()
         for _ in range(30):
-            draw.answered(estimate, "short", 0.01, 0.0)
-            draw.answered(estimate, "long", 1.0, 0.0)
+            draw.record_response(estimate, "short", 0.01, 0.0)
+            draw.record_response(estimate, "long", 1.0, 0.0)
         self.assertAlmostEqual(estimate.slowness, 1.0, delta=0.05)
 
 
@@ -391,7 +391,7 @@
         idle, busy = Caller(ingress), Caller(ingress)
         busy.send()
         await asyncio.sleep(0.01)
-        leaving = asyncio.ensure_future(ingress.leave(0.2, 5.0))
+        leaving = asyncio.ensure_future(ingress.shut_down(0.2, 5.0))
         await asyncio.sleep(0.1)
         late = Caller(ingress)
         late.send("/late")
@@ -425,7 +425,7 @@
             follower = Follower()
 
         proxy.node, proxy.fleet = Node(), world.fleet  # type: ignore[assignment]
-        proxy.leaving = proxy._been_ready = False
+        proxy.shutting_down = proxy._been_ready = False
         self.assertFalse(proxy.ready)
         world.server("i-1", serve)
         self.assertFalse(proxy.ready)
@@ -433,7 +433,7 @@
         self.assertTrue(proxy.ready)
         age = 30.0
         self.assertTrue(proxy.ready)
-        proxy.leaving = True
+        proxy.shutting_down = True
         self.assertFalse(proxy.ready)
 
 
--- a/tests/test_proxy_requests.py
+++ b/tests/test_proxy_requests.py
@@ -37,7 +37,7 @@
     async def handle(request: Any, client: Any) -> None:
         found = world.fleet.config.route(text(request.headers.get(b"host")), path_of(request))
         if found is None:
-            requests.no_route(client)
+            requests.answer_without_route(client)
         elif found.kind == "stream":
             await streams.handle(request, client, found)
         else:
--- a/tests/test_proxy_runner.py
+++ b/tests/test_proxy_runner.py
@@ -14,7 +14,7 @@
 from otterreach.proxy.item_queue import ITEMS_PER_CORE
 from otterreach.proxy.item_run import Phase
 from otterreach.proxy.runner import Runner
-from otterreach.proxy.send_permission import MOST_ENDED, SendPermission
+from otterreach.proxy.send_permission import MAX_ENDED_JOBS, SendPermission
 from otterreach.runtime.codes import Code, Failure
 from tests import virtual
 from tests.proxy_support import (
@@ -420,12 +420,12 @@
 
     @staged()
     async def test_a_reward_call_too(self, stage: Stage) -> None:
-        async def last_word(call: Call) -> None:
+        async def final_answer(call: Call) -> None:
             await writes(1)(call)
             stage.endpoint.reachable = False
             stage.loop.stand_still(2.0)  # type: ignore[attr-defined]
 
-        stage.server("i-1", last_word)
+        stage.server("i-1", final_answer)
         scorer = stage.world.server("s-1", serve)
         stage.runner.assign(assign([work(scorer="r1")]))
         await asyncio.sleep(2.0)
@@ -476,7 +476,7 @@
         stage.server("i-1", after(0.5, writes(2)), cap=2)
         stage.runner.assign(assign([work(f"i{n}") for n in range(4)]))
         await asyncio.sleep(0.1)
-        await stage.runner.leave(4.0)
+        await stage.runner.shut_down(4.0)
         self.assertEqual(sorted(f.item for f in stage.endpoint.finished), ["i0", "i1"])
         back = [m for m in stage.endpoint.to.sent if isinstance(m, ReturnItems)]
         self.assertEqual([(m.job, m.items) for m in back], [("j1", ["i2", "i3"])])
@@ -486,7 +486,7 @@
         stage.server("i-1", silence, cap=2)
         stage.runner.assign(assign([work()]))
         await asyncio.sleep(0.1)
-        await stage.runner.leave(1.0)
+        await stage.runner.shut_down(1.0)
         back = [m for m in stage.endpoint.to.sent if isinstance(m, ReturnItems)]
         self.assertEqual([(m.job, m.items) for m in back], [("j1", ["i1"])])
         self.assertEqual(stage.runner.runs, {})
@@ -496,11 +496,11 @@
     @staged()
     async def test_ended_batch_jobs_are_remembered_up_to_a_bound(self, stage: Stage) -> None:
         permission = SendPermission(stage.runner.directory)
-        for number in range(MOST_ENDED + 1):
+        for number in range(MAX_ENDED_JOBS + 1):
             permission.end_job(f"j{number}")
         self.assertFalse(permission.has_ended("j0"))
         self.assertTrue(permission.has_ended("j1"))
-        self.assertTrue(permission.has_ended(f"j{MOST_ENDED}"))
+        self.assertTrue(permission.has_ended(f"j{MAX_ENDED_JOBS}"))
 
 
 class Slots(unittest.TestCase):
--- a/tests/test_proxy_sockets.py
+++ b/tests/test_proxy_sockets.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from typing import Any
 
-from otterreach.proxy.exchange import Exchange, Fate, Outbound, Outcome
+from otterreach.proxy.exchange import Exchange, Execution, Outbound, Outcome
 from otterreach.proxy.ingress import Client, Ingress
 from otterreach.proxy.pools import Pool
 from otterreach.runtime.configuration import Caps
@@ -46,7 +46,7 @@
         pool = Pool(asyncio.get_running_loop(), address)
         for _ in range(2):
             outcome = await self.exchange(pool).run()
-            self.assertEqual((outcome.fate, outcome.status, outcome.body), (Fate.ANSWERED, 200, b"hi"))
+            self.assertEqual((outcome.execution, outcome.status, outcome.body), (Execution.ANSWERED, 200, b"hi"))
         self.assertEqual((pool.opened, len(pool.idle), len(got)), (1, 1, 2))
         pool.close()
         self.assertEqual((pool.idle, pool.connections), ([], set()))
@@ -56,17 +56,17 @@
             sock.bind(("127.0.0.1", 0))
             pool = Pool(asyncio.get_running_loop(), sock.getsockname())
             outcome = await self.exchange(pool).run()
-        self.assertEqual((outcome.fate, outcome.sent), (Fate.NOT_RUN, False))
+        self.assertEqual((outcome.execution, outcome.sent), (Execution.NOT_EXECUTED, False))
 
     async def test_closed_without_an_answer_may_have_run(self) -> None:
         _, address, _ = await self.serve(b"", close=True)
         outcome = await self.exchange(Pool(asyncio.get_running_loop(), address)).run()
-        self.assertEqual((outcome.fate, outcome.reason), (Fate.MAY_HAVE_RUN, "closed"))
+        self.assertEqual((outcome.execution, outcome.reason), (Execution.MAY_HAVE_EXECUTED, "closed"))
 
     async def test_a_body_that_only_the_end_would_end_is_no_answer(self) -> None:
         _, address, _ = await self.serve(b"HTTP/1.1 200 OK\r\nRequest-Id: q\r\n" + SEAL + b"\r\nhalf", close=True)
         outcome = await self.exchange(Pool(asyncio.get_running_loop(), address)).run()
-        self.assertEqual(outcome.fate, Fate.MAY_HAVE_RUN)
+        self.assertEqual(outcome.execution, Execution.MAY_HAVE_EXECUTED)
 
     async def test_what_has_not_left_whole_has_not_run(self) -> None:
         """A server that does not read: the rest of the request is still here when the time is up."""
@@ -76,7 +76,7 @@
             listener.listen()
             pool = Pool(asyncio.get_running_loop(), listener.getsockname())
             outcome = await self.exchange(pool, outbound(b"x" * 32_000_000), 0.1).run()
-        self.assertEqual((outcome.fate, outcome.timed_out), (Fate.NOT_RUN, True))
+        self.assertEqual((outcome.execution, outcome.timed_out), (Execution.NOT_EXECUTED, True))
 
     async def early(self, head: bytes) -> tuple[Outcome, Pool, bytes]:
         """The outcome at a server that answers before it has read the body, and all that it ever reads."""
@@ -102,7 +102,7 @@
     async def test_an_early_answer_with_the_request_s_id_is_its_answer_and_ends_the_connection(self) -> None:
         """Danger: only Not-Run says that it has not run; and no other bytes may come where its body is due."""
         outcome, pool, got = await self.early(b"HTTP/1.1 500 X\r\nRequest-Id: q\r\n")
-        self.assertEqual((outcome.fate, outcome.status, outcome.body), (Fate.ANSWERED, 500, b"hi"))
+        self.assertEqual((outcome.execution, outcome.status, outcome.body), (Execution.ANSWERED, 500, b"hi"))
         self.assertEqual((pool.idle, pool.connections), ([], set()))
         head, _, body = got.partition(b"\r\n\r\n")
         self.assertEqual((head.count(b"HTTP/1.1"), set(body)), (1, set(b"x")))
@@ -110,11 +110,11 @@
 
     async def test_an_early_answer_that_says_so_has_not_run(self) -> None:
         outcome, pool, _ = await self.early(b"HTTP/1.1 503 X\r\nRequest-Id: q\r\nNot-Run: 1\r\n")
-        self.assertEqual((outcome.fate, outcome.status, pool.idle), (Fate.NOT_RUN, 503, []))
+        self.assertEqual((outcome.execution, outcome.status, pool.idle), (Execution.NOT_EXECUTED, 503, []))
 
     async def test_an_early_answer_without_an_id_answers_something_else(self) -> None:
         outcome, pool, _ = await self.early(b"HTTP/1.1 408 X\r\n")
-        self.assertEqual((outcome.fate, outcome.reason, pool.idle), (Fate.NOT_RUN, "early_answer", []))
+        self.assertEqual((outcome.execution, outcome.reason, pool.idle), (Execution.NOT_EXECUTED, "early_answer", []))
 
     async def test_an_idle_connection_that_the_server_has_ended_is_not_used(self) -> None:
         _, address, got = await self.serve(
@@ -122,7 +122,7 @@
         )
         pool = Pool(asyncio.get_running_loop(), address)
         for _ in range(3):
-            self.assertEqual((await self.exchange(pool).run()).fate, Fate.ANSWERED)
+            self.assertEqual((await self.exchange(pool).run()).execution, Execution.ANSWERED)
         self.assertEqual((pool.opened, len(got)), (3, 3))
 
     async def test_a_client_that_has_gone_is_noticed_before_its_end_is_read(self) -> None:
@@ -130,7 +130,7 @@
 
         async def handle(request: Any, client: Client) -> None:
             theirs.close()
-            seen.extend((client.gone, client.left()))
+            seen.extend((client.is_closed, client.has_left()))
             client.respond(200)
 
         ingress = Ingress(handle, Caps)
@@ -140,7 +140,7 @@
         while not seen:
             await asyncio.sleep(0)
         self.assertEqual(seen, [False, True])
-        await ingress.leave(0.0, 1.0)
+        await ingress.shut_down(0.0, 1.0)
 
     async def test_the_end_of_a_client_that_asked_for_much_ends_the_work_for_it(self) -> None:
         """So much that it is not read on for now, and its end waits behind that."""
@@ -163,14 +163,14 @@
         async with asyncio.timeout(0.5):
             await ended.wait()
         sweeping.cancel()
-        await ingress.leave(0.0, 1.0)
+        await ingress.shut_down(0.0, 1.0)
 
     async def test_nothing_new_from_a_closed_pool(self) -> None:
         _, address, got = await self.serve(b"")
         pool = Pool(asyncio.get_running_loop(), address)
         pool.close()
         outcome = await self.exchange(pool).run()
-        self.assertEqual((outcome.fate, got), (Fate.NOT_RUN, []))
+        self.assertEqual((outcome.execution, got), (Execution.NOT_EXECUTED, []))
 
 
 if __name__ == "__main__":
--- a/tests/test_proxy_start.py
+++ b/tests/test_proxy_start.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from otterreach.proxy.node import HOLD_SHARE, Proxy
+from otterreach.proxy.node import CONFIGURATION_WAIT_SHARE, Proxy
 from otterreach.sidecar import http1
 from tests.virtual import VirtualLoop
 
@@ -39,7 +39,7 @@
         self.assertAlmostEqual(self.waited(b"1500", 0.4), 0.4, places=2)
 
     def test_it_keeps_time_for_an_answer_that_says_when_to_come_back(self) -> None:
-        self.assertAlmostEqual(self.waited(b"1000", 9.0), HOLD_SHARE, places=2)
+        self.assertAlmostEqual(self.waited(b"1000", 9.0), CONFIGURATION_WAIT_SHARE, places=2)
 
 
 if __name__ == "__main__":
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -33,7 +33,7 @@
         self.queue: list[tuple[int, int, str, Any]] = []
         self.ids = count(1)
         self.outstanding: dict[tuple[int, int], api.Send] = {}
-        self.fate = self.draw.choice(("calm", "errors", "silent", "mixed"))
+        self.execution = self.draw.choice(("calm", "errors", "silent", "mixed"))
 
     def at(self, when: int, what: str, data: Any = None) -> None:
         heappush(self.queue, (-(-when // TICK) * TICK, next(self.order), what, data))
@@ -96,11 +96,11 @@
                 self.at(self.now + wait, "outcome", (send.request, leg, status))
 
     def status(self) -> Status | None:
-        if self.fate == "calm":
+        if self.execution == "calm":
             return Status.OK
-        if self.fate == "silent":
+        if self.execution == "silent":
             return None
-        weights = (5, 1, 2, 0, 2, 2, 0, 0) if self.fate == "errors" else (2, 4, 1, 0, 1, 1, 0, 0)
+        weights = (5, 1, 2, 0, 2, 2, 0, 0) if self.execution == "errors" else (2, 4, 1, 0, 1, 1, 0, 0)
         return self.draw.choices(STATUSES, weights)[0]
 
     def do_arrive(self, _: Any) -> None:
