--- a/deploy/days/generate.py
+++ b/deploy/days/generate.py
@@ -83,6 +83,7 @@
 
 
 def days() -> dict[str, str]:
+    """Each file of this folder by its name, as it has to be."""
     found: dict[str, str] = {}
     for name, entry in FAULTS.items():
         found[f"one-{name}"] = day(f"one-{name}", [entry], [])
--- a/otterreach/balancer/draw.py
+++ b/otterreach/balancer/draw.py
@@ -7,8 +7,9 @@
 
 
 def draw(random: Random, odds: Sequence[float]) -> int:
-    """The place of one, drawn with these odds: none below 0, their sum above 0; else ValueError. It takes one
-    number from `random`.
+    """The place of one, drawn with these odds: none below 0, their sum above 0; else ValueError.
+
+    It takes one number from `random`.
 
     The weighted randomizing rule of Billard and Pasquale, "Agents with local and global servers under
     uncertainty": with the inverse of the expected response times as odds it spreads what many agents send
--- a/otterreach/balancer/limits.py
+++ b/otterreach/balancer/limits.py
@@ -4,7 +4,7 @@
 
 from math import exp2, sqrt
 
-from otterreach.balancer import interface as api
+import otterreach.balancer.interface as api
 from otterreach.balancer.state import Pending, Rate, State
 
 CALM, ROOM = 0.5, 0.25  # share of the target that answers may take; part of what idle ones leave of it
@@ -35,8 +35,11 @@
         self.strains: dict[int, tuple[float, int]] = {}  # by zone: as usual_share, of late; when
 
     def _waited(self, event: api.Request, cls: api.RequestClass) -> int:
-        """How long the client has waited before. A try is given the class's usual time (by majority vote) or
-        all that is left. Danger: in an overload most work would go to retries that cannot be in time."""
+        """How long the client has waited before.
+
+        A try is given the class's usual time (by majority vote) or all that is left. Danger: in an overload
+        most work would go to retries that cannot be in time.
+        """
         usual, votes = self.usual_left[event.cls]
         usual = usual if votes else event.left_ns
         same = abs(event.left_ns - usual) <= self.settings.resolution_ns
--- a/otterreach/balancer/logic.py
+++ b/otterreach/balancer/logic.py
@@ -10,7 +10,7 @@
 from heapq import nlargest
 from typing import Any
 
-from otterreach.balancer import interface as api
+import otterreach.balancer.interface as api
 from otterreach.balancer.interface import NEVER_RAN, RosterForm, Status
 from otterreach.balancer.limits import STRAIN_ALPHA, Limits
 from otterreach.balancer.retries import Retries
--- a/otterreach/balancer/retries.py
+++ b/otterreach/balancer/retries.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from otterreach.balancer import interface as api
+import otterreach.balancer.interface as api
 from otterreach.balancer.interface import Effect
 from otterreach.balancer.state import Endpoint, Pending, State
 
@@ -46,8 +46,11 @@
         return ([e for e in ready if e.id not in tried] or ready) if tried else ready
 
     def _patience(self, req: Pending, usual: float) -> int:
-        """How long an attempt may take before another is made; 0: as long as there is. Danger: at a silent
-        endpoint, or where answers are lost, it would use up all the time there was to recover in."""
+        """How long an attempt may take before another is made; 0: as long as there is.
+
+        Danger: at a silent endpoint, or where answers are lost, it would use up all the time there was to
+        recover in.
+        """
         early = int(PATIENCE * usual)
         s = self.settings
         fits = self.now + early + AMPLE * usual < req.aim and len(req.attempts) + 1 < s.attempts_cap
--- a/otterreach/balancer/routing.py
+++ b/otterreach/balancer/routing.py
@@ -8,7 +8,7 @@
 
 from math import exp2
 
-from otterreach.balancer import interface as api
+import otterreach.balancer.interface as api
 from otterreach.balancer.draw import draw, mix
 from otterreach.balancer.interface import EndpointState, RosterForm, Status
 from otterreach.balancer.state import MAX_SLOWDOWN, Attempt, Endpoint, Pending, Rate, State
@@ -109,8 +109,11 @@
         return queue if queue > out else out
 
     def _slowdown(self, e: Endpoint, cls: int | None = None) -> float:
-        """x_i, fading toward the fleet's mean so that one bad sample cannot starve an endpoint. Danger: one
-        that fails a class and serves the others looks well by its mean: what its class knows comes first."""
+        """x_i, fading toward the fleet's mean so that one bad sample cannot starve an endpoint.
+
+        Danger: one that fails a class and serves the others looks well by its mean: what its class knows
+        comes first.
+        """
         slow = self.kind_slow.get(e.kind) or self.mean_weight / e.weight  # _typical, without a call
         slow += (e.slow - slow) * exp2((e.slow_at - self.now) / self.forget_ns) if e.slow_at else 0
         if cls in e.by_class:
@@ -130,10 +133,13 @@
         return self.ready[: FEWEST + int(self.asked.read(self.now) * self.forget_ns)]
 
     def _cap_cold(self, candidates: list[Endpoint], odds: list[float]) -> float:
-        """Danger: a cold endpoint sent too much falls over and stays down. Its share of a sidecar's draws is
-        capped at a multiple of the part that it would bear were all alike, so the fleet's sum is capped too,
-        however little each sends. A share of what is answered: sent, it may be any amount. Returns the odds
-        of sending nowhere, where all are cold."""
+        """Cap the odds of cold endpoints: one that is sent too much falls over and stays down.
+
+        Its share of a sidecar's draws is capped at a multiple of the part that it would bear were all alike,
+        so the fleet's sum is capped too, however little each sends. A share of what is answered: sent, it may
+        be any amount.
+        Returns the odds of sending nowhere, where all are cold.
+        """
         s = self.settings
         total = sum(odds)
         size = sum(e.weight * (e.ramp if self.now < e.warm_at else 1.0) for e in candidates) or 1.0
--- a/otterreach/balancer/simhost.py
+++ b/otterreach/balancer/simhost.py
@@ -6,8 +6,8 @@
 import sys
 from typing import BinaryIO
 
-from otterreach.balancer import interface as api
-from otterreach.balancer import wire
+import otterreach.balancer.interface as api
+import otterreach.balancer.wire as wire
 from otterreach.balancer.logic import Balancer
 
 
--- a/otterreach/balancer/state.py
+++ b/otterreach/balancer/state.py
@@ -5,7 +5,7 @@
 from math import exp2
 from random import Random
 
-from otterreach.balancer import interface as api
+import otterreach.balancer.interface as api
 from otterreach.balancer.interface import EndpointState
 
 MAX_SLOWDOWN = 50.0  # bound on one sample, in usual response times: one stall must not starve for ever
--- a/otterreach/balancer/wire.py
+++ b/otterreach/balancer/wire.py
@@ -7,7 +7,7 @@
 from math import log2
 from typing import NamedTuple, Union
 
-from otterreach.balancer import interface as api
+import otterreach.balancer.interface as api
 
 BATCH_HEADER = struct.Struct("<IIQ")
 CLOCK_BYTES = 8  # the clock follows the length field and is counted by it
--- a/otterreach/cli/configuration_commands.py
+++ b/otterreach/cli/configuration_commands.py
@@ -72,7 +72,8 @@
     for failure in (body, current):
         if isinstance(failure, Failure):
             return fail(failure)
-    assert isinstance(body, bytes) and not isinstance(current, Failure)
+    assert isinstance(body, bytes)
+    assert not isinstance(current, Failure)
     try:
         new = json.loads(body)
     except ValueError as error:
--- a/otterreach/cli/data.py
+++ b/otterreach/cli/data.py
@@ -18,7 +18,7 @@
 from otterreach.jobstore.partition_replica import PartitionReplica
 from otterreach.jobstore.placement import PARTITIONS
 from otterreach.runtime.codec import MessageError, decode_as
-from otterreach.runtime.journal_format import HEADER, MAX_RECORD_BYTES, JournalDamaged, pack, scan
+from otterreach.runtime.journal_format import HEADER, MAX_RECORD_BYTES, JournalDamagedError, pack, scan
 from otterreach.runtime.store import Item, ReplicatedStore
 
 CONTROL = "control"
@@ -87,7 +87,7 @@
         return Verdict(ExitCode.DATA_MISSING, f"{path}: {error.strerror}")
     try:
         records, end = scan(data)
-    except JournalDamaged as error:
+    except JournalDamagedError as error:
         count = sum(1 for _ in walk(data))
         return Verdict(ExitCode.DATA_DAMAGED, f"{path}: damaged: {error}", count)
     if end < len(data):
--- a/otterreach/controller/membership.py
+++ b/otterreach/controller/membership.py
@@ -1,5 +1,7 @@
-"""Who is in the configuration: the primary replaces lost backups, adds joiners and removes silent witnesses; a
-controller outside asks to join."""
+"""Who is in the configuration.
+
+The primary replaces lost backups, adds joiners and removes silent witnesses; a controller outside asks to join.
+"""
 
 from __future__ import annotations
 
--- a/otterreach/controller/messages.py
+++ b/otterreach/controller/messages.py
@@ -64,7 +64,7 @@
 @message(28)
 @dataclass(slots=True)
 class IdentityRequest(Request[IdentityReply]):
-    """Among seeds, before the very first configuration: who are you?"""
+    """Asks a seed for its identity, before the very first configuration."""
 
     node: str
 
--- a/otterreach/controller/planner.py
+++ b/otterreach/controller/planner.py
@@ -195,7 +195,7 @@
 
 
 def _balance(records: Records, limits: SurviveLimits, stores: StoreMembers, moves: int) -> Records:
-    load = Counter({member: 0 for member in stores.usable})
+    load = Counter(dict.fromkeys(stores.usable, 0))
     load.update(member for record in records.values() for member in record.replicas)
     changes: Records = {}
     for number, record in sorted(records.items()):
@@ -244,7 +244,7 @@
 
 def _balance_primaries(records: Records, stores: StoreMembers) -> Records:
     """Primaries do most of the work: at most one changes places with a backup at a time."""
-    primaries = Counter({member: 0 for member in stores.usable})
+    primaries = Counter(dict.fromkeys(stores.usable, 0))
     primaries.update(record.primary for record in records.values())
     for number, record in sorted(records.items()):
         for backup in record.backups:
--- a/otterreach/controller/replication.py
+++ b/otterreach/controller/replication.py
@@ -1,5 +1,7 @@
-"""Replication of the control state among controllers: epochs, a primary, backups that have every write before it is
-answered, and witnesses that keep only epochs (docs/system.md, "Epochs of the controllers").
+"""Replication of the control state among controllers.
+
+Epochs, a primary, backups that have every write before it is answered, and witnesses that keep only epochs
+(docs/system.md, "Epochs of the controllers").
 
 No clock is trusted for safety: every write waits for every backup, and one promise by one member ends an epoch.
 """
@@ -47,7 +49,7 @@
         journal: Journal,
         follower: Follower,
         random: Random,
-        leadership_changed: Callable[[bool], None] = lambda is_primary: None,
+        leadership_changed: Callable[[bool], None] = lambda _: None,
     ) -> None:
         """:param leadership_changed: called when this controller becomes primary (True) and when it no longer is."""
         self.settings = settings
--- a/otterreach/controller/survival.py
+++ b/otterreach/controller/survival.py
@@ -127,8 +127,9 @@
         return list(candidates)
     options: list[list[str]] = []
     for zone_cap in range(1, len(candidates) + 1):
-        for region_cap in range(zone_cap, len(candidates) + 1):
-            options.append(_capped(candidates, domains, zone_cap, region_cap))
+        options.extend(
+            _capped(candidates, domains, zone_cap, region_cap) for region_cap in range(zone_cap, len(candidates) + 1)
+        )
 
     def preference(option: list[str]) -> tuple[int, int]:
         return -len(unmet_by_voters([domains[voter] for voter in option], limits)), len(option)
--- a/otterreach/jobstore/placement.py
+++ b/otterreach/jobstore/placement.py
@@ -16,8 +16,10 @@
 
 
 def choose_runners(slots: Mapping[str, int], server_slots: int) -> list[str]:
-    """The proxies that run items: the first ones of an order that all job store nodes share, as many as fill the
-    servers' slots. Few proxies need few connections to a server, and each sees more of its load.
+    """The proxies that run items.
+
+    The first ones of an order that all job store nodes share, as many as fill the servers' slots. Few proxies need few
+    connections to a server, and each sees more of its load.
 
     :param slots: of the proxies that are alive, by node: the items that each may run at once
     """
--- a/otterreach/loadtest/machines.py
+++ b/otterreach/loadtest/machines.py
@@ -1,5 +1,7 @@
-"""The system's own processes on loopback addresses: settings, start, troubles, end. Only processes started here are
-signalled, by their id."""
+"""The system's own processes on loopback addresses: settings, start, troubles, end.
+
+Only processes started here are signalled, by their id.
+"""
 
 from __future__ import annotations
 
@@ -86,7 +88,7 @@
             "ip": self.ip,
             "az": self.zone,
             "region": REGION,
-            "zones": {zone: REGION for zone in plan.zones},
+            "zones": dict.fromkeys(plan.zones, REGION),
             "binds": binds,
             "portRange": PORTS,
             "peers": seeds,
@@ -109,7 +111,7 @@
             self.disk.mkdir(parents=True, exist_ok=True)
         logs = self.folder / "logs"
         logs.mkdir(parents=True, exist_ok=True)
-        paths = os.pathsep.join(path or os.getcwd() for path in sys.path)
+        paths = os.pathsep.join(path or str(Path.cwd()) for path in sys.path)
         environment = {**os.environ, VARIABLE: str(self.file), "PYTHONPATH": paths}
         with (logs / f"{self.name}.log").open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
--- a/otterreach/loadtest/scene.py
+++ b/otterreach/loadtest/scene.py
@@ -72,7 +72,7 @@
     versions: dict[str, int] = field(default_factory=dict)  # the newest that a trainer has named, by model
     counts: Counter[str] = field(default_factory=Counter)
     stopping: bool = False
-    tell: Callable[[str], None] = lambda line: None
+    tell: Callable[[str], None] = lambda _: None
 
     def ident(self, prefix: str = "") -> str:
         """A new id, 16 hex digits."""
--- a/otterreach/loadtest/trainer.py
+++ b/otterreach/loadtest/trainer.py
@@ -93,7 +93,9 @@
 
     def take(self, past: int, body: bytes, now: float) -> int | None:
         """An answer to a read from position `past`: what it shows must be what was there before, and more.
-        The position behind it, or None if it can't be read."""
+
+        The position behind it, or None if it can't be read.
+        """
         try:
             answer = json.loads(body)
             total = int(answer["total"])
--- a/otterreach/proxy/draw.py
+++ b/otterreach/proxy/draw.py
@@ -110,8 +110,10 @@
         estimate.half_life_s = HALF_LIFE_S
 
     def expected(self, estimates: Sequence[Estimate], now: float, proxies: int = 0) -> list[float]:
-        """w_i of each; one not yet is_known from takes the mean x of the others, and its own load. `proxies`: that send
-        there, if not all."""
+        """w_i of each; one not yet is_known from takes the mean x of the others, and its own load.
+
+        `proxies`: that send there, if not all.
+        """
         is_known = [e.slowness for e in estimates if e.is_known]
         mean = sum(is_known) / len(is_known) if is_known else 1.0
         proxies = proxies or self.proxies
--- a/otterreach/proxy/events.py
+++ b/otterreach/proxy/events.py
@@ -87,8 +87,11 @@
         return b"\n".join(self._data)
 
     def take(self, event: Event) -> bool:
-        """Whether it is the next one; any other spoils the run. Danger: an event that is here already means that the
-        server did not go on where it was asked to, so what follows belongs to another run."""
+        """Whether it is the next one; any other spoils the run.
+
+        Danger: an event that is here already means that the server did not go on where it was asked to, so what follows
+        belongs to another run.
+        """
         if event.version is not None:
             self.version = event.version
         joins = not self._data or event.ident == (None if self.last is None else self.last + 1)
--- a/otterreach/proxy/fleet.py
+++ b/otterreach/proxy/fleet.py
@@ -176,8 +176,10 @@
     def allowed(
         self, route: Route, tried: Collection[str] = (), fits: Callable[[Server], bool] | None = None
     ) -> list[Server]:
-        """The servers that configuration and list allow for the route, by the weights of a split; those already
-        tried only if there are no others."""
+        """The servers that configuration and list allow for the route, by the weights of a split.
+
+        Those already tried only if there are no others.
+        """
         by_service: dict[str, list[Server]] = {}
         for server in self.servers.values():
             if server.open and server.pool.room and (fits is None or fits(server)):
--- a/otterreach/proxy/ingress.py
+++ b/otterreach/proxy/ingress.py
@@ -70,8 +70,11 @@
         return self._closing or self._transport is None or self._transport.is_closing()
 
     def has_left(self) -> bool:
-        """The client has gone. Danger: after a stand-still of this process its end waits in the kernel, behind its
-        request, and what it asked would still be sent on."""
+        """The client has gone.
+
+        Danger: after a stand-still of this process its end waits in the kernel, behind its request, and what it asked
+        would still be sent on.
+        """
         return self.is_closed or self.ended
 
     @property
@@ -214,8 +217,11 @@
             self._transport.abort()
 
     def _reject(self, status: int) -> None:
-        """An error of the client, and the end of the connection. Danger: closing with input unread resets it,
-        and the client never reads the answer. So end our side, and wait for the client's end a little."""
+        """An error of the client, and the end of the connection.
+
+        Danger: closing with input unread resets it, and the client never reads the answer. So end our side, and wait
+        for the client's end a little.
+        """
         self._queue.clear()
         if self._transport and not self._closing:
             self._transport.write(http1.encode_response(status, close=True))
--- a/otterreach/proxy/item_placement.py
+++ b/otterreach/proxy/item_placement.py
@@ -69,8 +69,11 @@
         return ""
 
     def _share_of(self, server: Server) -> int:
-        """How many this proxy may have there at once. Danger: after a change of version one server may be the only
-        one that fits, and all proxies would fill its queue."""
+        """How many this proxy may have there at once.
+
+        Danger: after a change of version one server may be the only one that fits, and all proxies would fill its
+        queue.
+        """
         share = ceil(server.cap * OVERCOMMIT / self.fleet.runners)
         return min(server.cap, max(MIN_PER_SERVER, share))
 
--- a/otterreach/runtime/configuration.py
+++ b/otterreach/runtime/configuration.py
@@ -155,16 +155,16 @@
     services: dict[str, Service] = field(default_factory=dict)
     routes: list[Route] = field(default_factory=list)
     item_services: frozenset[str] = frozenset()  # that items of batch jobs may go to
-    _by_host: dict[str, list[Route]] = field(default_factory=dict)  # the longest prefix first
-    _by_name: dict[str, Route] = field(default_factory=dict)
+    by_host: dict[str, list[Route]] = field(default_factory=dict)  # the longest prefix first
+    by_name: dict[str, Route] = field(default_factory=dict)
 
     def route_named(self, name: str) -> Route | None:
         """The route of that name."""
-        return self._by_name.get(name)
+        return self.by_name.get(name)
 
     def route(self, host: str, path: str) -> Route | None:
         """The route of a request: its host, and the longest prefix that begins its path."""
-        for route in self._by_host.get(host_key(host), ()):
+        for route in self.by_host.get(host_key(host), ()):
             if path.startswith(route.prefix):
                 return route
         return None
@@ -188,6 +188,6 @@
     rollout_routes = [route for route in configuration.routes if route.kind == ROLLOUT]
     configuration.item_services = frozenset(name for route in rollout_routes for name, _ in route.split)
     for route in sorted(configuration.routes, key=lambda route: -len(route.prefix)):
-        configuration._by_host.setdefault(route.host, []).append(route)
-    configuration._by_name = {route.name: route for route in configuration.routes}
+        configuration.by_host.setdefault(route.host, []).append(route)
+    configuration.by_name = {route.name: route for route in configuration.routes}
     return configuration
--- a/otterreach/runtime/journal.py
+++ b/otterreach/runtime/journal.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.journal_format import JournalDamaged, Record, end_of_records, pack, records_up_to
+from otterreach.runtime.journal_format import JournalDamagedError, Record, end_of_records, pack, records_up_to
 from otterreach.runtime.log import log
 
 READ_BUFFER_BYTES = 256 * 1024
@@ -137,7 +137,7 @@
         """Open the file for appending, its torn tail cut off.
 
         :returns: its records, read as they are asked for, which has to be before the first rewrite
-        :raises JournalDamaged: a record that had been synced can't be read
+        :raises JournalDamagedError: a record that had been synced can't be read
         :raises OSError: the disk failed
         """
         self.path.parent.mkdir(parents=True, exist_ok=True)
@@ -148,14 +148,14 @@
 
     def _end_of_records(self) -> int:
         size = self.path.stat().st_size
-        with open(self.path, "rb", READ_BUFFER_BYTES) as file:
+        with self.path.open("rb", READ_BUFFER_BYTES) as file:
             end = end_of_records(file, size)
         if end < size:
             log("journal_tail_cut", level="WARNING", file=self.path.name, bytes=size - end)
         return end
 
     def _records(self, end: int) -> Iterator[Record]:
-        with open(self.path, "rb", READ_BUFFER_BYTES) as file:
+        with self.path.open("rb", READ_BUFFER_BYTES) as file:
             yield from records_up_to(file, end)
 
     def _open(self, end: int) -> None:
@@ -323,7 +323,7 @@
     journal = Journal(path)
     try:
         return journal, journal.open()
-    except JournalDamaged as error:
+    except JournalDamagedError as error:
         log("journal_damaged", level="ERROR", file=path.name, error=error)
         path.rename(path.with_name(path.name + ".damaged"))
         return journal, journal.open()
--- a/otterreach/runtime/journal_format.py
+++ b/otterreach/runtime/journal_format.py
@@ -23,7 +23,7 @@
 Record = tuple[int, bytes]  # kind, payload
 
 
-class JournalDamaged(Exception):
+class JournalDamagedError(Exception):
     """A record that had been synced can't be read any more."""
 
 
@@ -35,13 +35,13 @@
 
 
 def scan(data: bytes) -> tuple[list[Record], int]:
-    """The complete records from the start, and where they end. Raises JournalDamaged."""
+    """The complete records from the start, and where they end. Raises JournalDamagedError."""
     end = end_of_records(io.BytesIO(data), len(data))
     return list(records_up_to(io.BytesIO(data), end)), end
 
 
 def end_of_records(file: BinaryIO, size: int) -> int:
-    """Where the complete records of a file end. One record at a time is in memory. Raises JournalDamaged."""
+    """Where the complete records of a file end. One record at a time is in memory. Raises JournalDamagedError."""
     position = 0
     while (found := _read_record(file, size - position)) is not None:
         position += HEADER.size + len(found.payload)
@@ -75,7 +75,7 @@
             continue
         file.seek(later)
         if (found := _read_record(file, size - later)) is not None:
-            raise JournalDamaged(f"record at byte {end} is bad, though {found.synced} bytes had been synced")
+            raise JournalDamagedError(f"record at byte {end} is bad, though {found.synced} bytes had been synced")
 
 
 def _read_record(file: BinaryIO, left: int) -> _FoundRecord | None:
--- a/otterreach/runtime/node.py
+++ b/otterreach/runtime/node.py
@@ -9,6 +9,7 @@
 import zlib
 from collections.abc import Callable, Coroutine
 from dataclasses import dataclass
+from pathlib import Path
 from random import Random, SystemRandom
 from typing import Any
 
@@ -180,7 +181,7 @@
         while True:
             await asyncio.sleep(SETTINGS_CHECK_S)
             try:
-                changed = os.stat(path).st_mtime_ns
+                changed = Path(path).stat().st_mtime_ns
             except OSError:
                 continue
             if changed != last_change:
--- a/otterreach/runtime/settings.py
+++ b/otterreach/runtime/settings.py
@@ -158,7 +158,7 @@
         raise SettingsError(f"setting (file): {VARIABLE} is not set")
     loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
     try:
-        with open(name, encoding="utf-8") as file:
+        with Path(name).open(encoding="utf-8") as file:
             raw = yaml.load(file, Loader=loader)
     except (OSError, UnicodeDecodeError, yaml.YAMLError) as error:
         raise SettingsError(f"setting (file): {name}: {error}") from None
--- a/otterreach/scaletest/cost.py
+++ b/otterreach/scaletest/cost.py
@@ -90,7 +90,7 @@
 
 
 async def costs(servers: int, fronts: int) -> dict[str, float]:
-    """ms for one step at a size."""
+    """Ms for one step at a size."""
     store = store_of(servers, fronts)
     kinds: tuple[type[Record], ...] = (ServerRecord, OrderLeaseRecord, MemberRecord)
     for kind in kinds:
--- a/otterreach/scaletest/hollow.py
+++ b/otterreach/scaletest/hollow.py
@@ -1,7 +1,8 @@
-"""Hollow processes: many sidecars, or many servers, in one process. A hollow front has the real node (relay, store,
-announcements, heartbeats) and pings job store nodes as a proxy does; it takes no requests. A hollow server only sends
-its heartbeats over HTTP. What they see they tell as JSON lines on standard output; orders come as lines on standard
-input.
+"""Hollow processes: many sidecars, or many servers, in one process.
+
+A hollow front has the real node (relay, store, announcements, heartbeats) and pings job store nodes as a proxy does; it
+takes no requests. A hollow server only sends its heartbeats over HTTP. What they see they tell as JSON lines on
+standard output; orders come as lines on standard input.
 """
 
 from __future__ import annotations
--- a/otterreach/scaletest/processes.py
+++ b/otterreach/scaletest/processes.py
@@ -35,7 +35,9 @@
     times = (proc / "stat").read_text().rpartition(")")[2].split()
     status = (proc / "status").read_text().splitlines()
     resident = next((int(row.split()[1]) for row in status if row.startswith("VmRSS")), 0)
-    return Used((int(times[11]) + int(times[12])) / TICKS_PER_S, resident / 1024, len(os.listdir(proc / "fd")))
+    return Used(
+        (int(times[11]) + int(times[12])) / TICKS_PER_S, resident / 1024, sum(1 for _ in (proc / "fd").iterdir())
+    )
 
 
 class Child:
@@ -53,7 +55,7 @@
         return self.folder / f"{self.name}.meter"
 
     async def start(self, arguments: list[str], settings: Path | None, hear: Hear | None) -> None:
-        paths = os.pathsep.join(path or os.getcwd() for path in sys.path)
+        paths = os.pathsep.join(path or str(Path.cwd()) for path in sys.path)
         environment = {**os.environ, "PYTHONPATH": paths, meter.VARIABLE: str(self.meter)}
         if settings:
             environment[VARIABLE] = str(settings)
@@ -73,7 +75,8 @@
             self._reading = asyncio.ensure_future(self._read(hear))
 
     async def _read(self, hear: Hear) -> None:
-        assert self.process and self.process.stdout
+        assert self.process
+        assert self.process.stdout
         while row := await self.process.stdout.readline():
             if row.startswith(b"{"):
                 hear(json.loads(row))
--- a/otterreach/scaletest/table.py
+++ b/otterreach/scaletest/table.py
@@ -65,8 +65,10 @@
 
 
 def slope(small: tuple[float, float], large: tuple[float, float]) -> tuple[float, float]:
-    """(value at nothing, growth for each one) of the line through two points (count, value); of the same count: their
-    mean, no growth."""
+    """(value at nothing, growth for each one) of the line through two points (count, value).
+
+    Of the same count: their mean, no growth.
+    """
     (x0, y0) = small
     (x1, y1) = large
     if x0 == x1:
--- a/otterreach/sidecar/__main__.py
+++ b/otterreach/sidecar/__main__.py
@@ -30,8 +30,10 @@
 
 
 class Signals:
-    """What the platform asks for while the program runs. They exist before anything else does, so that a
-    SIGHUP at an awkward moment waits instead of killing the process."""
+    """What the platform asks for while the program runs.
+
+    They exist before anything else does, so that a SIGHUP at an awkward moment waits instead of killing the process.
+    """
 
     def __init__(self) -> None:
         self.stop = asyncio.Event()
@@ -79,8 +81,11 @@
 
 
 def _longest_wait(settings: Settings) -> float:
-    """Between two calls to discovery. Where lists are pushed, all that it has counts as told when it is back;
-    where they are asked for, the settings say how long the last call is good for."""
+    """Between two calls to discovery.
+
+    Where lists are pushed, all that it has counts as told when it is back; where they are asked for, the settings say
+    how long the last call is good for.
+    """
     bound_ns = settings.drain_grace_ns if settings.discovery == "push" else settings.ask_within_ns
     return max(FIRST_WAIT_S, bound_ns / 1e9 * WAIT_SHARE)
 
--- a/otterreach/sidecar/config.py
+++ b/otterreach/sidecar/config.py
@@ -7,6 +7,7 @@
 import time
 from collections.abc import Mapping
 from dataclasses import dataclass
+from pathlib import Path
 from typing import Any, NamedTuple
 
 from otterreach.balancer import Settings, SettingsError
@@ -47,8 +48,10 @@
 
 @dataclass(frozen=True)
 class Names:
-    """Places of names in the settings' lists. An unknown zone, kind or tenant gets the place past the end:
-    the module then treats it as none that it knows."""
+    """Places of names in the settings' lists.
+
+    An unknown zone, kind or tenant gets the place past the end: the module then treats it as none that it knows.
+    """
 
     classes: dict[str, int]
     tenants: dict[str, int]
@@ -129,7 +132,7 @@
 
 def _read(path: str) -> dict[str, Any]:
     try:
-        with open(path, "rb") as file:
+        with Path(path).open("rb") as file:
             raw = json.load(file)
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"LB_CONFIG: {error}") from None
--- a/otterreach/sidecar/discovery.py
+++ b/otterreach/sidecar/discovery.py
@@ -75,8 +75,10 @@
             self._take(line)
 
     def _begins_anew(self, line: bytes) -> bool:
-        """Danger: a list that was cut off would swallow all that follow. A brace at the margin is the next
-        one's where it can't go on the lines before, or is a whole list."""
+        """Danger: a list that was cut off would swallow all that follow.
+
+        A brace at the margin is the next one's where it can't go on the lines before, or is a whole list.
+        """
         return not self._goes_on() or "members" in (_object(line) or ())
 
     def _goes_on(self) -> bool:
@@ -129,8 +131,10 @@
         self._turn: asyncio.Task[None] | None = None
 
     def move(self, address: Address) -> None:
-        """Watch at another address from now on, without waiting for the old one to end, nor for the time
-        that its failures would have cost."""
+        """Watch at another address from now on.
+
+        Neither the watch that ends nor the pause after its failures is waited for.
+        """
         if address == self._address:
             return
         print("discovery: now at {}:{}".format(*address), file=sys.stderr)
@@ -192,8 +196,10 @@
             writer.transport.abort()
 
     async def _read(self, reader: asyncio.StreamReader, answered: bool) -> bytes:
-        """Danger: a discovery that answers, but slowly, would be asked anew each time just before it does and
-        never tell. So a call given up lends the next one patience, until one is answered."""
+        """Read what the discovery service sends next; a read that is given up lets the next one wait longer.
+
+        A service that answers slowly would otherwise be asked anew each time just before its answer.
+        """
         patience_s = SILENCE_S if answered else max(SILENCE_S, self._patience_s)
         try:
             async with asyncio.timeout(patience_s):
--- a/otterreach/sidecar/endpoints.py
+++ b/otterreach/sidecar/endpoints.py
@@ -1,5 +1,8 @@
-"""Connections to endpoints. An attempt ends in exactly one status, and that status never says 'not run'
-of what may have run. Nothing here sends anything twice."""
+"""Connections to endpoints.
+
+An attempt ends in exactly one status, and that status never says 'not run' of what may have run. Nothing here sends
+anything twice.
+"""
 
 from __future__ import annotations
 
@@ -104,8 +107,11 @@
             connection.discard()
 
     def retire(self) -> None:
-        """Drained, gone or replaced. Danger: an attempt that waits for a connection would arrive after the
-        news; it has not been sent, so the module may place it anew."""
+        """Drained, gone or replaced.
+
+        Danger: an attempt that waits for a connection would arrive after the news; it has not been sent, so the module
+        may place it anew.
+        """
         self.open_to_new = False
         self.close_idle()
         for attempt in list(self.waiting):
@@ -133,9 +139,11 @@
         self._write(data)
 
     def suspect(self, since_ns: int) -> None:
-        """Danger: a machine that vanished leaves its connections open. A request written to an idle one
-        would be lost to a time-out, or to a reset when the machine is back, and an unsafe one with it; a
-        new connection that does not come up proves that nothing ran."""
+        """Danger: a machine that vanished leaves its connections open.
+
+        A request written to an idle one would be lost to a time-out, or to a reset when the machine is back, and an
+        unsafe one with it; a new connection that does not come up proves that nothing ran.
+        """
         if self._pool.heard_ns < since_ns:
             self._pool.close_idle()
 
@@ -258,9 +266,11 @@
         task.add_done_callback(self._tasks.discard)
 
     def _rested(self, pool: Pool) -> Connection | None:
-        """The idle connection used last that has rested. Danger: some answers bring a second copy or noise
-        right behind. Read as the answer to the next request it would be served to the wrong client; so the
-        connection shows first that nothing more comes."""
+        """The idle connection used last that has rested.
+
+        Danger: some answers bring a second copy or noise right behind. Read as the answer to the next request it would
+        be served to the wrong client; so the connection shows first that nothing more comes.
+        """
         latest = time.monotonic() - self._rest_s
         for n in reversed(range(len(pool.idle))):
             if pool.idle[n].idle_since <= latest:
@@ -294,8 +304,11 @@
             self._start(connection, pool, attempt)
 
     def _start(self, connection: Connection, pool: Pool, attempt: Attempt) -> None:
-        """The one place that writes. Danger: in a loop that is behind, the time may be up before its timer
-        runs, and the client gone with its end unread. Nobody would wait for this answer."""
+        """The one place that writes.
+
+        Danger: in a loop that is behind, the time may be up before its timer runs, and the client gone with its end
+        unread. Nobody would wait for this answer.
+        """
         left_ns = attempt.deadline_ns - time.monotonic_ns()
         if left_ns <= 0 or not attempt.wanted():
             self.release(connection, pool)
--- a/otterreach/sidecar/http1.py
+++ b/otterreach/sidecar/http1.py
@@ -51,8 +51,11 @@
 
 
 class _Message:
-    """What both directions collect, within bounds. Danger: the parser gathers a header's name and value
-    before it tells of them, so what counts is the bytes that went in, not those that came out."""
+    """What both directions collect, within bounds.
+
+    Danger: the parser gathers a header's name and value before it tells of them, so what counts is the bytes that went
+    in, not those that came out.
+    """
 
     __slots__ = ("ambiguous", "body", "body_size", "bounds", "head_size", "headers", "in_head", "raw_size")
 
@@ -200,9 +203,11 @@
 
 
 class ResponseParser:
-    """Bytes in, one response out; a body may be handed on as it comes (discovery's watch). `on_head` is told
-    the status and the headers of the answer. `must_frame`: a body that only the connection's end would end
-    is broken, also where it is handed on."""
+    """Bytes in, one response out; a body may be handed on as it comes (discovery's watch).
+
+    `on_head` is told the status and the headers of the answer. `must_frame`: a body that only the connection's end
+    would end is broken, also where it is handed on.
+    """
 
     def __init__(
         self,
@@ -239,8 +244,10 @@
         return None if self.broken else self.response
 
     def end(self) -> Response | None:
-        """The connection has ended in order: with no framing, that is what ends the body. Danger: so does
-        being cut short, and the two look alike. Only what serves nobody may end like this."""
+        """The connection has ended in order: with no framing, that is what ends the body.
+
+        Danger: so does being cut short, and the two look alike. Only what serves nobody may end like this.
+        """
         message = self._message
         if self.response is None and self.status > HTTPStatus.OK and not message.framed and not self.broken:
             self.response = Response(self.status, message.headers, b"".join(message.body), False)
--- a/otterreach/sidecar/server.py
+++ b/otterreach/sidecar/server.py
@@ -44,7 +44,7 @@
 PLAIN = re.compile(rb"[!-~]{1,200}")  # nothing else goes into an endpoint's head
 
 
-class BadCall(ValueError):
+class InvalidCallError(ValueError):
     """A well-formed request that asks for nothing we have; carries the status to answer."""
 
     def __init__(self, status: HTTPStatus, text: str) -> None:
@@ -53,27 +53,27 @@
 
 
 def read_call(request: http1.Request, names: Names, settings: Settings) -> Call:
-    """A request in the module's terms, or BadCall: what does not fit the protocol is not passed on."""
+    """A request in the module's terms, or InvalidCallError: what does not fit the protocol is not passed on."""
     if request.method not in (b"GET", b"POST"):
-        raise BadCall(HTTPStatus.METHOD_NOT_ALLOWED, "GET and POST are served")
+        raise InvalidCallError(HTTPStatus.METHOD_NOT_ALLOWED, "GET and POST are served")
     parts = [part for part in request.target.partition(b"?")[0].split(b"/") if part]
     name = parts[0] if parts else b""
     cls = names.classes.get((unquote_to_bytes(name) if b"%" in name else name).decode("latin-1"))
     if cls is None:
-        raise BadCall(HTTPStatus.NOT_FOUND, "no such class of requests")
+        raise InvalidCallError(HTTPStatus.NOT_FOUND, "no such class of requests")
     headers = request.headers
     effect = settings.classes[cls].effect
     keyed = len(parts) > 1 and (settings.warm_keys or settings.classes[cls].in_order)
     if not PLAIN.fullmatch(headers.get(b"x-trace-id", b"")):
-        raise BadCall(HTTPStatus.BAD_REQUEST, "X-Trace-Id is missing, or no plain text")
+        raise InvalidCallError(HTTPStatus.BAD_REQUEST, "X-Trace-Id is missing, or no plain text")
     if (request.method == b"GET") is not (effect is Effect.REPEATABLE):
-        raise BadCall(HTTPStatus.METHOD_NOT_ALLOWED, "this class is asked for in another way")
+        raise InvalidCallError(HTTPStatus.METHOD_NOT_ALLOWED, "this class is asked for in another way")
     if request.method == b"GET" and request.body:
-        raise BadCall(HTTPStatus.BAD_REQUEST, "GET has no body")
+        raise InvalidCallError(HTTPStatus.BAD_REQUEST, "GET has no body")
     if effect is not Effect.REPEATABLE:
         key = headers.get(b"idempotency-key")
         if (key is None) is (effect is Effect.BY_KEY) or key is not None and not PLAIN.fullmatch(key):
-            raise BadCall(HTTPStatus.BAD_REQUEST, "Idempotency-Key does not fit the class")
+            raise InvalidCallError(HTTPStatus.BAD_REQUEST, "Idempotency-Key does not fit the class")
     left_ns = settings.classes[cls].deadline_ns
     if (left_ms := _number(headers, b"x-expires-in-ms")) is not None:
         left_ns = min(left_ms, LONGEST_WAIT_MS) * 1_000_000
@@ -94,7 +94,7 @@
     if value is None:
         return None
     if not value.isdigit() or len(value) > 18:
-        raise BadCall(HTTPStatus.BAD_REQUEST, f"{name.decode()} is no whole number")
+        raise InvalidCallError(HTTPStatus.BAD_REQUEST, f"{name.decode()} is no whole number")
     return int(value)
 
 
@@ -196,7 +196,7 @@
         try:
             call = read_call(request, self._server.names, self._server.settings)
             self._take_trace_id(request.headers[b"x-trace-id"])
-        except BadCall as error:
+        except InvalidCallError as error:
             self._reject(Answer(error.status, f"{error}\n".encode()))
             return
         now = time.monotonic_ns()
@@ -208,10 +208,12 @@
             self._current = current
 
     def _take_trace_id(self, trace_id: bytes) -> None:
-        """Danger: with the id of another's open request one client could be served the other's answer, or
-        make an endpoint run one effect twice."""
+        """Register the id of a request; one that is open already is refused.
+
+        With the id of another, one client could get the other's answer, or an endpoint run one effect twice.
+        """
         if trace_id in self._server.open_ids:
-            raise BadCall(HTTPStatus.CONFLICT, "a request with this X-Trace-Id is open")
+            raise InvalidCallError(HTTPStatus.CONFLICT, "a request with this X-Trace-Id is open")
         self._trace_id = trace_id
         self._server.open_ids.add(trace_id)
 
@@ -240,9 +242,11 @@
         self._server.rest(self)
 
     def _reject(self, answer: Answer) -> None:
-        """An error, and the end of the connection: kept, it would bring the same again at once. Danger:
-        closing with input unread resets it, and the client never reads the answer. So end our side, and
-        wait for the client's end a little."""
+        """An error, and the end of the connection: kept, it would bring the same again at once.
+
+        Danger: closing with input unread resets it, and the client never reads the answer. So end our side, and wait
+        for the client's end a little.
+        """
         self._busy = False
         self._closing = True
         self._queue.clear()
@@ -257,8 +261,10 @@
             self.abort()
 
     def expire(self, now: float) -> None:
-        """No request is open here. Danger: what says nothing, stops halfway or goes on sending after its
-        error would hold a descriptor for ever."""
+        """No request is open here.
+
+        Danger: what says nothing, stops halfway or goes on sending after its error would hold a descriptor for ever.
+        """
         quiet = now - self.quiet_since
         if self._closing or self._stuck:
             if quiet > (UNREAD_S if self._stuck else LINGER_S):  # a slow reader still gets its answer
@@ -275,8 +281,11 @@
         return bool(self._transport and self._transport.get_write_buffer_size())
 
     def left(self) -> bool:
-        """The client has gone. Danger: while reading pauses, and in a loop that is behind, its end waits in
-        the kernel, maybe behind more requests, and what it asked would still be sent on."""
+        """The client has gone.
+
+        Danger: while reading pauses, and in a loop that is behind, its end waits in the kernel, maybe behind more
+        requests, and what it asked would still be sent on.
+        """
         return self._closing or self.ended
 
     def abort(self) -> None:
@@ -291,8 +300,11 @@
             self._transport.close()
 
     def leave(self, late: bool) -> None:
-        """The program ends. `late`: what has not asked by now, or not to the end, is waited for no longer.
-        Danger: a client sends again what crosses the end of a kept connection, not of a new one."""
+        """The program ends.
+
+        `late`: what has not asked by now, or not to the end, is waited for no longer. Danger: a client sends again what
+        crosses the end of a kept connection, not of a new one.
+        """
         if self.idle and (self.served or late):
             self.close_if_idle()
         elif late and self._parser.partial and not self.owed:
@@ -328,8 +340,10 @@
 
     @property
     def crowded(self) -> bool:
-        """Too near the limit on descriptors: the newest are sent away, for without any nothing works. Danger:
-        those at rest make room when they must. Counted here, they would have every request refused."""
+        """Too near the limit on descriptors: the newest are sent away, for without any nothing works.
+
+        Danger: those at rest make room when they must. Counted here, they would have every request refused.
+        """
         return len(self._working) > self._most
 
     def arrive(self, connection: ClientConnection) -> None:
@@ -397,9 +411,11 @@
         return True
 
     def _make_room(self) -> None:
-        """Danger: hundreds that connect and say nothing would crowd out those that ask. Whoever means to ask
-        does so at once: so the oldest that have not, then those longest at rest, and the newest only if
-        there is nothing else. One whose request waits unread is passed over."""
+        """Danger: hundreds that connect and say nothing would crowd out those that ask.
+
+        Whoever means to ask does so at once: so the oldest that have not, then those longest at rest, and the newest
+        only if there is nothing else. One whose request waits unread is passed over.
+        """
         latest = time.monotonic() - ASK_S
         silent = (c for c in self._unproven if c.quiet_since < latest)
         for connection in chain(islice(silent, LOOK), islice(self._kept, LOOK), islice(self._unproven, LOOK)):
@@ -430,8 +446,10 @@
                 connection.look()
 
     async def stop(self, accept_s: float, new_s: float, within_s: float) -> None:
-        """A planned restart: go on accepting for a while, answer what was taken, and end `within_s`. What
-        comes from now on gets its answer `new_s` from now at the latest."""
+        """A planned restart: go on accepting for a while, answer what was taken, and end `within_s`.
+
+        What comes from now on gets its answer `new_s` from now at the latest.
+        """
         loop = asyncio.get_running_loop()
         end = loop.time() + within_s
         loop.call_at(end, self.sidecar.answer_all)
--- a/otterreach/sidecar/sidecar.py
+++ b/otterreach/sidecar/sidecar.py
@@ -1,5 +1,7 @@
-"""The driver: events to the decision module, its actions to sockets and timers. It decides nothing; it
-knows who is still owed an answer."""
+"""The driver: events to the decision module, its actions to sockets and timers.
+
+It decides nothing; it knows who is still owed an answer.
+"""
 
 from __future__ import annotations
 
@@ -92,8 +94,10 @@
     # From the application -------------------------------------------------------------------------
 
     def take(self, call: Call, reply: Callable[[Answer], None], left: Callable[[], bool] = lambda: False) -> int:
-        """A request has come; `reply` is called once, maybe before this returns. `left` tells whether its
-        client has gone, which may be known before `client_gone` is called."""
+        """A request has come; `reply` is called once, maybe before this returns.
+
+        `left` tells whether its client has gone, which may be known before `client_gone` is called.
+        """
         self._next_request += 1
         request_id = self._next_request
         now = time.monotonic_ns()
@@ -117,8 +121,10 @@
 
     def listed(self, update: MemberList, form: RosterForm | None = None) -> None:
         """The connections learn of it first, so that nothing decided next reaches an endpoint that drains.
-        Danger: that ends attempts, and the module would place them anew by the list it had before; so it
-        hears of the list ahead of them."""
+
+        Danger: that ends attempts, and the module would place them anew by the list it had before; so it hears of the
+        list ahead of them.
+        """
         form = form or (RosterForm.FULL if update.complete else RosterForm.DELTA)
         self._handling = True
         try:
--- a/otterreach/sidecar/transport.py
+++ b/otterreach/sidecar/transport.py
@@ -1,6 +1,8 @@
-"""The TCP side of connections. To servers: what of a request has left, whether one at rest still stands, and a
-close that lets nothing more out. Of clients: what waits in the kernel. What is done with a connection, and when, is
-for who derives from these."""
+"""The TCP side of connections.
+
+To servers: what of a request has left, whether one at rest still stands, and a close that lets nothing more out. Of
+clients: what waits in the kernel. What is done with a connection, and when, is for who derives from these.
+"""
 
 from __future__ import annotations
 
@@ -46,8 +48,11 @@
         return self._transport is None or self._transport.is_closing()
 
     def fresh(self) -> bool:
-        """Danger: an idle connection may have been closed by the server a moment ago, with the news still
-        unread in the kernel. A request written to it would end as a reset, which proves nothing."""
+        """Whether the idle connection can still take a request.
+
+        The server may have closed it a moment ago, with that still unread in the kernel; a request written to
+        it would end as a reset, which proves nothing.
+        """
         return not self.closing and (self._poll is None or not self._poll.poll(0))
 
     def _write(self, data: bytes) -> None:
--- a/otterreach/simulation/explore.py
+++ b/otterreach/simulation/explore.py
@@ -153,8 +153,10 @@
         return True
 
     def _choices(self, model: Model, left: int) -> list[tuple[Event, int]]:
-        """Messages and syncs out of their order, and timers while there are any, cost a deviation; what clients and
-        faults do has bounds of its own."""
+        """Messages and syncs out of their order, and timers while there are any, cost a deviation.
+
+        What clients and faults do has bounds of its own.
+        """
         network = model.network()
         timers = model.timers()
         waiting = [*enumerate(network), *((min(1, len(network)), timer) for timer in timers)]
@@ -191,8 +193,10 @@
 
 @contextmanager
 def quiet() -> Iterator[None]:
-    """No log, ids in order, no collection of garbage in the middle of a run. Members promise at any time: how long one
-    that hears a primary refuses another is a matter of speed, not of safety."""
+    """No log, ids in order, no collection of garbage in the middle of a run.
+
+    Members promise at any time: how long one that hears a primary refuses another is a matter of speed, not of safety.
+    """
     ids = iter(range(10**9))
     logger: Any = _Silent()
     enabled = gc.isenabled()
--- a/otterreach/simulation/faults.py
+++ b/otterreach/simulation/faults.py
@@ -1,5 +1,8 @@
-"""What goes wrong in a run, drawn from the seed: episodes of trouble with calm after each, so that every promise with
-a time in it can be held against the clock. A plan is a list, so that a failing one can be made smaller."""
+"""What goes wrong in a run, drawn from the seed.
+
+Episodes of trouble with calm after each, so that every promise with a time in it can be held against the clock. A plan
+is a list, so that a failing one can be made smaller.
+"""
 
 from __future__ import annotations
 
@@ -74,6 +77,7 @@
     zone_loss: bool = False,
 ) -> Plan:
     """`names`: machines that count, of which `wipes` may lose their disks at once; `others`: those without a disk.
+
     `leader`: some faults are on the machine that leads at that time; `members`: some of the machines that count are
     replaced, or others join; `zone_loss`: all machines of a zone may be lost at once.
 
--- a/otterreach/simulation/invariants.py
+++ b/otterreach/simulation/invariants.py
@@ -1,5 +1,7 @@
-"""What has to hold of the controllers at each step, whoever asks: one primary for each number; every acknowledged
-change at each new primary; within one life no process' copy goes back."""
+"""What has to hold of the controllers at each step, whoever asks.
+
+One primary for each number; every acknowledged change at each new primary; within one life no process' copy goes back.
+"""
 
 from __future__ import annotations
 
@@ -140,8 +142,9 @@
         """Names of machines that may be lost together."""
         cores = self.world.of_role("core")
         losses = [set(names) for names in combinations([box.name for box in cores], self.world.survive)]
-        for zones in combinations(ZONES, self.world.survive_zones):
-            losses.append({box.name for box in cores if box.zone in zones})
+        losses.extend(
+            {box.name for box in cores if box.zone in zones} for zones in combinations(ZONES, self.world.survive_zones)
+        )
         return losses
 
     def check_end(self) -> None:
--- a/otterreach/simulation/job_proxy.py
+++ b/otterreach/simulation/job_proxy.py
@@ -58,8 +58,10 @@
 
 
 class SmallProxy:
-    """Runs items by waiting a moment, under the rule of the real one: right before one goes out, JobStoreDirectory
-    must say that its batch job is in force."""
+    """Runs items by waiting a moment, under the rule of the real one.
+
+    Right before one goes out, JobStoreDirectory must say that its batch job is in force.
+    """
 
     def __init__(self, scenario: Judge, box: Box, node: Node) -> None:
         self.scenario = scenario
--- a/otterreach/simulation/jobs.py
+++ b/otterreach/simulation/jobs.py
@@ -116,10 +116,12 @@
         return [(b, b.object) for b in self.world.of_role("store") if b.up and isinstance(b.object, JobStoreNode)]
 
     def _summary(self) -> Any:
-        rows = []
+        rows: list[tuple[Any, ...]] = []
         for box, one in self._store_nodes():
-            for copy in one.replication.replicas:
-                rows.append((box.name, copy.partition, copy.state, copy.epoch, copy.is_complete))
+            rows.extend(
+                (box.name, copy.partition, copy.state, copy.epoch, copy.is_complete)
+                for copy in one.replication.replicas
+            )
         return tuple(rows)
 
     def _check_primaries(self) -> None:
--- a/otterreach/simulation/linearizability.py
+++ b/otterreach/simulation/linearizability.py
@@ -1,5 +1,7 @@
-"""Whether a history of operators' calls is linearizable: each call takes effect at one moment between its sending and
-its answer, and all answers fit one register whose changes are compare-and-set on its version.
+"""Whether a history of operators' calls is linearizable.
+
+Each call takes effect at one moment between its sending and its answer, and all answers fit one register whose changes
+are compare-and-set on its version.
 
 A change names the version that it builds on, so the changes that took effect form a chain of versions. The checker
 finds the chain, then places its moments as early as the answers allow; both steps are exact.
--- a/otterreach/simulation/loop.py
+++ b/otterreach/simulation/loop.py
@@ -1,5 +1,7 @@
-"""An event loop on virtual time: nothing waits, time jumps to the next timer. Callbacks belong to processes, which may
-be frozen (their callbacks are held and run later) or dead (they are dropped)."""
+"""An event loop on virtual time: nothing waits, time jumps to the next timer.
+
+Callbacks belong to processes, which may be frozen (their callbacks are held and run later) or dead (they are dropped).
+"""
 
 from __future__ import annotations
 
@@ -14,7 +16,7 @@
 STEPS_IN_ONE_INSTANT = 200_000  # more callbacks without time going on: something spins
 
 
-class Stalled(RuntimeError):
+class StalledError(RuntimeError):
     """Nothing is left to run and no timer is set, or time does not go on."""
 
 
@@ -124,7 +126,7 @@
         if not scheduled:
             if self._stopping:  # type: ignore[attr-defined]
                 return
-            raise Stalled(f"nothing to run at {self.now:.3f}")
+            raise StalledError(f"nothing to run at {self.now:.3f}")
         if scheduled[0]._when > self.now:
             self.now = scheduled[0]._when
             self._at_this_instant = 0
@@ -141,7 +143,7 @@
         self.steps += 1
         self._at_this_instant += 1
         if self._at_this_instant > STEPS_IN_ONE_INSTANT:
-            raise Stalled(f"time stands still at {self.now:.3f}: {handle!r}")
+            raise StalledError(f"time stands still at {self.now:.3f}: {handle!r}")
         handle._run()
 
     def run(self, work: Coroutine[Any, Any, T]) -> T:
--- a/otterreach/simulation/net.py
+++ b/otterreach/simulation/net.py
@@ -14,14 +14,17 @@
 from typing import Any
 
 from otterreach.simulation.loop import Process, VirtualLoop
-from otterreach.simulation.transport import Chunk, Flow, Socket, Transport
+from otterreach.simulation.transport import Chunk, Flow, Machine, Socket, Transport
 
 SYN_AGAIN_S = 1.0
 
 
 def in_any_order(held: list[asyncio.Handle], random: Random) -> list[asyncio.Handle]:
-    """What a process that stood still does first: what had become ready before, then what came on its connections, in
-    order on each but not among them, then its timers."""
+    """What a process that stood still does first.
+
+    What had become ready before, then what came on its connections, in order on each but not among them, then its
+    timers.
+    """
     ready: list[asyncio.Handle] = []
     timers: list[asyncio.Handle] = []
     arrived: dict[Transport, deque[asyncio.Handle]] = {}
@@ -41,16 +44,6 @@
     return ready + timers
 
 
-class Machine:
-    """An address; `life` rises with each loss of power."""
-
-    def __init__(self, ip: str, zone: str = "") -> None:
-        self.ip = ip
-        self.zone = zone
-        self.powered = True
-        self.life = 0
-
-
 class Server:
     """What create_server gives."""
 
@@ -209,7 +202,7 @@
         self.transports = [t for t in self.transports if not t.lost]
         self.transports += [near, far]
 
-        self.loop.call_as(server.process, far.accept, server)
+        self.loop.call_as(server.process, far.accept, server.factory)
         near.protocol = factory()
         near.protocol.connection_made(near)
         return near, near.protocol
--- a/otterreach/simulation/operators.py
+++ b/otterreach/simulation/operators.py
@@ -133,8 +133,10 @@
 
 
 async def watch_reads(caller: Caller, history: History, place: int, stopping: Callable[[], bool]) -> None:
-    """Read again and again from one machine, the one at this place of the callers' list: at once when a change has been
-    acknowledged, for that is when an old primary may still answer."""
+    """Read again and again from one machine, the one at this place of the callers' list.
+
+    At once when a change has been acknowledged, for that is when an old primary may still answer.
+    """
     while not stopping():
         addresses = caller.addresses()
         if place < len(addresses):
--- a/otterreach/simulation/small_checks.py
+++ b/otterreach/simulation/small_checks.py
@@ -13,7 +13,7 @@
 from otterreach.runtime.rpc import Done
 from otterreach.runtime.store import ReplicatedStore
 from otterreach.simulation.small_parts import FIRST_ITEM, Member
-from otterreach.simulation.world import Broken
+from otterreach.simulation.world import InvariantViolationError
 
 
 @dataclass
@@ -32,11 +32,11 @@
 
     def __init__(self) -> None:
         self.seen = Seen()
-        self.failure: Broken | None = None
+        self.failure: InvariantViolationError | None = None
 
     def expect(self, holds: Any, rule: str, what: str) -> None:
         if not holds and self.failure is None:
-            self.failure = Broken(rule, what)
+            self.failure = InvariantViolationError(rule, what)
 
     def life_begins(self, member: Member) -> None:
         """A member that comes back goes on from what it has said."""
--- a/otterreach/simulation/small_model.py
+++ b/otterreach/simulation/small_model.py
@@ -20,7 +20,7 @@
 from otterreach.runtime.codes import Code, Failure
 from otterreach.simulation.small_checks import Checks
 from otterreach.simulation.small_parts import FIRST_ITEM, SHORT_S, Bounds, Call, Event, Member, Message, StepLoop
-from otterreach.simulation.world import Broken
+from otterreach.simulation.world import InvariantViolationError
 
 
 class Model:
@@ -56,7 +56,7 @@
         self.checks.states(self.members)
 
     @property
-    def failure(self) -> Broken | None:
+    def failure(self) -> InvariantViolationError | None:
         return self.checks.failure
 
     def end(self) -> None:
--- a/otterreach/simulation/small_parts.py
+++ b/otterreach/simulation/small_parts.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from functools import cache
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 from otterreach.controller.replication import ControlReplication
 from otterreach.runtime import settings
@@ -22,9 +22,6 @@
 from otterreach.simulation.loop import OWNER, Process, VirtualLoop
 from otterreach.simulation.world import CTL, PORT, ZONES
 
-if TYPE_CHECKING:
-    from otterreach.simulation.small_model import Model
-
 FIRST_ITEM = Item("config", (1 << 24) | 1, b"0")
 SHORT_S = 0.05  # a timer of less is no time-out: it ends a wait for more than is needed
 Event = tuple[str, ...]
@@ -217,6 +214,31 @@
     return settings.read(raw)
 
 
+class LifeChecks(Protocol):
+    """The invariants that are told when a member begins a life."""
+
+    def life_begins(self, member: Member) -> None:
+        """Take what the member loaded as the state that it has to keep."""
+
+
+class Model(Protocol):
+    """What a member needs of the run that it is part of."""
+
+    bounds: Bounds
+    loop: StepLoop
+    order: list[Event]
+
+    @property
+    def checks(self) -> LifeChecks:
+        """The invariants of this run."""
+
+    def at(self, address: str) -> Member:
+        """The member that listens at this address."""
+
+    def request(self, call: Call, value: Any) -> None:
+        """Put a request into the network."""
+
+
 class Member(Process):
     """One controller: its disk, its clock, and the history of its events."""
 
--- a/otterreach/simulation/transport.py
+++ b/otterreach/simulation/transport.py
@@ -5,13 +5,12 @@
 import asyncio
 import os
 from collections import deque
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from random import Random
+from typing import Any, Protocol
 
-from otterreach.simulation.loop import Process
-
-if TYPE_CHECKING:
-    from otterreach.simulation.net import Machine, Network, Server
+from otterreach.simulation.loop import Process, VirtualLoop
 
 USER_TIMEOUT_S = 1.5  # as otterreach.runtime.rpc sets it
 HOLD_S = 0.003
@@ -26,10 +25,40 @@
     held: bool = False  # its sender was frozen before the kernel had it
 
 
+class Machine:
+    """One address of the network; `life` rises each time it loses power."""
+
+    def __init__(self, ip: str, zone: str = "") -> None:
+        self.ip = ip
+        self.zone = zone
+        self.powered = True
+        self.life = 0
+
+
+class Medium(Protocol):
+    """What a connection needs of the network that carries it."""
+
+    loop: VirtualLoop
+    random: Random
+    stuck: list[tuple[Flow, Chunk]]
+
+    def later(self, seconds: float, callback: Callable[..., Any], *args: Any) -> None:
+        """Call back after `seconds` of virtual time, also while processes are frozen."""
+
+    def delay(self, source: Machine, target: Machine) -> float:
+        """Draw how long a packet takes, in seconds."""
+
+    def path(self, source: Machine, target: Machine) -> bool:
+        """Whether packets get from one to the other now."""
+
+    def refuse(self, source: Transport, target: Transport) -> None:
+        """Send a reset from one end to the other."""
+
+
 class Flow:
     """One direction of a connection."""
 
-    def __init__(self, network: Network, source: Transport, target: Transport) -> None:
+    def __init__(self, network: Medium, source: Transport, target: Transport) -> None:
         self.network = network
         self.source = source
         self.target = target
@@ -135,7 +164,7 @@
 class Transport(asyncio.Transport):
     """One end of a connection."""
 
-    def __init__(self, network: Network, machine: Machine, process: Process, life: int) -> None:
+    def __init__(self, network: Medium, machine: Machine, process: Process, life: int) -> None:
         super().__init__()
         self.network = network
         self.machine = machine
@@ -160,8 +189,9 @@
         """Whether the kernel of this end still has what it was to send."""
         return self.life == self.machine.life and self.machine.powered
 
-    def accept(self, server: Server) -> None:
-        self.protocol = server.factory()
+    def accept(self, factory: Callable[[], Any]) -> None:
+        """Begin to serve: make the protocol of this end and tell it so."""
+        self.protocol = factory()
         self.protocol.connection_made(self)
 
     def arrived(self, data: bytes | None) -> None:
--- a/otterreach/simulation/world.py
+++ b/otterreach/simulation/world.py
@@ -18,7 +18,7 @@
 from otterreach.runtime.rpc import Endpoint
 from otterreach.runtime.settings import Settings
 from otterreach.simulation.disk import Disk, VirtualJournal
-from otterreach.simulation.loop import OWNER, Process, Stalled, VirtualLoop
+from otterreach.simulation.loop import OWNER, Process, StalledError, VirtualLoop
 from otterreach.simulation.net import Network
 
 PORT = 7000
@@ -29,7 +29,7 @@
 RESTART_S = 0.5
 
 
-class Broken(AssertionError):
+class InvariantViolationError(AssertionError):
     """A promise was not kept. `rule` names it."""
 
     def __init__(self, rule: str, what: str) -> None:
@@ -108,7 +108,7 @@
 
     def _over(self, process: Process, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and (error := task.exception()):
-            self.world.broken(Broken("ended by itself", f"{self.name}: {error!r}"))
+            self.world.broken(InvariantViolationError("ended by itself", f"{self.name}: {error!r}"))
         self.world.plainly(RESTART_S, self._again, process)
 
     def _again(self, process: Process) -> None:
@@ -173,7 +173,7 @@
         self.processes: list[Process] = []  # the dead too, see Process.tasks
         self.seeds: list[str] = []
         self.lines: deque[str] = deque(maxlen=LINES)
-        self.failure: Broken | None = None
+        self.failure: InvariantViolationError | None = None
         self.checks: list[Callable[[], None]] = []
         self.states: set[int] = set()
         self.depth = 0
@@ -203,18 +203,20 @@
         """Later, on nobody's behalf."""
         self.net.later(seconds, callback, *args)
 
-    def broken(self, failure: Broken) -> None:
+    def broken(self, failure: InvariantViolationError) -> None:
         if self.failure is None:
             self.failure = failure
             self.lines.append(f"{self.now:9.3f} BROKEN {failure}")
 
     def expect(self, holds: Any, rule: str, what: str) -> None:
         if not holds:
-            self.broken(Broken(rule, what))
+            self.broken(InvariantViolationError(rule, what))
 
     def watch(self, summary: Callable[[], Any], *checks: Callable[[], None], always: bool = True) -> None:
-        """`checks` run whenever `summary` has changed; its values are the states that are counted. Not `always`: it is
-        asked only after steps in which `changed` was set."""
+        """`checks` run whenever `summary` has changed; its values are the states that are counted.
+
+        Not `always`: it is asked only after steps in which `changed` was set.
+        """
         self._summary = summary
         self.checks = list(checks)
         self._always = always
@@ -245,12 +247,12 @@
         with self._stand_ins():
             try:
                 self.loop.run(guarded())
-            except Stalled as error:
-                self.broken(Broken("stalled", str(error)))
+            except StalledError as error:
+                self.broken(InvariantViolationError("stalled", str(error)))
             self._collect()
 
     def _unhandled(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        self.broken(Broken("unhandled", f"{context.get('message')}: {context.get('exception')!r}"))
+        self.broken(InvariantViolationError("unhandled", f"{context.get('message')}: {context.get('exception')!r}"))
 
     def _collect(self) -> None:
         """What dead processes left ends in silence, and not in the middle of the next run."""
@@ -319,4 +321,4 @@
         self.world.lines.append(f"{self.world.now:9.3f} {name:10} {text}")
         event = text.partition("event=")[2].partition(" ")[0]
         if f"event={event}" in self.NOT_ALLOWED:
-            self.world.broken(Broken(event, f"{name}: {text}"))
+            self.world.broken(InvariantViolationError(event, f"{name}: {text}"))
--- a/tests/test_control_api_faults.py
+++ b/tests/test_control_api_faults.py
@@ -1,5 +1,8 @@
-"""Eight operators at once against real controllers on the virtual network, with lost answers and trouble right behind a
-write: no accepted change is ever refused, no two are accepted on one version, and what was accepted is read."""
+"""Eight operators at once against real controllers on the virtual network.
+
+Answers get lost and trouble comes right behind a write: no accepted change is ever refused, no two are accepted on
+one version, and what was accepted is read.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -114,8 +114,10 @@
 
 
 def test_silence_is_noticed_in_the_time_that_the_pages_give() -> None:
-    """Empty lines are due each 2 s. What is missed counts 6 s after the last word, 4 s after a move; the call
-    may be turned away once, after a second."""
+    """Empty lines are due each 2 s.
+
+    What is missed counts 6 s after the last word, 4 s after a move; the call may be turned away once, after a second.
+    """
     again_s = discovery.SILENCE_S + discovery.FIRST_WAIT_S + 1.0
     assert discovery.SILENCE_S > 2.5
     assert again_s + discovery.CONNECT_S + 2 * discovery.FIRST_WAIT_S < 6.0
--- a/tests/test_http_calls.py
+++ b/tests/test_http_calls.py
@@ -268,8 +268,7 @@
 
     async def main(world: World) -> None:
         def accept() -> Any:
-            end = Served(plain, world.ends)
-            return end
+            return Served(plain, world.ends)
 
         async def open_full(protocol_factory: Any, host: Any = None, port: Any = None, **_: Any) -> Any:
             here, there = protocol_factory(), accept()
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -22,7 +22,7 @@
 from otterreach.runtime import journal
 from otterreach.runtime.codes import Code
 from otterreach.runtime.journal import Journal
-from otterreach.runtime.journal_format import HEADER, JournalDamaged, Record, pack, scan
+from otterreach.runtime.journal_format import HEADER, JournalDamagedError, Record, pack, scan
 
 RECORDS: list[Record] = [(1, b"one"), (2, b""), (3, bytes(range(256)) * 3), (255, b"last" * 9)]
 
@@ -149,7 +149,7 @@
     def test_goes_on_behind_a_cut_tail(self) -> None:
         async def run() -> None:
             made = await self.written()
-            with open(self.path, "ab") as file:
+            with self.path.open("ab") as file:
                 file.write(pack(9, b"torn", 0)[:-1])
             again = Journal(self.path)
             self.assertEqual(RECORDS, again.read())
@@ -181,7 +181,7 @@
         later = size - len(pack(8, b"later", 0))
         for at in range(later):
             bad = data[:at] + bytes([data[at] ^ 0x41]) + data[at + 1 :]
-            with self.assertRaises(JournalDamaged, msg=str(at)):
+            with self.assertRaises(JournalDamagedError, msg=str(at)):
                 self.reread(bad)
 
     def test_looking_past_a_bad_record_is_quick(self) -> None:
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -1,5 +1,8 @@
-"""The checker of operators' histories: made-up ones that are linearizable and that are not, and all small ones drawn at
-random against a search through every order."""
+"""The checker of operators' histories.
+
+Made-up ones that are linearizable and that are not, and all small ones drawn at random against a search through every
+order.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -388,8 +388,11 @@
 
 
 def test_a_last_try_that_can_no_longer_be_in_time_is_refused_at_once() -> None:
-    """Danger: in an overload most work would go to retries whose aim has passed. The client gives a try 1.2 s
-    of its 2 s as a rule; one with 0.9 s left has waited 1.1 s already, past the aim of 0.7 s."""
+    """Danger: in an overload most work would go to retries whose aim has passed.
+
+    The client gives a try 1.2 s of its 2 s as a rule; one with 0.9 s left has waited 1.1 s already, past the aim of 0.7
+    s.
+    """
     car = Sidecar([listed(1), listed(2)])
     for _ in range(5):
         [send] = sends(car.request(2, left_ns=1200 * MS))
@@ -799,7 +802,7 @@
 
 
 def test_sidecars_keep_to_different_endpoints() -> None:
-    rows, used = [listed(n) for n in range(60)], {n: 0 for n in range(60)}
+    rows, used = [listed(n) for n in range(60)], dict.fromkeys(range(60), 0)
     for seed in range(300):
         for n in set(Sidecar(rows, seed=seed).serve(40, latency_ns=SECOND)):
             used[n] += 1
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,5 +1,8 @@
-"""The model itself: virtual time, the network, disks; that a run repeats; that a few seeds keep all promises, and that
-planted faults are found."""
+"""The model itself.
+
+Virtual time, the network, disks; that a run repeats; that a few seeds keep all promises, and that planted faults are
+found.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 from otterreach.runtime.rpc import Done, Endpoint, Link
 from otterreach.simulation import control, faults, jobs, registration
 from otterreach.simulation.disk import Disk, VirtualJournal
-from otterreach.simulation.loop import Process, Stalled, VirtualLoop
+from otterreach.simulation.loop import Process, StalledError, VirtualLoop
 from otterreach.simulation.net import Network
 
 REQUEST = MemberShutdown("node", "disk")
@@ -73,7 +76,7 @@
         async def work() -> None:
             await loop.create_future()
 
-        with self.assertRaises(Stalled):
+        with self.assertRaises(StalledError):
             loop.run(work())
 
     def test_frozen_process_goes_on_later(self) -> None:
--- a/tests/test_tombstones.py
+++ b/tests/test_tombstones.py
@@ -82,8 +82,11 @@
 
 class SimulationTest(unittest.TestCase):
     def test_all_promises_hold_while_tombstones_go_soon(self) -> None:
-        """Far sooner than in service, so that followers and backups that missed much are there; but not within the time
-        in which a late call of a server may come: here that was seen 3 s after the server's end."""
+        """Far sooner than in service, so that followers and backups that missed much are there.
+
+        But not within the time in which a late call of a server may come: here that was seen 3 s after the server's
+        end.
+        """
         dropped, real = set(), ReplicatedStore.collect
 
         def collect(store: ReplicatedStore, revision: int) -> None:
