--- a/otterreach/controller/acceptor.py
+++ b/otterreach/controller/acceptor.py
@@ -43,8 +43,8 @@
             return False
         if replica.is_primary:
             return request.candidate != replica.id
-        silence_s = replica.loop.time() - replica.last_primary_contact_at
-        primary_alive = silence_s < PRIMARY_CONTACT_VALID_S and bool(replica.last_primary)
+        since_contact_s = replica.loop.time() - replica.last_primary_contact_at
+        primary_alive = since_contact_s < PRIMARY_CONTACT_VALID_S and bool(replica.last_primary)
         return primary_alive and request.candidate != replica.last_primary
 
     async def handle_prepare(self, link: Link, request: Prepare) -> Promise | Failure:
--- a/otterreach/controller/api/servers.py
+++ b/otterreach/controller/api/servers.py
@@ -58,7 +58,7 @@
     if heartbeat.calls < known.calls or _would_come_back(known, heartbeat):
         return None
     merged = replace(heartbeat, models=_newest_models(known, heartbeat))
-    return None if _tells_the_same(known, merged) else merged
+    return None if _is_equivalent(known, merged) else merged
 
 
 def _would_come_back(known: ServerRecord, heartbeat: ServerRecord) -> bool:
@@ -73,7 +73,7 @@
     )
 
 
-def _tells_the_same(known: ServerRecord, heartbeat: ServerRecord) -> bool:
+def _is_equivalent(known: ServerRecord, heartbeat: ServerRecord) -> bool:
     """Whether only the count of calls, the warm-up or the silence differs: that is not worth a write."""
     return known == replace(heartbeat, warmup_left_ms=known.warmup_left_ms, calls=known.calls, silent=known.silent)
 
--- a/otterreach/controller/config.py
+++ b/otterreach/controller/config.py
@@ -14,6 +14,7 @@
 from otterreach.controller.config_patch import EMPTY_DOCUMENT, apply_patch
 from otterreach.controller.config_schema import Document, read_body, validate
 from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.configuration import ConfigurationRecord
 from otterreach.runtime.records import AcceptedChange
 
 _IF_MATCH = re.compile(r'\s*(?:W/)?("?)([0-9]{1,18})\1\s*')
@@ -60,7 +61,7 @@
         return ALREADY
     failure = validate(raw)
     if failure is None:
-        failure = _check_order(raw["gen"], current, if_match, history)
+        failure = _check_order(ConfigurationRecord(raw).version, current, if_match, history)
     return raw if failure is None else failure
 
 
@@ -91,7 +92,7 @@
 
 def _check_order(gen: int, current: Document | None, if_match: int, history: ChangeHistory) -> Failure | None:
     """A stale base is reported before an old number, so that a lost write race is reported as one."""
-    version = current["gen"] if current else 0
+    version = ConfigurationRecord(current).version if current else 0
     if history.is_forgotten(if_match):
         return Failure(Code.CONFIG_FORGOTTEN, f"If-Match: {if_match} is older than the changes that are remembered")
     if if_match != version:
@@ -103,7 +104,7 @@
 
 def _same_value(one: Document, other: Document) -> bool:
     """1, 1.0 and true differ; blanks and the order of keys don't."""
-    return one.get("gen") == other["gen"] and _canonical(one) == _canonical(other)
+    return one.get("gen") == other.get("gen") and _canonical(one) == _canonical(other)
 
 
 def _canonical(value: Any) -> str:
--- a/otterreach/controller/config_schema.py
+++ b/otterreach/controller/config_schema.py
@@ -101,7 +101,9 @@
     from mashumaro.dialect import Dialect
 
     class Strict(Dialect):
-        serialization_strategy = {  # noqa: RUF012
+        """Converts nothing: 1 is no text, and "1" is no number."""
+
+        serialization_strategy = {
             int: {"deserialize": _integer},
             float: {"deserialize": _number},
             str: {"deserialize": _text},
@@ -177,11 +179,11 @@
 
 def first_duplicate(names: list[str]) -> str | None:
     """The first name that stands twice, if one does."""
-    seen: set[str] = set()
+    names_so_far: set[str] = set()
     for name in names:
-        if name in seen:
+        if name in names_so_far:
             return name
-        seen.add(name)
+        names_so_far.add(name)
     return None
 
 
--- a/otterreach/controller/election.py
+++ b/otterreach/controller/election.py
@@ -151,6 +151,7 @@
         granted = {witness.id: witness for witness in base.witnesses if witness.id == replica.id}
 
         def enough(replies: dict[str, Promise]) -> bool:
+            """Whether a majority of the witnesses and enough future backups have promised."""
             promised = [ident for ident, reply in replies.items() if reply.ok and reply.id == ident]
             return is_majority([*promised, *granted], base) and len(promised) >= self.formation.limits.replicas - 1
 
@@ -203,12 +204,13 @@
 
         :param required: ids that are needed besides the configuration's backups
         """
-        own = self.replica.id
-        targets = {w.id: w for w in [*base.witnesses, *configuration.witnesses] if w.id != own}
-        needed = (set(configuration.backups) | required) - {own}
+        own_id = self.replica.id
+        targets = {w.id: w for w in [*base.witnesses, *configuration.witnesses] if w.id != own_id}
+        needed = (set(configuration.backups) | required) - {own_id}
 
         def enough(replies: dict[str, Accepted]) -> bool:
-            accepted = {ident for ident, reply in replies.items() if reply.ok and reply.id == ident} | {own}
+            """Whether all that are needed and both majorities have it on disk."""
+            accepted = {ident for ident, reply in replies.items() if reply.ok and reply.id == ident} | {own_id}
             return needed <= accepted and is_majority(accepted, base) and is_majority(accepted, configuration)
 
         return enough(await self._ask_all(list(targets.values()), Accept([configuration]), enough))
--- a/otterreach/controller/epoch_heartbeats.py
+++ b/otterreach/controller/epoch_heartbeats.py
@@ -88,11 +88,11 @@
         return await self._ask_whether_epoch_holds(configuration, deadline) and self.leads(configuration)
 
     async def _ask_whether_epoch_holds(self, configuration: EpochConfiguration, deadline: float) -> bool:
-        own = self.replica.id
-        others = [witness for witness in configuration.witnesses if witness.id != own]
+        own_id = self.replica.id
+        others = [witness for witness in configuration.witnesses if witness.id != own_id]
         asked = {self.endpoint.spawn(self.send(witness, configuration)): witness.id for witness in others}
         backups = set(configuration.backups)
-        confirmed = {own}
+        confirmed = {own_id}
         pending = set(asked)
         while True:
             if backups <= confirmed and is_majority(confirmed, configuration):
--- a/otterreach/controller/failure_detector.py
+++ b/otterreach/controller/failure_detector.py
@@ -48,8 +48,8 @@
     @staticmethod
     def _merge(known: dict[str, float], reported: Iterable[LastHeartbeat], now: float) -> None:
         for heartbeat in reported:
-            heard_at = now - heartbeat.age_ms / 1000
-            known[heartbeat.name] = max(known.get(heartbeat.name, NEVER_S), heard_at)
+            heartbeat_at = now - heartbeat.age_ms / 1000
+            known[heartbeat.name] = max(known.get(heartbeat.name, NEVER_S), heartbeat_at)
 
     def assume_alive(self, members: Iterable[str], servers: Iterable[str]) -> None:
         """Count all of these as heard just now: a new primary does not know yet who is dead."""
@@ -82,12 +82,12 @@
         last_heartbeat = self.last_heartbeat.get(member, NEVER_S)
         return self.is_in_contact(member) and last_heartbeat >= self._shut_down_at.get(member, NEVER_S)
 
-    def silence_s(self, member: str) -> float:
+    def seconds_since_heartbeat(self, member: str) -> float:
         """Seconds since this member was last heard; of one that is new here the time counts from now."""
         now = self.clock()
         return now - self.last_heartbeat.setdefault(member, now)
 
-    def server_silence_s(self, server: str) -> float:
+    def seconds_since_server_heartbeat(self, server: str) -> float:
         """Seconds since this server was last heard; of one that is new here the time counts from now."""
         now = self.clock()
         return now - self.last_server_heartbeat.setdefault(server, now)
--- a/otterreach/controller/formation.py
+++ b/otterreach/controller/formation.py
@@ -50,10 +50,10 @@
 
     def first(self, witnesses: list[ControllerInfo]) -> EpochConfiguration:
         """The very first configuration: there is no state yet that a backup could lack."""
-        own = self.replica.id
-        others = [witness.id for witness in witnesses if witness.id != own]
-        backups = choose_replicas([own], others, self.domains(witnesses), self.limits)
-        return EpochConfiguration(1, own, backups, witnesses)
+        own_id = self.replica.id
+        others = [witness.id for witness in witnesses if witness.id != own_id]
+        backups = choose_replicas([own_id], others, self.domains(witnesses), self.limits)
+        return EpochConfiguration(1, own_id, backups, witnesses)
 
     async def form(
         self,
@@ -69,13 +69,13 @@
         :param promised: the witnesses that have promised, by id
         :returns: None if too few backups could be filled
         """
-        own = self.replica.id
+        own_id = self.replica.id
         added = {controller.id for controller in change.add}
         kept = [witness for witness in base.witnesses if witness.id not in change.drop and witness.id not in added]
         witnesses = [*kept, *change.add]
         members = set(base.members)
         candidates = [
-            witness for witness in witnesses if witness.id != own and (witness.id in promised or witness.id in added)
+            witness for witness in witnesses if witness.id != own_id and (witness.id in promised or witness.id in added)
         ]
         candidates.sort(
             key=lambda candidate: (
@@ -87,15 +87,15 @@
         )
         backups = await self._fill_backups(candidates, number, items)
         least = min(self.limits.nodes, len(witnesses) - 1)
-        return EpochConfiguration(number, own, backups, witnesses) if len(backups) >= least else None
+        return EpochConfiguration(number, own_id, backups, witnesses) if len(backups) >= least else None
 
     async def _fill_backups(self, candidates: list[ControllerInfo], number: int, items: list[Item]) -> list[str]:
         """The ids of the fewest that have the complete state and, with this controller, survive every allowed loss."""
-        own = self.replica.id
+        own_id = self.replica.id
         backups: list[str] = []
         domains = self.domains([self.replica.info, *candidates])
         left = {candidate.id: candidate for candidate in candidates}
-        while chosen := choose_replicas([own, *backups], list(left), domains, self.limits):
+        while chosen := choose_replicas([own_id, *backups], list(left), domains, self.limits):
             targets = [left.pop(ident) for ident in chosen]
             backups += await self._install_snapshots(targets, number, items)
         return backups
--- a/otterreach/controller/graceful_shutdown.py
+++ b/otterreach/controller/graceful_shutdown.py
@@ -84,7 +84,7 @@
         """Lead the next epoch in place of the primary that asks."""
         if self.replica.number != request.number or self.election.barred or not self.election.may_stand():
             return Failure(Code.STALE_EPOCH, f"at {self.replica.number}")
-        self.membership.note_shutdown(request.leaving)
+        self.membership.record_shutdown(request.leaving)
         change = MembershipChange(avoid=self.membership.shutting_down, transfer=True)
         return Done() if await self.election.run(change) else Failure(Code.NOT_SYNCED, "not elected")
 
@@ -92,7 +92,7 @@
         """Form a configuration that needs no replica at the backup that asks."""
         if not self.replica.is_primary:
             return self.replica.not_primary()
-        self.membership.note_shutdown(request.leaving)
+        self.membership.record_shutdown(request.leaving)
         configuration = self.replica.accepted
         if configuration and request.leaving in configuration.backups:
             await self.election.run(MembershipChange(avoid=self.membership.shutting_down))
--- a/otterreach/controller/local_replica.py
+++ b/otterreach/controller/local_replica.py
@@ -39,7 +39,10 @@
 
 
 class LocalReplica:
-    """The state of one controller. `become` is the one function that changes its mode."""
+    """The state of one controller. `become` is the one function that changes its mode.
+
+    More than 20 methods: all that is journalled is written and replayed here, so that disk and memory can't differ.
+    """
 
     def __init__(self, settings: Settings, journal: Journal) -> None:
         self.settings = settings
--- a/otterreach/controller/member_registry.py
+++ b/otterreach/controller/member_registry.py
@@ -79,7 +79,7 @@
         log("member_shutdown", member=member)
         return Done()
 
-    def forget_silent_members(self) -> None:
+    def remove_unresponsive_members(self) -> None:
         """Delete members that have long been silent and keep nothing. One that comes back announces itself anew."""
         partitions = self.control.state.records(PartitionRecord)
         in_use = {member for partition in partitions.values() for member in partition.replicas}
@@ -87,7 +87,7 @@
         for node, record in self.records().items():
             member = record.id(node)
             patience_s = PROXY_FORGOTTEN_S if record.role == MemberRole.PROXY else MEMBER_FORGOTTEN_S
-            if member not in in_use and self.detector.silence_s(member) > patience_s:
+            if member not in in_use and self.detector.seconds_since_heartbeat(member) > patience_s:
                 changes.append(delete(MemberRecord, node))
                 log("member_gone", member=member, role=record.role)
         if changes:
--- a/otterreach/controller/membership.py
+++ b/otterreach/controller/membership.py
@@ -23,7 +23,7 @@
 SHUTDOWN_VALID_S = 10.0  # a controller that announced its shutdown gets no replica for so long
 IMPROVE_INTERVAL_S = 2.0  # between two attempts to make the backups survive every allowed loss
 JOIN_INTERVAL_S = 0.3  # between two requests to join, and of silence before the first
-LONG_SILENT_S = 1.0  # silent for longer: last in the order of preference for voters
+SUSPECT_AFTER_S = 1.0  # silent for longer: last in the order of preference for voters
 
 
 class Membership:
@@ -64,7 +64,7 @@
             self.joiners[controller.id] = controller
         return Done()
 
-    def note_shutdown(self, ident: str) -> None:
+    def record_shutdown(self, ident: str) -> None:
         """This controller is about to end: it gets no replica for a while."""
         self._shutdown_at[ident] = self.replica.loop.time()
 
@@ -78,15 +78,15 @@
         """Replace backups that are lost, add joiners, remove silent witnesses."""
         configuration = self.replica.accepted
         assert configuration is not None
-        silence = self.primary.contacts.silence()
-        lost = [backup for backup in configuration.backups if silence.get(backup, 0.0) > BACKUP_TIMEOUT_S]
+        since_contact_s = self.primary.contacts.since_contact_s()
+        lost = [backup for backup in configuration.backups if since_contact_s.get(backup, 0.0) > BACKUP_TIMEOUT_S]
         if not lost and not self.primary.contacts.has_majority():
             return  # all members are here: nobody else may lead, and no change can come into force
-        change = self._wanted_change(configuration, silence)
-        better = self._better_backups(configuration, silence)
+        change = self._wanted_change(configuration, since_contact_s)
+        better = self._better_backups(configuration, since_contact_s)
         if not (change.add or change.drop or lost or better):
             return
-        if self.preparation.is_ready([*change.add, *self._live_non_members(configuration, silence)]):
+        if self.preparation.is_ready([*change.add, *self._live_non_members(configuration, since_contact_s)]):
             log(
                 "membership_change",
                 node=self.settings.node,
@@ -97,18 +97,20 @@
             )
             await self.election.run(change)
 
-    def _live_non_members(self, configuration: EpochConfiguration, silence: dict[str, float]) -> list[ControllerInfo]:
+    def _live_non_members(
+        self, configuration: EpochConfiguration, since_contact_s: dict[str, float]
+    ) -> list[ControllerInfo]:
         """Witnesses that could become backups."""
         shutting_down = self.shutting_down
         return [
             witness
             for witness in configuration.witnesses
             if witness.id not in configuration.members
-            and silence.get(witness.id, 0.0) <= BACKUP_TIMEOUT_S
+            and since_contact_s.get(witness.id, 0.0) <= BACKUP_TIMEOUT_S
             and witness.id not in shutting_down
         ]
 
-    def _wanted_change(self, configuration: EpochConfiguration, silence: dict[str, float]) -> MembershipChange:
+    def _wanted_change(self, configuration: EpochConfiguration, since_contact_s: dict[str, float]) -> MembershipChange:
         """Joiners are added.
 
         Removed are those that a joiner replaces, who upset the balance of zones, or who were silent for long while the
@@ -121,12 +123,12 @@
         domains = self.formation.domains([*configuration.witnesses, *joiners])
         candidates = sorted(
             [*stay, *joiners],
-            key=lambda w: (w.id not in configuration.members, silence.get(w.id, 0.0) > LONG_SILENT_S),
+            key=lambda w: (w.id not in configuration.members, since_contact_s.get(w.id, 0.0) > SUSPECT_AFTER_S),
         )
         voters = choose_voters([candidate.id for candidate in candidates], domains, self.formation.limits)
         patience_s = WITNESS_TIMEOUT_S / 2 if joiners else WITNESS_TIMEOUT_S
-        silent = [voter for voter in voters if silence.get(voter, 0.0) > patience_s]
-        for ident in sorted(silent, key=lambda voter: -silence[voter]):
+        unresponsive = [voter for voter in voters if since_contact_s.get(voter, 0.0) > patience_s]
+        for ident in sorted(unresponsive, key=lambda voter: -since_contact_s[voter]):
             if may_remove_voter(ident, voters, domains, self.formation.limits):
                 voters.remove(ident)
         return MembershipChange(
@@ -135,7 +137,7 @@
             avoid=self.shutting_down,
         )
 
-    def _better_backups(self, configuration: EpochConfiguration, silence: dict[str, float]) -> list[str]:
+    def _better_backups(self, configuration: EpochConfiguration, since_contact_s: dict[str, float]) -> list[str]:
         """Whom to make backups because the present ones don't survive every allowed loss; looked for now and then."""
         now = self.replica.loop.time()
         if now - self._improved_at < IMPROVE_INTERVAL_S:
@@ -143,7 +145,9 @@
         self._improved_at = now
         domains = self.formation.domains(configuration.witnesses)
         shutting_down = self.shutting_down
-        live = [ident for ident, age in silence.items() if age <= BACKUP_TIMEOUT_S and ident not in shutting_down]
+        live = [
+            ident for ident, age in since_contact_s.items() if age <= BACKUP_TIMEOUT_S and ident not in shutting_down
+        ]
         return choose_replicas(configuration.members, live, domains, self.formation.limits)
 
     # Outside -------------------------------------------------------------------------------------
@@ -153,8 +157,8 @@
         replica = self.replica
         if replica.mode is Mode.NEW:
             return True
-        silence_s = replica.loop.time() - replica.last_primary_contact_at
-        return replica.mode is Mode.FOLLOWING and silence_s > JOIN_INTERVAL_S and not self.election.may_stand()
+        since_contact_s = replica.loop.time() - replica.last_primary_contact_at
+        return replica.mode is Mode.FOLLOWING and since_contact_s > JOIN_INTERVAL_S and not self.election.may_stand()
 
     def ask_to_join_when_due(self, now: float) -> None:
         """Ask in the background, not more often than each JOIN_INTERVAL_S."""
--- a/otterreach/controller/node.py
+++ b/otterreach/controller/node.py
@@ -94,9 +94,9 @@
                 self._publish_controllers()
                 if self._is_stable():
                     self.placement.plan()
-                    self.servers.mark_silent_servers()
+                    self.servers.mark_unresponsive_servers()
                     self.leases.assign_leases()
-                    self.members.forget_silent_members()
+                    self.members.remove_unresponsive_members()
 
     def _is_stable(self) -> bool:
         return self.clock() >= self._stable_from
--- a/otterreach/controller/partition_placement.py
+++ b/otterreach/controller/partition_placement.py
@@ -53,14 +53,14 @@
         """Propose the records that are to change now."""
         stores = self.stores.members()
         records = self.records()
-        self._note_known_stores(stores)
+        self._remember_stores(stores)
         if records:
             self._log_attainable(stores)
             self._propose(planner.plan(records, self.limits, stores, self._unreachable()))
         elif self._may_place_first(stores):
             self._propose(planner.initial_records(PARTITIONS, self.limits, stores))
 
-    def _note_known_stores(self, stores: StoreMembers) -> None:
+    def _remember_stores(self, stores: StoreMembers) -> None:
         known = frozenset(stores.domains)
         if known != self._known_stores:
             self._known_stores = known
--- a/otterreach/controller/planner.py
+++ b/otterreach/controller/planner.py
@@ -101,6 +101,7 @@
     zones = {stores.domains[member].zone for member in replicas}
 
     def order(member: str) -> tuple[bool, int, int]:
+        """The sort key: another zone first, then the least loaded, then by the rank of member and partition."""
         return stores.domains[member].zone in zones, load[member], _rank(partition, member)
 
     return sorted((member for member in stores.usable if member not in named), key=order)
--- a/otterreach/controller/server_registry.py
+++ b/otterreach/controller/server_registry.py
@@ -27,15 +27,15 @@
         self.detector = detector
         endpoint.on(ModelLoaded, self.handle_model_loaded)
 
-    def mark_silent_servers(self) -> None:
+    def mark_unresponsive_servers(self) -> None:
         """Mark servers that no watcher hears: a hint for proxies, whose own evidence goes first."""
         patience_s = MISSED_HEARTBEATS * self.settings.heartbeat_s
         changes = []
         for server, record in self.control.state.records(ServerRecord).items():
-            silent = self.detector.server_silence_s(server) > patience_s
-            if silent != bool(record.silent):
-                changes.append(put(replace(record, silent=silent), server))
-                log("server_silent" if silent else "server_heard", server=server)
+            is_silent = self.detector.seconds_since_server_heartbeat(server) > patience_s
+            if is_silent != bool(record.silent):
+                changes.append(put(replace(record, silent=is_silent), server))
+                log("server_silent" if is_silent else "server_heard", server=server)
         if changes:
             self.control.propose(changes)
 
--- a/otterreach/controller/survival.py
+++ b/otterreach/controller/survival.py
@@ -132,6 +132,7 @@
         )
 
     def preference(option: list[str]) -> tuple[int, int]:
+        """The sort key: the fewest losses that are not survived, then the most voters."""
         return -len(unmet_by_voters([domains[voter] for voter in option], limits)), len(option)
 
     return max(options, key=preference, default=[])
--- a/otterreach/controller/witness_contacts.py
+++ b/otterreach/controller/witness_contacts.py
@@ -32,7 +32,7 @@
         self.configuration: EpochConfiguration | None = None
         self._changed = asyncio.Event()
 
-    def begin_epoch(self, configuration: EpochConfiguration, own: str, was_primary: bool) -> None:
+    def begin_epoch(self, configuration: EpochConfiguration, own_id: str, was_primary: bool) -> None:
         """The configuration has just come into force.
 
         Its members count as heard now. Of the others, what the same primary knew before goes on, so that one that is
@@ -41,7 +41,7 @@
         now = self.clock()
         before = self.by_id if was_primary else {}
         self.configuration = configuration
-        self.by_id = {witness.id: WitnessContact(now) for witness in configuration.witnesses if witness.id != own}
+        self.by_id = {witness.id: WitnessContact(now) for witness in configuration.witnesses if witness.id != own_id}
         for ident in self.by_id.keys() & before.keys() - set(configuration.backups):
             self.by_id[ident].answered_at = before[ident].answered_at
         self.wake()
@@ -56,7 +56,7 @@
         """Let those who wait for a majority look again."""
         self._changed.set()
 
-    def silence(self) -> dict[str, float]:
+    def since_contact_s(self) -> dict[str, float]:
         """Seconds since each was last in touch."""
         now = self.clock()
         return {ident: now - contact.answered_at for ident, contact in self.by_id.items()}
@@ -70,8 +70,8 @@
         if configuration is None:
             return False
         begin = self.clock() - MAX_CONTACT_AGE_S if since is None else since
-        silent = {ident for ident, contact in self.by_id.items() if contact.answered_at < begin}
-        in_touch = [witness.id for witness in configuration.witnesses if witness.id not in silent]
+        unresponsive = {ident for ident, contact in self.by_id.items() if contact.answered_at < begin}
+        in_touch = [witness.id for witness in configuration.witnesses if witness.id not in unresponsive]
         return is_majority(in_touch, configuration)
 
     async def wait_for_majority(self, since: float, may_go_on: Callable[[], bool]) -> bool:
--- a/otterreach/jobstore/dispatcher.py
+++ b/otterreach/jobstore/dispatcher.py
@@ -53,7 +53,10 @@
 
 
 class Dispatcher:
-    """Assigns the items of the partitions that are served here."""
+    """Assigns the items of the partitions that are served here.
+
+    More than 20 methods: the handlers of a proxy's messages all work on the one queue of items.
+    """
 
     def __init__(self, host: DispatchHost, random: Random) -> None:
         self.host = host
--- a/otterreach/jobstore/job_requests.py
+++ b/otterreach/jobstore/job_requests.py
@@ -57,8 +57,8 @@
 
     def _is_full(self) -> bool:
         settings = self.node.settings
-        held = sum(replica.jobs.size for replica in self.replication.replicas)
-        if held > MEMORY_SHARE * settings.ram_mb * BYTES_PER_MB:
+        stored_bytes = sum(replica.jobs.size for replica in self.replication.replicas)
+        if stored_bytes > MEMORY_SHARE * settings.ram_mb * BYTES_PER_MB:
             return True
         journal_size = self.replication.context.journal.size
         return settings.disk_mb > 0 and journal_size > DISK_SHARE * settings.disk_mb * BYTES_PER_MB
--- a/otterreach/jobstore/member_pings.py
+++ b/otterreach/jobstore/member_pings.py
@@ -74,10 +74,10 @@
         if leader.ended or stream is None:
             return
         now = self.context.now()
-        silence_s = now - max(stream.confirmed_at, leader.began_at)
-        if silence_s < LOST_S or now - stream.reported_lost_at < REPORT_INTERVAL_S:
+        since_contact_s = now - max(stream.confirmed_at, leader.began_at)
+        if since_contact_s < LOST_S or now - stream.reported_lost_at < REPORT_INTERVAL_S:
             return
-        silent_ms = int(min(silence_s, MAX_REPORTED_S) * 1000)
+        silent_ms = int(min(since_contact_s, MAX_REPORTED_S) * 1000)
         report = ReplicaLost(leader.replica.partition, leader.epoch, member, silent_ms)
         if self.context.send_to_controller(report):
             stream.reported_lost_at = now
--- a/otterreach/jobstore/partition_replica.py
+++ b/otterreach/jobstore/partition_replica.py
@@ -102,7 +102,11 @@
 
 
 class PartitionReplica:
-    """A partition at this machine."""
+    """A partition at this machine.
+
+    More than 20 methods: all that is journalled of a partition is written and replayed here, so that disk and memory
+    can't differ.
+    """
 
     def __init__(self, partition: int, journal: RecordLog, now: Callable[[], float]) -> None:
         self.partition = partition
--- a/otterreach/jobstore/proxy_sessions.py
+++ b/otterreach/jobstore/proxy_sessions.py
@@ -123,6 +123,7 @@
 
     def _watch(self, session: ProxySession, link: Link) -> None:
         def closed(gone: Link) -> None:
+            """The connection has ended; one that a newer connection has replaced does not matter."""
             if session.link is gone and session.state is SessionState.LIVE:
                 self.become(session, SessionState.DISCONNECTED)
 
--- a/otterreach/runtime/codec.py
+++ b/otterreach/runtime/codec.py
@@ -60,6 +60,7 @@
     """Register a dataclass as message `number`; 0 for a table that only stands inside others."""
 
     def register(cls: type[T]) -> type[T]:
+        """Enter the class into the registry, with the type of its reply if it is a request."""
         if number:
             if number in REGISTRY:
                 raise ValueError(f"message number {number} is taken by {REGISTRY[number].__name__}")
@@ -207,6 +208,7 @@
     classes: dict[str, type] = {}
 
     def add(cls: type) -> None:
+        """Collect a table after those that stand inside it."""
         for field in _plan(cls):
             if isinstance(field.element, type) and field.element not in _SCHEMA_TYPES:
                 add(field.element)
--- a/otterreach/runtime/journal.py
+++ b/otterreach/runtime/journal.py
@@ -109,7 +109,10 @@
 
 
 class Journal:
-    """Records in, synced in groups by one thread; `read` or `open` once before the first append."""
+    """Records in, synced in groups by one thread; `read` or `open` once before the first append.
+
+    More than 20 methods: appending, syncing and rewriting share the file and exclude each other here.
+    """
 
     def __init__(self, path: Path) -> None:
         self.path = path
--- a/otterreach/runtime/relay.py
+++ b/otterreach/runtime/relay.py
@@ -179,30 +179,34 @@
 
     def candidates(self) -> list[str]:
         """The addresses to follow, best first: the one by the order of the members, then the roots in random order."""
-        own = self.settings.address
-        if self.follows_primary and self.primary and self.primary != own:
-            return [self.primary, *(root for root in self.controllers if root not in (own, self.primary))]
-        roots = [root for root in self.controllers if root != own]
+        own_address = self.settings.address
+        if self.follows_primary and self.primary and self.primary != own_address:
+            return [self.primary, *(root for root in self.controllers if root not in (own_address, self.primary))]
+        roots = [root for root in self.controllers if root != own_address]
         best = self._parent_by_order(roots)
-        seeds = [seed for seed in self.settings.seeds if seed != own]
+        seeds = [seed for seed in self.settings.seeds if seed != own_address]
         rest = [address for address in dict.fromkeys([*roots, *seeds]) if address not in best]
         self.random.shuffle(rest)
         return [*best, *rest]
 
     def _parent_by_order(self, roots: list[str]) -> list[str]:
         """The parent in a tree over the proxies in hash order: the first ones follow roots, others a proxy before."""
-        own = self.settings.address
+        own_address = self.settings.address
         backup_roots = [root for root in roots if root != self.primary] or roots
         if not backup_roots:
             return []
         order = self._proxies_in_hash_order()
-        index = order.index(own) if own in order else zlib.crc32(self.settings.node.encode()) % len(backup_roots)
+        index = (
+            order.index(own_address)
+            if own_address in order
+            else zlib.crc32(self.settings.node.encode()) % len(backup_roots)
+        )
         followers_of_roots = FAN_OUT * len(backup_roots)
         if index < followers_of_roots:
             parent = backup_roots[index % len(backup_roots)]
         else:
             parent = order[(index - followers_of_roots) // FAN_OUT]
-        return [parent] if parent != own else []
+        return [parent] if parent != own_address else []
 
     def _proxies_in_hash_order(self) -> list[str]:
         members = self.store.records(MemberRecord)
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -195,7 +195,7 @@
             await stage.member("store-1", "store", "d1")
             stage.put(PartitionRecord(1, "store-1#d1"), "0")
             await asyncio.sleep(PROXY_FORGOTTEN_S * 10)
-            stage.members.forget_silent_members()
+            stage.members.remove_unresponsive_members()
             self.assertEqual(set(stage.members.records()), {"store-1"})
             await stage.member("front-1", "front")
             self.assertIn("front-1", stage.members.records())
@@ -272,12 +272,12 @@
     def test_silent_servers_are_marked_and_heard_ones_are_not(self) -> None:
         async def scene(stage: Stage) -> None:
             stage.server("a")
-            stage.servers.mark_silent_servers()
+            stage.servers.mark_unresponsive_servers()
             await asyncio.sleep(10)
-            stage.servers.mark_silent_servers()
+            stage.servers.mark_unresponsive_servers()
             self.assertIs(True, stage.server_record("a").silent)
             stage.detector.record_server_heartbeat("a")
-            stage.servers.mark_silent_servers()
+            stage.servers.mark_unresponsive_servers()
             self.assertIs(False, stage.server_record("a").silent)
 
         self.play(scene)
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -55,15 +55,15 @@
 
     def test_majority_promises(self) -> None:
         witnesses = Witnesses()
-        promised, own = self.collect(witnesses, 0)
+        promised, own_id = self.collect(witnesses, 0)
         self.assertEqual({OWN, "b", "c"}, set(promised))
-        self.assertEqual(NUMBER + 1, own)
+        self.assertEqual(NUMBER + 1, own_id)
 
     def test_number_promised_to_another_during_the_probe(self) -> None:
         """It was promised to another candidate meanwhile: not to itself as well."""
         for taken in (NUMBER + 1, NUMBER + 2):
             witnesses = Witnesses()
-            promised, own = self.collect(witnesses, taken)
+            promised, own_id = self.collect(witnesses, taken)
             self.assertIsNone(promised)
-            self.assertEqual(taken, own)
+            self.assertEqual(taken, own_id)
             self.assertTrue(all(ask.probe for ask in witnesses.asked))
