--- a/otterreach/balancer/interface.py
+++ b/otterreach/balancer/interface.py
@@ -15,12 +15,16 @@
 
 
 class Effect(Enum):
+    """What a repeat of a request of a class does."""
+
     REPEATABLE = "repeatable"  # may run any number of times
     BY_KEY = "by_key"  # a dedup group drops repeats of a key inside a window
     ONCE = "once"  # must never run twice
 
 
 class Status(IntEnum):
+    """How an attempt ended, by its number on the wire. MOOT: it was not sent any more."""
+
     ERROR = 0
     OK = 1
     FULL = 2
@@ -31,17 +35,21 @@
     MOOT = 7
 
 
-MAX_SIGHTINGS = 36  # in one message between sidecars, on the wire 7 bytes each of 256
+MAX_OBSERVATIONS = 36  # in one message between sidecars, on the wire 7 bytes each of 256
 NEVER_RAN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.MOOT))
 
 
 class EndpointState(IntEnum):
+    """What discovery says of an endpoint, by its number on the wire."""
+
     GONE = 0
     READY = 1
     DRAINING = 2
 
 
 class RosterForm(IntEnum):
+    """What a roster holds: nothing, changes, the whole list, or one from discovery's cache."""
+
     FAILED = 0
     DELTA = 1
     FULL = 2
@@ -49,6 +57,8 @@
 
 
 class RequestClass(NamedTuple):
+    """A class of requests, as the settings have it."""
+
     target_ns: int
     deadline_ns: int
     effect: Effect
@@ -62,11 +72,15 @@
 
 
 class Tenant(NamedTuple):
+    """A tenant: its share of the capacity, and its quota in requests per second."""
+
     share: float
     quota_per_s: float
 
 
 class Settings(NamedTuple):
+    """What a sidecar is told at its start: the deployment's rules, allowances and prices."""
+
     classes: tuple[RequestClass, ...]
     zone: int
     attempts_cap: int
@@ -159,30 +173,38 @@
         return value
 
     def integer(self, key: str, default: int | None = None) -> int:
+        """A number, without its fraction."""
         return int(self._get(key, (int, float), default))
 
     def positive(self, key: str) -> int:
+        """A whole number above 0."""
         value = self.integer(key)
         if value <= 0:
             raise SettingsError(f"setting {self._path}{key}: {value} is not above 0")
         return value
 
     def number(self, key: str, default: float | None = None) -> float:
+        """A finite number."""
         return float(self._get(key, (int, float), default))
 
     def text(self, key: str, default: str | None = None) -> str:
+        """A string."""
         return str(self._get(key, (str,), default))
 
     def flag(self, key: str) -> bool:
+        """True or false; false if the key is absent."""
         return bool(self._get(key, (bool,), False))
 
     def items(self, key: str, required: bool = False) -> list[Any]:
+        """A list of anything."""
         return list(self._get(key, (list,), None if required else []))
 
     def child(self, key: str, required: bool = True) -> Reader:
+        """The object under this key."""
         return Reader(self._get(key, (dict,), None if required else {}), f"{self._path}{key}.")
 
     def children(self, key: str, required: bool = True) -> list[Reader]:
+        """The list of objects under this key."""
         rows = self.items(key, required)
         return [Reader(row, f"{self._path}{key}[{n}].") for n, row in enumerate(rows)]
 
@@ -221,14 +243,18 @@
 
 
 class Roster(NamedTuple):
+    """An answer of discovery."""
+
     version: int
     form: RosterForm
     entries: tuple[Listed, ...] = ()
 
 
 class Request(NamedTuple):
+    """A request has arrived."""
+
     request: int
-    cls: int
+    class_index: int  # place in the settings' list of request classes
     left_ns: int  # until the client gives this try up
     hint_ns: int | None = None  # anticipated work, on a standard core
     key: int = 0
@@ -238,6 +264,8 @@
 
 
 class FirstByte(NamedTuple):
+    """The first byte of a streamed answer has come."""
+
     request: int
     endpoint: int
     latency_ns: int
@@ -245,6 +273,8 @@
 
 
 class Outcome(NamedTuple):
+    """An attempt has ended. `finished`: its answer went to the client."""
+
     request: int
     endpoint: int
     attempt: int
@@ -255,33 +285,41 @@
 
 
 class ClientGone(NamedTuple):
+    """The client has given up its request."""
+
     request: int
 
 
 class Timer(NamedTuple):
+    """A timer that was set has run out."""
+
     token: int
 
 
 class ProbeResult(NamedTuple):
+    """A probe has ended."""
+
     endpoint: int
     status: Status
     latency_ns: int
     load: tuple[float, ...] = ()
 
 
-class LastHeartbeat(NamedTuple):
+class EndpointObservation(NamedTuple):
     """What one sidecar last learned of an endpoint, for another."""
 
     endpoint: int
-    slow: float  # response times over what their requests usually take
+    slowdown: float  # response times over what their requests usually take
     queue: float
     age_ns: int
 
 
 class PeerMessage(NamedTuple):
+    """What another sidecar has told."""
+
     sender: int
     strain: float = 0.0  # waits of late: 0 as in an idle fleet, 1 all targets missed
-    sightings: tuple[LastHeartbeat, ...] = ()
+    observations: tuple[EndpointObservation, ...] = ()
 
 
 Event = Union[Roster, Request, FirstByte, Outcome, ClientGone, Timer, ProbeResult, PeerMessage]
@@ -291,6 +329,8 @@
 
 
 class Send(NamedTuple):
+    """Send a request to an endpoint."""
+
     request: int
     endpoint: int
     timeout_ns: int = 0  # 0: until the client gives up
@@ -310,20 +350,28 @@
 
 
 class Cancel(NamedTuple):
+    """Give up an attempt that is under way."""
+
     request: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
+    """Set a timer that comes back with its token."""
+
     delay_ns: int
     token: int
 
 
 class Log(NamedTuple):
+    """Write a line for the operator."""
+
     text: str
 
 
 class Fault(NamedTuple):
+    """Tell the simulator that the decision module has failed."""
+
     text: str
 
 
@@ -338,16 +386,22 @@
 
 
 class CloseIdle(NamedTuple):
+    """Close the idle connections to an endpoint."""
+
     endpoint: int
 
 
 class Tell(NamedTuple):
+    """Send a message to another sidecar."""
+
     peer: int  # -1: every peer
     strain: float = 0.0
-    sightings: tuple[LastHeartbeat, ...] = ()  # at most MAX_SIGHTINGS: what a message holds
+    observations: tuple[EndpointObservation, ...] = ()  # at most MAX_SIGHTINGS: what a message holds
 
 
 class Probe(NamedTuple):
+    """Ask an endpoint for its load."""
+
     endpoint: int
 
 
--- a/otterreach/balancer/logic.py
+++ b/otterreach/balancer/logic.py
@@ -15,10 +15,10 @@
 from otterreach.balancer.limits import STRAIN_ALPHA, Limits
 from otterreach.balancer.retries import Retries
 from otterreach.balancer.routing import Routing
-from otterreach.balancer.state import MAX_SLOWDOWN, Attempt, Endpoint, Pending
+from otterreach.balancer.state import MAX_SLOWDOWN, Attempt, Endpoint, PendingRequest
 
-PEERS = 4  # told the waits at a time, the first also of endpoints: one sidecar's waits are mostly chance
-HOLD_TRIES = 20  # a request with no eligible endpoint looks again this often within its target
+GOSSIP_PEERS = 4  # at a time; one of them also gets the endpoints: one sidecar's waits are mostly chance
+HOLD_CHECKS = 20  # a request with no eligible endpoint looks again this often within its target
 
 
 class Balancer(Routing, Retries, Limits):
@@ -36,14 +36,19 @@
             api.PeerMessage: self._on_peer,
             api.ProbeResult: self._on_report,
         }
-        self.told_at = 0
+        self.gossiped_at = 0
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
+        """Decide on an event.
+
+        :param now: of the sidecar's clock, in nanoseconds; it never goes back
+        :returns: the actions to carry out, in order
+        """
         self.now = now
         self.actions = []
         self.handlers[type(event)](event)
-        while self.woken:  # a loop: each may end and wake the next
-            self._attempt(self.woken.pop())
+        while self.resumed:  # a loop: each may end and wake the next
+            self._attempt(self.resumed.pop())
         return self.actions
 
     def _on_roster(self, roster: api.Roster) -> None:
@@ -58,139 +63,172 @@
             if self.settings.discovery == "ask":
                 self.actions.append(api.Watch(True))
             if self.settings.report_how == "pull" and self.settings.may_probe:
-                self._set_timer("probe", self.forget_ns // 10)
+                self._set_timer("probe", self.half_life_ns // 10)
 
-    def _tell_peer(self) -> None:
+    def _gossip(self) -> None:
         """Danger: one of many sidecars hears too little of any endpoint by itself."""
-        s = self.settings
-        if not s.may_message or s.fleet_size < 2 or self.now - self.told_at < self.tightest_ns:
+        settings = self.settings
+        if (
+            not settings.may_message
+            or settings.fleet_size < 2
+            or self.now - self.gossiped_at < self.tightest_ns
+        ):
             return
-        self.told_at = self.now
-        peers = [(s.self_index + self.random.randrange(1, s.fleet_size)) % s.fleet_size for _ in range(PEERS)]
-        fresh = nlargest(api.MAX_SIGHTINGS, self.ready, key=lambda e: e.slow_at)
-        seen = [api.LastHeartbeat(e.id, e.slow, e.queue, self.now - e.slow_at) for e in fresh if e.slow_at]
-        self.actions.append(api.Tell(peers[0], self._strain(s.zone), tuple(seen)))
-        self.actions.extend(api.Tell(peer, self._strain(s.zone)) for peer in peers[1:])  # a byte each
+        self.gossiped_at = self.now
+        size = settings.fleet_size
+        peers = [(settings.self_index + self.random.randrange(1, size)) % size for _ in range(GOSSIP_PEERS)]
+        newest = nlargest(api.MAX_OBSERVATIONS, self.ready, key=lambda endpoint: endpoint.slowdown_at)
+        observations = tuple(self._observation(endpoint) for endpoint in newest if endpoint.slowdown_at)
+        self.actions.append(api.Tell(peers[0], self._strain(settings.zone), observations))
+        self.actions.extend(api.Tell(peer, self._strain(settings.zone)) for peer in peers[1:])  # a byte each
+
+    def _observation(self, endpoint: Endpoint) -> api.EndpointObservation:
+        age_ns = self.now - endpoint.slowdown_at
+        return api.EndpointObservation(endpoint.id, endpoint.slowdown, endpoint.queue, age_ns)
 
     def _on_peer(self, message: api.PeerMessage) -> None:
         """What a peer saw later than this sidecar takes the place of what it knew."""
         self._strain(self.settings.zone, max(0.0, min(1.0, message.strain)), 0.5)
-        for seen in message.sightings:
-            e = self.endpoints.get(seen.endpoint)
-            at = self.now - max(0, seen.age_ns)
-            if e and at > max(e.slow_at, e.row.started_ns) and 0 < seen.slow < 1e9:
-                self._learn(e, min(seen.slow, MAX_SLOWDOWN), at)
-            if e and at > max(e.queue_at, e.row.started_ns) and 0 <= seen.queue < 1e9:
-                e.queue = seen.queue
-                e.queue_at = at
-                e.since = 0
+        for observed in message.observations:
+            endpoint = self.endpoints.get(observed.endpoint)
+            at = self.now - max(0, observed.age_ns)
+            if endpoint is None:
+                continue
+            started = endpoint.row.started_ns
+            if at > max(endpoint.slowdown_at, started) and 0 < observed.slowdown < 1e9:
+                self._learn(endpoint, min(observed.slowdown, MAX_SLOWDOWN), at)
+            if at > max(endpoint.queue_at, started) and 0 <= observed.queue < 1e9:
+                endpoint.queue = observed.queue
+                endpoint.queue_at = at
+                endpoint.sent_since_report = 0
 
     def _on_request(self, event: api.Request) -> None:
-        cls = self.settings.classes[event.cls]
-        req = self.pending[event.request] = Pending(event, cls, self.now, self._waited(event, cls))
+        request_class = self.settings.classes[event.class_index]
+        waited = self._time_waited_ns(event, request_class)
+        request = PendingRequest(event, request_class, self.now, waited)
+        self.pending[event.request] = request
         self.open += 1
-        self.asked.add(self.now)
+        self.request_rate.add(self.now)
         if event.tenant < len(self.tenant_rates):
             self.tenant_rates[event.tenant].add(self.now)
         self._fill_budget()
-        self._take_turn(req)
-        self._attempt(req)
+        self._enqueue_by_key(request)
+        self._attempt(request)
 
-    def _attempt(self, req: Pending) -> None:
-        if req.done or req.waits():
+    def _attempt(self, request: PendingRequest) -> None:
+        if request.done or request.has_open_attempt():
             return  # woken twice: by a timer and by its turn
-        usual = self._usual(req)
+        usual = self._usual_ns(request)
         # Danger: one stuck request holds its key until all behind it are late. They leave while they may.
-        ahead = self.turns[req.key].index(req) if req.key else 0
-        rest = max(0, self.rests.get(req.key, 0) - self.now) if req.key and not req.attempts else 0
-        left = req.limit - self.now - int(ahead * usual) - rest
-        if left <= 0 or not req.attempts and self._too_busy(req):
-            self._end(req)
-        elif ahead or rest:
-            self._set_timer("hold", left if ahead else rest, req)
-        elif (near := self._allowed(req, self._nearest())) and (endpoint := self._draw(req, near, usual)):
-            self._send(req, endpoint, usual)
+        ahead = self.queued_by_key[request.key].index(request) if request.key else 0
+        blocked = 0
+        if request.key and not request.attempts:
+            blocked = max(0, self.key_blocked_until.get(request.key, 0) - self.now)
+        left = request.limit - self.now - int(ahead * usual) - blocked
+        if left <= 0 or not request.attempts and self._is_overloaded(request):
+            self._end(request)
+        elif ahead or blocked:
+            self._set_timer("hold", left if ahead else blocked, request)
         else:
-            self._log("held", f"none of {len(self.ready)} ready endpoints may be sent to")
-            self._set_timer("hold", min(req.cls.target_ns // HOLD_TRIES, req.give_up - self.now), req)
+            self._send_or_hold(request, usual)
+
+    def _send_or_hold(self, request: PendingRequest, usual: float) -> None:
+        """Send it to an endpoint that is drawn; with none that may be sent to, look again soon."""
+        candidates = self._harmless_endpoints(request, self._endpoints_in_use())
+        endpoint = self._draw(request, candidates, usual) if candidates else None
+        if endpoint:
+            self._send(request, endpoint, usual)
+            return
+        self._log("held", f"none of {len(self.ready)} ready endpoints may be sent to")
+        interval = request.request_class.target_ns // HOLD_CHECKS
+        self._set_timer("hold", min(interval, request.abandoned_at - self.now), request)
 
-    def _send(self, req: Pending, endpoint: Endpoint, usual: float) -> None:
-        limit = req.give_up if req.cls.stream else req.limit
-        if early := self._patience(req, usual):
+    def _send(self, request: PendingRequest, endpoint: Endpoint, usual: float) -> None:
+        limit = request.abandoned_at if request.request_class.stream else request.limit
+        if early := self._early_timeout_ns(request, usual):
             limit = self.now + early
-        self.actions.append(api.Send(req.id, endpoint.id, limit - self.now if limit < req.give_up else 0))
-        endpoint.out[req.id, len(req.attempts)] = attempt = Attempt(endpoint, self.now, usual)
-        req.attempts.append(attempt)
-        endpoint.since += 1
-        self.offered.add(self.now, usual)
-
-    def _end(self, req: Pending) -> None:
+        timeout_ns = limit - self.now if limit < request.abandoned_at else 0
+        self.actions.append(api.Send(request.id, endpoint.id, timeout_ns))
+        attempt = Attempt(endpoint, self.now, usual)
+        endpoint.open_attempts[request.id, len(request.attempts)] = attempt
+        request.attempts.append(attempt)
+        endpoint.sent_since_report += 1
+        self.sent_work.add(self.now, usual)
+
+    def _end(self, request: PendingRequest) -> None:
         """The one final answer: a refusal where a retry is sure to be harmless, else a failure."""
-        self.actions.append(api.Refuse(req.id) if self._harmless(req) else api.Fail(req.id))
-        self._finish(req)
+        is_harmless = self._is_harmless_to_repeat(request)
+        self.actions.append(api.Refuse(request.id) if is_harmless else api.Fail(request.id))
+        self._finish(request)
 
-    def _finish(self, req: Pending) -> None:
+    def _finish(self, request: PendingRequest) -> None:
         """Cancel what can no longer help; forget the request once its last attempt has ended."""
-        if not req.done:
+        if not request.done:
             self.open -= 1
-            if req.waits() and self.settings.may_cancel and not req.streaming:
-                self.actions.append(api.Cancel(req.id, len(req.attempts) - 1))
-        req.done = True
-        if not req.waits() and self.pending.pop(req.id, None) is req:
-            self._leave_turn(req)
+            if request.has_open_attempt() and self.settings.may_cancel and not request.streaming:
+                self.actions.append(api.Cancel(request.id, len(request.attempts) - 1))
+        request.done = True
+        if not request.has_open_attempt() and self.pending.pop(request.id, None) is request:
+            self._dequeue_by_key(request)
 
     def _on_client(self, event: api.ClientGone | api.FirstByte) -> None:
-        req = self.pending.get(event.request)
-        if req and not req.done and isinstance(event, api.FirstByte):
-            req.streaming = True
-        elif req and not req.done:
-            self._finish(req)
+        request = self.pending.get(event.request)
+        if request and not request.done and isinstance(event, api.FirstByte):
+            request.streaming = True
+        elif request and not request.done:
+            self._finish(request)
 
     def _on_outcome(self, event: api.Outcome) -> None:
-        req = self.pending.get(event.request)
-        attempt = req.attempts[event.attempt] if req and event.attempt < len(req.attempts) else None
-        if req is None or attempt is None or not attempt.open:
+        request = self.pending.get(event.request)
+        if request is None or event.attempt >= len(request.attempts):
+            return
+        attempt = request.attempts[event.attempt]
+        if not attempt.open:
             return
         attempt.open = False
         attempt.may_have_run = event.status not in NEVER_RAN
-        attempt.endpoint.out.pop((req.id, event.attempt), None)
-        if req.key and event.status in (Status.TIMEOUT, Status.RESET, Status.CANCELLED):
-            self._rest(req.key)
+        attempt.endpoint.open_attempts.pop((request.id, event.attempt), None)
+        if request.key and event.status in (Status.TIMEOUT, Status.RESET, Status.CANCELLED):
+            self._block_key(request.key)
         self._on_report(event)
         if event.status is Status.OK:
-            self._learn_share(req, event.latency_ns)
-            self._learn_usual(req, event.latency_ns)
-            self.work.add(self.now, attempt.usual)
+            self._learn_share(request, event.latency_ns)
+            self._learn_usual(request, event.latency_ns)
+            self.answered_work.add(self.now, attempt.usual)
         if event.status is not Status.MOOT:
-            self._learn_endpoint(req, attempt, event)
-        if event.finished or req.done:
-            self._finish(req)
-        elif self._may_resend(req):
-            self._attempt(req)
+            self._learn_from_attempt(request, attempt, event)
+        if event.finished or request.done:
+            self._finish(request)
+        elif self._may_resend(request):
+            self._attempt(request)
         else:
-            self._end(req)
+            self._end(request)
 
-    def _learn_endpoint(self, req: Pending, attempt: Attempt, event: api.Outcome) -> None:
-        e = attempt.endpoint
+    def _learn_from_attempt(self, request: PendingRequest, attempt: Attempt, event: api.Outcome) -> None:
+        endpoint = attempt.endpoint
         took = float(event.latency_ns)
-        before = self._slowdown(e)
-        spent = event.status is Status.TIMEOUT and self.now >= req.aim
-        share = 1.0 if spent else min(took / req.cls.target_ns, 1.0)
+        before = self._slowdown(endpoint)
+        timed_out_late = event.status is Status.TIMEOUT and self.now >= request.due_at
+        share = 1.0 if timed_out_late else min(took / request.request_class.target_ns, 1.0)
         if event.status not in (Status.OK, Status.CANCELLED):
-            self._log("failing", f"endpoint {e.id}: {event.status.name}, slowdown {before:.1f}")
-            took = max(took, float(req.cls.deadline_ns))  # Danger: a fast error is not a fast answer
+            self._log("failing", f"endpoint {endpoint.id}: {event.status.name}, slowdown {before:.1f}")
+            # Danger: a fast error is not a fast answer.
+            took = max(took, float(request.request_class.deadline_ns))
         if event.status in (Status.OK, Status.TIMEOUT):
             # One bad endpoint among others is no overload.
-            self._strain(e.zone, share, STRAIN_ALPHA * min(1.0, self._typical(e) / before))
-        if self._learn_slowdown(req, attempt, event.status, took, before):
-            self._tell_peer()
+            alpha = STRAIN_ALPHA * min(1.0, self._typical_slowdown(endpoint) / before)
+            self._strain(endpoint.zone, share, alpha)
+        if self._learn_slowdown(request, attempt, event.status, took, before):
+            self._gossip()
 
     def _on_timer(self, event: api.Timer) -> None:
-        what, request = self.timers.pop(event.token, ("", 0))
+        what, request_id = self.timers.pop(event.token, ("", 0))
         if what == "ask":
             self.actions.append(api.Watch(True))
         elif what == "probe":
-            self.actions.extend(api.Probe(e.id) for e in sorted(self.ready, key=lambda e: e.queue_at)[:1])
-            self._set_timer("probe", self.forget_ns // 10)
-        elif req := self.pending.get(request):  # held
-            self._attempt(req)
+            if self.ready:
+                oldest = min(self.ready, key=lambda endpoint: endpoint.queue_at)
+                self.actions.append(api.Probe(oldest.id))
+            self._set_timer("probe", self.half_life_ns // 10)
+        elif request := self.pending.get(request_id):  # held
+            self._attempt(request)
--- a/otterreach/balancer/routing.py
+++ b/otterreach/balancer/routing.py
@@ -11,16 +11,16 @@
 import otterreach.balancer.interface as api
 from otterreach.balancer.draw import draw, mix
 from otterreach.balancer.interface import EndpointState, RosterForm, Status
-from otterreach.balancer.state import MAX_SLOWDOWN, Attempt, Endpoint, Pending, Rate, State
+from otterreach.balancer.state import MAX_SLOWDOWN, Attempt, Endpoint, PendingRequest, Rate, State
 
 ALPHA = 0.3  # weight of a new response time: the paper finds one sample enough, so a short memory
 FAIL_ALPHA = 0.6  # the same of a failure: rarer than answers, and worth more
 KIND_ALPHA = 0.1  # a kind's mean moves over some 10 answers: it stands for endpoints unheard of
 CLASS_ALPHA = 0.02  # a class's usual time moves over some 50 answers: slower than any endpoint's
-FEWEST = 12  # endpoints in a sidecar's draw, however little it sends: some of each zone and kind
+MIN_ENDPOINTS = 12  # endpoints in a sidecar's draw, however little it sends: some of each zone and kind
 CLASS_MEMORY = 8  # an endpoint's answers in one class are rarer, and remembered that much longer
 PRICE_WAIT = 20.0  # a price of a whole request's worth weighs like waiting this many targets
-WARM_KEY = 0.6  # odds of the endpoint likely to have met a key, against those of all others together
+KEY_AFFINITY = 0.6  # odds of the endpoint likely to have met a key, against those of all others together
 COLD_SHARE = 0.6  # part of the cold allowance planned for: traffic is uneven, estimates are rough
 
 
@@ -30,23 +30,25 @@
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         classes = settings.classes
-        self.salt = self.random.getrandbits(64)
-        self.class_ns = [c.target_ns / 4 for c in classes]  # usual response time, learned
-        self.class_seen = [0] * len(classes)
-        self.hint_mean = [0.0] * len(classes)
-        self.asked = Rate(4 * self.forget_ns)  # a small sidecar's rate over less is mere chance
-        self.work = Rate(settings.fall_ns)  # answered
-        self.offered = Rate(settings.fall_ns)  # sent
+        self.order_salt = self.random.getrandbits(64)
+        self.usual_ns = [
+            request_class.target_ns / 4 for request_class in classes
+        ]  # usual response time, learned
+        self.answers_by_class = [0] * len(classes)
+        self.mean_hint_ns = [0.0] * len(classes)
+        self.request_rate = Rate(4 * self.half_life_ns)  # a small sidecar's rate over less is mere chance
+        self.answered_work = Rate(settings.fall_ns)
+        self.sent_work = Rate(settings.fall_ns)
         figures = [*settings.report_columns, "queue", "inflight"]  # past the end: not reported
         self.load_column = figures.index("queue" if "queue" in settings.report_columns else "inflight")
         self.mean_queue = 0.0
         self.mean_weight = 1.0
-        self.kind_slow: dict[tuple[int, int], float] = {}  # mean x_i of a kind of machine in a zone
+        self.slowdown_by_kind: dict[tuple[int, int], float] = {}  # mean x_i of a kind of machine in a zone
 
     def _update_list(self, roster: api.Roster) -> None:
         if roster.form is not RosterForm.DELTA:
             listed = {row.endpoint for row in roster.entries}
-            self.endpoints = {n: e for n, e in self.endpoints.items() if n in listed}
+            self.endpoints = {ident: known for ident, known in self.endpoints.items() if ident in listed}
         for row in roster.entries:
             known = self.endpoints.pop(row.endpoint, None)
             if row.state != EndpointState.GONE:
@@ -54,85 +56,103 @@
                 same = known if known and known.row.started_ns == row.started_ns else None
                 self.endpoints[row.endpoint] = same or Endpoint(row, self.settings)
                 self.endpoints[row.endpoint].update(row)
-        self.ready = [e for e in self.endpoints.values() if e.ready]
+        self.ready = [endpoint for endpoint in self.endpoints.values() if endpoint.ready]
         # Danger: hundreds of sidecars with a connection to every endpoint fill its table. Each has an order.
-        self.ready.sort(key=lambda e: mix(self.salt, e.id))
-        self.mean_weight = sum(e.weight for e in self.ready) / max(1, len(self.ready)) or 1.0
+        self.ready.sort(key=lambda endpoint: mix(self.order_salt, endpoint.id))
+        weight = sum(endpoint.weight for endpoint in self.ready)
+        self.mean_weight = weight / max(1, len(self.ready)) or 1.0
 
     def _on_report(self, event: api.Outcome | api.ProbeResult) -> None:
-        e = self.endpoints.get(event.endpoint)
+        endpoint = self.endpoints.get(event.endpoint)
         load = event.load
         value = load[self.load_column] if self.load_column < len(load) else -1.0
-        if e and 0 <= value < 1e9:  # not for nan, inf or nonsense
-            e.queue = value
-            e.queue_at = self.now
-            e.since = 0
+        if endpoint and 0 <= value < 1e9:  # not for nan, inf or nonsense
+            endpoint.queue = value
+            endpoint.queue_at = self.now
+            endpoint.sent_since_report = 0
             self.mean_queue += ALPHA * (value - self.mean_queue)
 
-    def _draw(self, req: Pending, candidates: list[Endpoint], usual: float) -> Endpoint | None:
+    def _draw(self, request: PendingRequest, candidates: list[Endpoint], usual: float) -> Endpoint | None:
         """The design's rule: odds inverse to w_i = (L_i + 1) * x_i, raised by what the settings price."""
-        s = self.settings
-        took = usual * max(1.0, sum(self.kind_slow.values()) / max(1, len(self.kind_slow)))  # of late
-        away = 1 + s.price_cross_zone * PRICE_WAIT * req.cls.target_ns / took
-        warm = self._warm(req.event.key, candidates)
-        gather = max(1.0, WARM_KEY * len(candidates))
+        settings = self.settings
+        slowdowns = self.slowdown_by_kind.values()
+        took = usual * max(1.0, sum(slowdowns) / max(1, len(slowdowns)))  # of late
+        cross_zone_factor = (
+            1 + settings.price_cross_zone * PRICE_WAIT * request.request_class.target_ns / took
+        )
+        preferred = self._endpoint_of_key(request.event.key, candidates)
+        preference = max(1.0, KEY_AFFINITY * len(candidates))
         odds = []
-        cold = False
-        for e in candidates:
-            w = (self._load(e) + 1) * self._slowdown(e, req.event.cls)
-            if self.now < e.warm_at:  # the slowest ramp that is guaranteed, or what it has shown
-                age = max(0, self.now - e.row.started_ns)
-                e.ramp = s.start_capacity + (1 - s.start_capacity) * age / s.cold_ns
-                # Proof opens the whole allowance in place of the part planned for, and never more.
-                e.ramp = max(e.ramp, min(1.0, 1 / e.proof, e.ramp / COLD_SHARE))
-                w /= e.ramp
-                cold = True
-            if e.zone != s.zone and not req.far:
-                w *= away
-            odds.append(1 / max(w / gather if e is warm else w, 1e-9))
-        nowhere = self._cap_cold(candidates, odds) if cold else 0.0
-        place = draw(self.random, [*odds, nowhere])
-        return candidates[place] if place < len(candidates) else None
-
-    def _warm(self, key: int, candidates: list[Endpoint]) -> Endpoint | None:
+        any_cold = False
+        for endpoint in candidates:
+            weight = (self._load(endpoint) + 1) * self._slowdown(endpoint, request.event.class_index)
+            if self.now < endpoint.warm_from:
+                self._update_warm_share(endpoint)
+                weight /= endpoint.warm_share
+                any_cold = True
+            if endpoint.zone != settings.zone and not request.may_cross_zones:
+                weight *= cross_zone_factor
+            odds.append(1 / max(weight / preference if endpoint is preferred else weight, 1e-9))
+        odds_of_none = self._cap_cold_endpoints(candidates, odds) if any_cold else 0.0
+        index = draw(self.random, [*odds, odds_of_none])
+        return candidates[index] if index < len(candidates) else None
+
+    def _update_warm_share(self, endpoint: Endpoint) -> None:
+        """How much of its capacity a cold endpoint has: the guaranteed least, or what it has shown."""
+        settings = self.settings
+        age = max(0, self.now - endpoint.row.started_ns)
+        guaranteed = settings.start_capacity + (1 - settings.start_capacity) * age / settings.cold_ns
+        # Proof opens the whole allowance in place of the part planned for, and never more.
+        shown = min(1.0, 1 / endpoint.proven_slowdown, guaranteed / COLD_SHARE)
+        endpoint.warm_share = max(guaranteed, shown)
+
+    def _endpoint_of_key(self, key: int, candidates: list[Endpoint]) -> Endpoint | None:
         """The endpoint at which all sidecars of a zone gather a key, by highest-random-weight hashing."""
         if not key or not self.settings.warm_keys:
             return None
-        near = [e for e in candidates if e.zone == self.settings.zone] or candidates
-        return max(near, key=lambda e: mix(key, e.id))
+        near = [endpoint for endpoint in candidates if endpoint.zone == self.settings.zone] or candidates
+        return max(near, key=lambda endpoint: mix(key, endpoint.id))
 
-    def _load(self, e: Endpoint) -> float:
+    def _load(self, endpoint: Endpoint) -> float:
         """L_i: the reported queue, faded by age toward the fleet's, and own sends since."""
-        out = len(e.out)
-        fade = exp2((e.queue_at - self.now) / self.forget_ns)
-        queue = self.mean_queue + (e.queue - self.mean_queue) * fade + (e.since if e.since < out else out)
-        return queue if queue > out else out
-
-    def _slowdown(self, e: Endpoint, cls: int | None = None) -> float:
+        open_attempts = len(endpoint.open_attempts)
+        fade = exp2((endpoint.queue_at - self.now) / self.half_life_ns)
+        sent = endpoint.sent_since_report
+        unreported = sent if sent < open_attempts else open_attempts
+        queue = self.mean_queue + (endpoint.queue - self.mean_queue) * fade + unreported
+        return queue if queue > open_attempts else open_attempts
+
+    def _slowdown(self, endpoint: Endpoint, class_index: int | None = None) -> float:
         """x_i, fading toward the fleet's mean so that one bad sample cannot starve an endpoint.
 
         Danger: one that fails a class and serves the others looks well by its mean: what its class knows
         comes first.
         """
-        slow = self.kind_slow.get(e.kind) or self.mean_weight / e.weight  # _typical, without a call
-        slow += (e.slow - slow) * exp2((e.slow_at - self.now) / self.forget_ns) if e.slow_at else 0
-        if cls in e.by_class:
-            own, at = e.by_class[cls]
-            slow += (own - slow) * exp2((at - self.now) / (CLASS_MEMORY * self.forget_ns))
-        if e.out:  # Danger: a stalled endpoint sends no samples. Waiting for it is a sample.
-            oldest = next(iter(e.out.values()))
-            slow = max(slow, min((self.now - oldest.sent) / oldest.usual, MAX_SLOWDOWN))
-        return slow
-
-    def _typical(self, e: Endpoint) -> float:
-        """Danger: of many endpoints most are unheard of, and a slow kind would take a fast one's odds."""
-        return self.kind_slow.get(e.kind) or self.mean_weight / e.weight
-
-    def _nearest(self) -> list[Endpoint]:
+        # As _typical_slowdown, without a call: this runs for each endpoint of each draw.
+        slowdown = self.slowdown_by_kind.get(endpoint.kind) or self.mean_weight / endpoint.weight
+        if endpoint.slowdown_at:
+            fade = exp2((endpoint.slowdown_at - self.now) / self.half_life_ns)
+            slowdown += (endpoint.slowdown - slowdown) * fade
+        if class_index in endpoint.slowdown_by_class:
+            in_class, at = endpoint.slowdown_by_class[class_index]
+            slowdown += (in_class - slowdown) * exp2((at - self.now) / (CLASS_MEMORY * self.half_life_ns))
+        if endpoint.open_attempts:  # Danger: a stalled endpoint sends no samples. Waiting for it is a sample.
+            oldest = next(iter(endpoint.open_attempts.values()))
+            slowdown = max(slowdown, min((self.now - oldest.sent) / oldest.usual, MAX_SLOWDOWN))
+        return slowdown
+
+    def _typical_slowdown(self, endpoint: Endpoint) -> float:
+        """The x_i of an endpoint of which nothing is known yet: the mean of its kind.
+
+        Danger: of many endpoints most are unheard of, and a slow kind would take a fast one's odds.
+        """
+        return self.slowdown_by_kind.get(endpoint.kind) or self.mean_weight / endpoint.weight
+
+    def _endpoints_in_use(self) -> list[Endpoint]:
         """The first of this sidecar's own order: as many as it hears of often, as the design assumes."""
-        return self.ready[: FEWEST + int(self.asked.read(self.now) * self.forget_ns)]
+        return self.ready[: MIN_ENDPOINTS + int(self.request_rate.read(self.now) * self.half_life_ns)]
 
-    def _cap_cold(self, candidates: list[Endpoint], odds: list[float]) -> float:
+    def _cap_cold_endpoints(self, candidates: list[Endpoint], odds: list[float]) -> float:
         """Cap the odds of cold endpoints: one that is sent too much falls over and stays down.
 
         Its share of a sidecar's draws is capped at a multiple of the part that it would bear were all alike,
@@ -140,56 +160,70 @@
         be any amount.
         Returns the odds of sending nowhere, where all are cold.
         """
-        s = self.settings
+        settings = self.settings
         total = sum(odds)
-        size = sum(e.weight * (e.ramp if self.now < e.warm_at else 1.0) for e in candidates) or 1.0
-        sound = min(1.0, self.work.read(self.now) / (self.offered.read(self.now) or 1.0))
-        part = total * COLD_SHARE * s.fall_multiple * sound / size
-        over = 0.0
+        now = self.now
+        capacities = [
+            endpoint.weight * (endpoint.warm_share if now < endpoint.warm_from else 1.0)
+            for endpoint in candidates
+        ]
+        capacity = sum(capacities) or 1.0
+        answered_share = min(1.0, self.answered_work.read(self.now) / (self.sent_work.read(self.now) or 1.0))
+        cap_per_capacity = total * COLD_SHARE * settings.fall_multiple * answered_share / capacity
+        removed = 0.0
         warm = []
-        for n, e in enumerate(candidates):
-            if self.now >= e.warm_at:
-                warm.append(n)
-            elif (excess := odds[n] - part * e.weight * e.ramp) > 0:
-                over = over + excess
-                odds[n] = odds[n] - excess
-        scale = 1 + over / (sum(odds[n] for n in warm) or 1.0)
-        for n in warm:
-            odds[n] *= scale  # so that the caps are shares of what is drawn
-        return 0.0 if warm else over
-
-    def _usual(self, req: Pending) -> float:
+        for index, endpoint in enumerate(candidates):
+            if self.now >= endpoint.warm_from:
+                warm.append(index)
+                continue
+            excess = odds[index] - cap_per_capacity * endpoint.weight * endpoint.warm_share
+            if excess > 0:
+                removed = removed + excess
+                odds[index] = odds[index] - excess
+        scale = 1 + removed / (sum(odds[index] for index in warm) or 1.0)
+        for index in warm:
+            odds[index] *= scale  # so that the caps are shares of what is drawn
+        return 0.0 if warm else removed
+
+    def _usual_ns(self, request: PendingRequest) -> float:
         """What this request usually takes: its class's usual time, and what its hint adds to the class's."""
-        usual = self.class_ns[req.event.cls]
-        hint = req.event.hint_ns
-        if hint is not None and self.class_seen[req.event.cls]:
-            usual = max(usual + hint - self.hint_mean[req.event.cls], usual / 4)
-        return max(1.0, min(usual, MAX_SLOWDOWN * self.class_ns[req.event.cls]))  # a hint may be any number
-
-    def _learn_usual(self, req: Pending, took: int) -> None:
+        class_index = request.event.class_index
+        usual_of_class = self.usual_ns[class_index]
+        usual = usual_of_class
+        hint = request.event.hint_ns
+        if hint is not None and self.answers_by_class[class_index]:
+            usual = max(usual + hint - self.mean_hint_ns[class_index], usual / 4)
+        return max(1.0, min(usual, MAX_SLOWDOWN * usual_of_class))  # a hint may be any number
+
+    def _learn_usual(self, request: PendingRequest, took: int) -> None:
         """What requests of a class usually take."""
-        cls = req.event.cls
-        self.class_seen[cls] += 1
-        alpha = max(CLASS_ALPHA, 1 / self.class_seen[cls])
-        self.class_ns[cls] += alpha * (took - self.class_ns[cls])
-        if req.event.hint_ns is not None:  # Danger: means of different requests drift apart
-            self.hint_mean[cls] += alpha * (req.event.hint_ns - self.hint_mean[cls])
+        class_index = request.event.class_index
+        self.answers_by_class[class_index] += 1
+        alpha = max(CLASS_ALPHA, 1 / self.answers_by_class[class_index])
+        self.usual_ns[class_index] += alpha * (took - self.usual_ns[class_index])
+        if request.event.hint_ns is not None:  # Danger: means of different requests drift apart
+            self.mean_hint_ns[class_index] += alpha * (request.event.hint_ns - self.mean_hint_ns[class_index])
 
     def _learn_slowdown(
-        self, req: Pending, attempt: Attempt, status: Status, took: float, before: float
+        self, request: PendingRequest, attempt: Attempt, status: Status, took: float, before: float
     ) -> bool:
         """One sample of an endpoint's x_i, which was `before`; whether it said anything."""
-        e = attempt.endpoint
+        endpoint = attempt.endpoint
         sample = max(1e-9, min(took / attempt.usual, MAX_SLOWDOWN))
         if status is Status.CANCELLED and sample <= before:
             return False  # given up early: says nothing
-        own = self._slowdown(e, req.event.cls)
+        in_class = self._slowdown(endpoint, request.event.class_index)
         alpha = ALPHA if status is Status.OK else FAIL_ALPHA
-        e.proof += alpha * (sample - e.proof)
-        e.by_class[req.event.cls] = own + alpha * (sample - own), self.now
-        self._learn(e, before + ALPHA * (sample - before), self.now)
+        endpoint.proven_slowdown += alpha * (sample - endpoint.proven_slowdown)
+        endpoint.slowdown_by_class[request.event.class_index] = (
+            in_class + alpha * (sample - in_class),
+            self.now,
+        )
+        self._learn(endpoint, before + ALPHA * (sample - before), self.now)
         return True
 
-    def _learn(self, e: Endpoint, slow: float, at: int) -> None:
-        e.slow, e.slow_at, kind = slow, at, self._typical(e)
-        self.kind_slow[e.kind] = kind + KIND_ALPHA * (slow - kind)
+    def _learn(self, endpoint: Endpoint, slowdown: float, at: int) -> None:
+        endpoint.slowdown = slowdown
+        endpoint.slowdown_at = at
+        typical = self._typical_slowdown(endpoint)
+        self.slowdown_by_kind[endpoint.kind] = typical + KIND_ALPHA * (slowdown - typical)
--- a/otterreach/balancer/simhost.py
+++ b/otterreach/balancer/simhost.py
@@ -19,6 +19,10 @@
         self._sheets: dict[int, tuple[api.Listed, ...]] = {}
 
     def handle_batch(self, now_ns: int, count: int, body: bytes) -> list[tuple[int, api.Action]]:
+        """Decide on the events of one batch, in order: (instance, action) of each.
+
+        :raises WireError: the bytes are not a legal batch
+        """
         reply: list[tuple[int, api.Action]] = []
         for instance, event in wire.decode_batch(count, body):
             if isinstance(event, wire.Sheet):
@@ -47,8 +51,8 @@
             return []
         if isinstance(event, wire.RosterRef):
             event = self._resolve(event)
-        elif isinstance(event, api.Request) and event.cls >= len(balancer.settings.classes):
-            raise api.SettingsError(f"request class {event.cls} is not in the settings")
+        elif isinstance(event, api.Request) and event.class_index >= len(balancer.settings.classes):
+            raise api.SettingsError(f"request class {event.class_index} is not in the settings")
         return balancer.handle(now_ns, event)
 
     def _resolve(self, ref: wire.RosterRef) -> api.Roster:
@@ -91,6 +95,7 @@
 
 
 def main() -> int:
+    """Serve until the simulator closes the pipe; 2 if what it sends is no legal frame."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/otterreach/balancer/wire.py
+++ b/otterreach/balancer/wire.py
@@ -27,7 +27,7 @@
 _PROBED = struct.Struct("<IBIQB")
 _FROM_PEER = struct.Struct("<IHH")
 
-_SIGHTING = struct.Struct("<IBBB")
+_OBSERVATION = struct.Struct("<IBBB")
 # a peer message's figures: steps to a doubling, and its unit of age
 _STEPS = 16
 _AGE_NS = 50_000_000
@@ -44,12 +44,14 @@
 
 
 class Boot(NamedTuple):
+    """An instance starts, with its seed and its settings as JSON."""
+
     seed: int
     params: bytes
 
 
 class Down(NamedTuple):
-    pass
+    """An instance has ended."""
 
 
 class Sheet(NamedTuple):
@@ -60,6 +62,8 @@
 
 
 class RosterRef(NamedTuple):
+    """A roster whose entries are those of a numbered list."""
+
     version: int
     form: int
     sheet: int
@@ -136,10 +140,10 @@
 
 
 def _read_arrival(body: bytes, at: int) -> _Read:
-    instance, request, hint, key, left, tenant, flags, cls = _ARRIVAL.unpack_from(body, at)
+    instance, request, hint, key, left, tenant, flags, class_index = _ARRIVAL.unpack_from(body, at)
     event = api.Request(
         request,
-        cls,
+        class_index,
         left,
         hint if flags & _HINT_VALID else None,
         key,
@@ -191,11 +195,14 @@
 
 def _decode_peer(sender: int, data: bytes) -> api.PeerMessage:
     """A peer may run another release: what is no message of this one says nothing."""
-    if not data or (len(data) - 1) % _SIGHTING.size:
+    if not data or (len(data) - 1) % _OBSERVATION.size:
         return api.PeerMessage(sender)
-    rows = _SIGHTING.iter_unpack(data[1:])
+    rows = _OBSERVATION.iter_unpack(data[1:])
     seen = tuple(
-        [api.LastHeartbeat(n, _SLOW[slow], _QUEUE[queue], age * _AGE_NS) for n, slow, queue, age in rows]
+        [
+            api.EndpointObservation(n, _SLOW[slowdown], _QUEUE[queue], age * _AGE_NS)
+            for n, slowdown, queue, age in rows
+        ]
     )
     return api.PeerMessage(sender, data[0] / 255, seen)
 
@@ -204,15 +211,15 @@
     return max(0, min(255, round(value)))
 
 
-def _encode_peer(strain: float, sightings: tuple[api.LastHeartbeat, ...]) -> bytes:
+def _encode_peer(strain: float, observations: tuple[api.EndpointObservation, ...]) -> bytes:
     rows = [
-        _SIGHTING.pack(
+        _OBSERVATION.pack(
             s.endpoint,
-            _byte(_STEPS * (log2(max(s.slow, 1e-9)) + 4)),
+            _byte(_STEPS * (log2(max(s.slowdown, 1e-9)) + 4)),
             _byte(_STEPS * log2(s.queue + 1)),
             _byte(s.age_ns / _AGE_NS),
         )
-        for s in sightings[: api.MAX_SIGHTINGS]
+        for s in observations[: api.MAX_OBSERVATIONS]
     ]
     return bytes((_byte(255 * strain),)) + b"".join(rows)
 
@@ -271,8 +278,8 @@
             return _CLOSE.pack(1060, instance, endpoint)
         case api.Watch(active):
             return _STREAM.pack(1070, instance, active)
-        case api.Tell(peer, strain, sightings):
-            data = _encode_peer(strain, sightings)
+        case api.Tell(peer, strain, observations):
+            data = _encode_peer(strain, observations)
             target = _EVERY_PEER if peer < 0 else peer
             return _SIGNAL.pack(1100, instance, target, len(data)) + data
         case api.Probe(endpoint):
@@ -280,5 +287,6 @@
 
 
 def encode_reply(actions: list[tuple[int, api.Action]]) -> bytes:
+    """The frame that answers a batch: (instance, action) of each, in order."""
     body = b"".join([encode_action(instance, action) for instance, action in actions])
     return REPLY_HEADER.pack(len(actions), len(body)) + body
--- a/otterreach/sidecar/server.py
+++ b/otterreach/sidecar/server.py
@@ -58,12 +58,12 @@
         raise InvalidCallError(HTTPStatus.METHOD_NOT_ALLOWED, "GET and POST are served")
     parts = [part for part in request.target.partition(b"?")[0].split(b"/") if part]
     name = parts[0] if parts else b""
-    cls = names.classes.get((unquote_to_bytes(name) if b"%" in name else name).decode("latin-1"))
-    if cls is None:
+    class_index = names.classes.get((unquote_to_bytes(name) if b"%" in name else name).decode("latin-1"))
+    if class_index is None:
         raise InvalidCallError(HTTPStatus.NOT_FOUND, "no such class of requests")
     headers = request.headers
-    effect = settings.classes[cls].effect
-    keyed = len(parts) > 1 and (settings.warm_keys or settings.classes[cls].in_order)
+    effect = settings.classes[class_index].effect
+    keyed = len(parts) > 1 and (settings.warm_keys or settings.classes[class_index].in_order)
     if not PLAIN.fullmatch(headers.get(b"x-trace-id", b"")):
         raise InvalidCallError(HTTPStatus.BAD_REQUEST, "X-Trace-Id is missing, or no plain text")
     if (request.method == b"GET") is not (effect is Effect.REPEATABLE):
@@ -74,13 +74,13 @@
         key = headers.get(b"idempotency-key")
         if (key is None) is (effect is Effect.BY_KEY) or key is not None and not PLAIN.fullmatch(key):
             raise InvalidCallError(HTTPStatus.BAD_REQUEST, "Idempotency-Key does not fit the class")
-    left_ns = settings.classes[cls].deadline_ns
+    left_ns = settings.classes[class_index].deadline_ns
     if (left_ms := _number(headers, b"x-expires-in-ms")) is not None:
         left_ns = min(left_ms, LONGEST_WAIT_MS) * 1_000_000
     hint_us = _number(headers, b"x-size-hint")
     return Call(
         request=request,
-        cls=cls,
+        class_index=class_index,
         tenant=names.tenants.get(headers.get(b"x-customer", b"").decode("latin-1"), len(names.tenants)),
         left_ns=left_ns,
         hint_ns=None if hint_us is None else hint_us * 1000,
--- a/otterreach/sidecar/sidecar.py
+++ b/otterreach/sidecar/sidecar.py
@@ -39,7 +39,7 @@
     """A request as the server read it, in the module's terms."""
 
     request: http1.Request
-    cls: int
+    class_index: int
     tenant: int
     left_ns: int
     hint_ns: int | None
@@ -106,7 +106,7 @@
         loop = asyncio.get_running_loop()
         last = now + max(0, call.left_ns - BACKSTOP_NS)
         exchange.backstop = loop.call_at(last / 1e9, self._overdue, request_id)
-        event = api.Request(request_id, call.cls, left_ns, call.hint_ns, call.key, call.tenant, call.is_retry)
+        event = api.Request(request_id, call.class_index, left_ns, call.hint_ns, call.key, call.tenant, call.is_retry)
         self._handle(event)
         return request_id
 
--- a/tests/checker.py
+++ b/tests/checker.py
@@ -48,7 +48,7 @@
     def event(self, now: int, event: api.Event) -> None:
         match event:
             case api.Request():
-                cls = self.settings.classes[event.cls]
+                cls = self.settings.classes[event.class_index]
                 key = event.key if cls.in_order else 0
                 self.requests[event.request] = Ledger(cls, now + event.left_ns, key=key)
                 if key:
--- a/tests/test_hostile.py
+++ b/tests/test_hostile.py
@@ -68,7 +68,7 @@
     car = Sidecar([listed(1), listed(2)])
     car.serve(40)
     for e, queue in zip(car.balancer.endpoints.values(), (0.0, 40.0), strict=True):
-        e.queue, e.queue_at, e.slow, e.slow_at = queue, car.now, 1.0, car.now
+        e.queue, e.queue_at, e.slowdown, e.slowdown_at = queue, car.now, 1.0, car.now
     car.balancer.mean_queue = 20.0
     idle, busy = car.balancer.endpoints.values()
     assert car.balancer._load(busy) > 39 > 1 > car.balancer._load(idle)
@@ -107,7 +107,7 @@
 def test_peer_figures_of_any_kind(figure: float) -> None:
     """Operators carry messages as they like: what a peer tells may be anything."""
     car = Sidecar([listed(1), listed(2)], allowed__peers=True)
-    seen = (api.LastHeartbeat(1, figure, figure, -(10**18)), api.LastHeartbeat(7, figure, figure, 10**18))
+    seen = (api.EndpointObservation(1, figure, figure, -(10**18)), api.EndpointObservation(7, figure, figure, 10**18))
     for _ in range(50):
         car.balancer.handle(car.now, api.PeerMessage(1, figure, seen))
         for send in sends(car.request()):
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -17,15 +17,15 @@
 from otterreach.balancer.interface import EndpointState, RosterForm, Status
 from otterreach.balancer.logic import Balancer
 from otterreach.balancer.routing import COLD_SHARE
-from otterreach.balancer.state import Pending
+from otterreach.balancer.state import PendingRequest
 from tests.support import MS, SECOND, Sidecar, finals, listed, quiet, sends, settings, timers
 
 ROOT = Path(__file__).parent.parent
 POLICY = [ROOT / name for name in tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]]
 
 
-def _pending(car: Sidecar) -> Pending:
-    return Pending(api.Request(10**6, 0, 2 * SECOND), car.balancer.settings.classes[0], car.now, 0)
+def _pending(car: Sidecar) -> PendingRequest:
+    return PendingRequest(api.Request(10**6, 0, 2 * SECOND), car.balancer.settings.classes[0], car.now, 0)
 
 
 def share(chosen: list[int], endpoint: int) -> float:
@@ -75,7 +75,7 @@
     for seed in range(4000):
         car = Sidecar([listed(n) for n in queues], seed=seed)
         for n, e in car.balancer.endpoints.items():
-            e.slow, e.slow_at = slow[n], car.now
+            e.slowdown, e.slowdown_at = slow[n], car.now
             e.queue, e.queue_at = queues[n], car.now
         counts[sends(car.request())[0].endpoint] += 1
     odds = {n: 1 / ((queues[n] + 1) * slow[n]) for n in queues}
@@ -153,8 +153,8 @@
     car = Sidecar([listed(1), listed(2)])
     car.serve(20)
     car.roster([listed(1, started_ns=car.now)])
-    assert not car.balancer.endpoints[1].slow_at
-    assert car.balancer.endpoints[2].slow_at
+    assert not car.balancer.endpoints[1].slowdown_at
+    assert car.balancer.endpoints[2].slowdown_at
 
 
 # Attempts and rules
@@ -246,7 +246,7 @@
     assert car.balancer.handle(car.now, api.ClientGone(send.request)) == []
     assert car.balancer.handle(car.now, api.Timer(4_000_000)) == []
     assert car.balancer.handle(car.now, api.ProbeResult(99, Status.OK, 5, (1.0,))) == []
-    assert car.balancer.handle(car.now, api.PeerMessage(3, 0.2, (api.LastHeartbeat(99, 1.0, 0.0, 0),))) == []
+    assert car.balancer.handle(car.now, api.PeerMessage(3, 0.2, (api.EndpointObservation(99, 1.0, 0.0, 0),))) == []
 
 
 def test_a_request_has_one_attempt_at_a_time_and_it_is_cancelled_when_the_client_goes() -> None:
@@ -341,7 +341,7 @@
     assert not sends(actions)
     car.now += 50 * MS
     assert not sends(car.outcome(first))
-    assert not car.balancer.turns
+    assert not car.balancer.queued_by_key
 
 
 # Silence
@@ -507,7 +507,7 @@
     car.roster([listed(2, started_ns=car.now)])
     chosen = []
     for _ in range(300):
-        car.balancer.endpoints[1].slow, car.balancer.endpoints[1].slow_at = 10.0, car.now
+        car.balancer.endpoints[1].slowdown, car.balancer.endpoints[1].slowdown_at = 10.0, car.now
         for send in sends(car.request()):
             chosen.append(send.endpoint)
             car.now += 5 * MS
@@ -529,7 +529,7 @@
             else:
                 car.outcome(send)
     car.request()
-    return car.balancer.endpoints[2].ramp
+    return car.balancer.endpoints[2].warm_share
 
 
 def test_a_cold_endpoints_own_answers_open_its_whole_allowance_and_no_more() -> None:
@@ -550,10 +550,10 @@
         for n in range(60 * unanswered):
             req = car.balancer.pending.setdefault(-n, _pending(car))
             car.balancer._send(req, car.balancer.endpoints[1], 10e6)
-            car.balancer.endpoints[1].out.clear()
-        car.balancer.endpoints[4].ramp = 0.25
+            car.balancer.endpoints[1].open_attempts.clear()
+        car.balancer.endpoints[4].warm_share = 0.25
         odds = [1.0, 1.0, 1.0, 9.0]
-        car.balancer._cap_cold(list(car.balancer.endpoints.values()), odds)
+        car.balancer._cap_cold_endpoints(list(car.balancer.endpoints.values()), odds)
         assert sum(odds) == pytest.approx(12.0)
         shares.append(odds[3] / 12)
     assert shares[1] < 0.75 * shares[0]
@@ -565,9 +565,9 @@
     car.serve(100)
     car.roster([listed(n, started_ns=car.now) for n in range(1, 5)])
     for e in car.balancer.endpoints.values():
-        e.ramp = 0.25
+        e.warm_share = 0.25
     odds = [1.0, 1.0, 1.0, 1.0]
-    nowhere = car.balancer._cap_cold(list(car.balancer.endpoints.values()), odds)
+    nowhere = car.balancer._cap_cold_endpoints(list(car.balancer.endpoints.values()), odds)
     assert nowhere + sum(odds) == pytest.approx(4.0)
     assert nowhere >= 0
 
@@ -589,7 +589,7 @@
     car = Sidecar([listed(1)])
     car.serve(30)
     car.request(cls=2)
-    usual = car.balancer.class_ns[2]
+    usual = car.balancer.usual_ns[2]
     car.balancer.now += int(8 * usual)
     assert car.balancer._slowdown(car.balancer.endpoints[1]) == pytest.approx(8, rel=0.01)
 
@@ -888,7 +888,7 @@
         for send in sends(peer.request()):
             peer.now += 70 * MS
             told += tells(peer.outcome(send))
-    full = [t for t in told if t.sightings]
+    full = [t for t in told if t.observations]
     assert 3 <= len(full) <= 6
     assert len(told) == 4 * len(full)
     assert {t.peer for t in told} <= {0, 1, 3, 4}
@@ -897,14 +897,14 @@
 def test_a_peers_later_sighting_counts_and_an_older_one_does_not() -> None:
     car = Sidecar([listed(1), listed(2, started_ns=99 * SECOND)], allowed__peers=True)
     car.serve(20)
-    at = car.balancer.endpoints[1].slow_at
+    at = car.balancer.endpoints[1].slowdown_at
     car.now += SECOND
-    old = api.LastHeartbeat(1, 9.0, 9.0, car.now - at + MS)
-    before_start = api.LastHeartbeat(2, 9.0, 9.0, 5 * SECOND)
+    old = api.EndpointObservation(1, 9.0, 9.0, car.now - at + MS)
+    before_start = api.EndpointObservation(2, 9.0, 9.0, 5 * SECOND)
     car.balancer.handle(car.now, api.PeerMessage(1, 0.0, (old, before_start)))
-    assert car.balancer.endpoints[1].slow < 5 > car.balancer.endpoints[2].slow
-    car.balancer.handle(car.now, api.PeerMessage(1, 0.0, (api.LastHeartbeat(1, 9.0, 9.0, 0),)))
-    assert car.balancer.endpoints[1].slow == 9.0 == car.balancer.endpoints[1].queue
+    assert car.balancer.endpoints[1].slowdown < 5 > car.balancer.endpoints[2].slowdown
+    car.balancer.handle(car.now, api.PeerMessage(1, 0.0, (api.EndpointObservation(1, 9.0, 9.0, 0),)))
+    assert car.balancer.endpoints[1].slowdown == 9.0 == car.balancer.endpoints[1].queue
 
 
 def test_a_popular_key_gathers_alike_in_small_and_large_fleets() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -52,7 +52,7 @@
             getattr(self, "do_" + what)(data)
         self.checker.nothing_owed(self.now + 60 * SECOND)
         assert not self.balancer.pending, "state kept for finished requests"
-        assert not self.balancer.turns, "state kept for idle keys"
+        assert not self.balancer.queued_by_key, "state kept for idle keys"
         return self.checker
 
     def rows(self) -> list[api.Listed]:
@@ -151,7 +151,7 @@
     def do_peer(self, _: Any) -> None:
         draw = self.draw
         slow, queue = draw.choice((0.1, 1.0, 50.0)), draw.choice((0.0, 9.0))
-        seen = [api.LastHeartbeat(n * 7919, slow, queue, draw.randrange(SECOND)) for n in range(1, 9)]
+        seen = [api.EndpointObservation(n * 7919, slow, queue, draw.randrange(SECOND)) for n in range(1, 9)]
         if self.now < self.end and self.cfg.may_message:
             self.at(self.now + draw.choice((TICK, SECOND)), "peer")
             self.tell(api.PeerMessage(1, draw.random(), tuple(seen)))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -88,7 +88,7 @@
         (api.CloseIdle(11), struct.pack("<HII", 1060, 4, 11)),
         (api.Tell(-1, 1.0), struct.pack("<HIIHB", 1100, 4, 0xFFFFFFFF, 1, 255)),
         (
-            api.Tell(7, 0.0, (api.LastHeartbeat(11, 1.0, 3.0, 100 * MS),)),
+            api.Tell(7, 0.0, (api.EndpointObservation(11, 1.0, 3.0, 100 * MS),)),
             struct.pack("<HIIHBIBBB", 1100, 4, 7, 8, 0, 11, 64, 32, 2),
         ),
         (api.Probe(11), struct.pack("<HII", 1110, 4, 11)),
@@ -215,17 +215,17 @@
 
 
 def test_a_peer_message_comes_back_as_it_was_told_within_its_steps() -> None:
-    told = tuple(api.LastHeartbeat(2**32 - 1 - n, 0.5 + n, n * n, n * 60 * MS) for n in range(50))
+    told = tuple(api.EndpointObservation(2**32 - 1 - n, 0.5 + n, n * n, n * 60 * MS) for n in range(50))
     record = wire.encode_action(4, api.Tell(7, 0.4, told))
     data = record[struct.calcsize("<HIIH") :]
     assert len(data) <= 256
     body = struct.pack("<HIHH", 1080, 4, 9, len(data)) + data
     [(instance, message)] = wire.decode_batch(1, body)
     assert isinstance(message, api.PeerMessage)
-    assert (instance, message.sender, len(message.sightings)) == (4, 9, api.MAX_SIGHTINGS)
+    assert (instance, message.sender, len(message.observations)) == (4, 9, api.MAX_OBSERVATIONS)
     assert message.strain == pytest.approx(0.4, abs=0.003)
-    for was, now in zip(told, message.sightings, strict=False):
+    for was, now in zip(told, message.observations, strict=False):
         assert now.endpoint == was.endpoint
-        assert now.slow == pytest.approx(was.slow, rel=0.03)
+        assert now.slowdown == pytest.approx(was.slowdown, rel=0.03)
         assert now.queue + 1 == pytest.approx(was.queue + 1, rel=0.03)
         assert now.age_ns == pytest.approx(was.age_ns, abs=25 * MS)
