--- a/otterreach/cli/caller.py
+++ b/otterreach/cli/caller.py
@@ -14,7 +14,7 @@
 Headers = dict[bytes, bytes]
 Ask = Callable[..., Awaitable["http1.Response | Failure"]]
 BOUNDS = http1.Bounds(body=64 * 1024 * 1024, head=64 * 1024)
-SILENCE_S = 1.0  # then another address is asked; more for large bodies
+ANSWER_TIMEOUT_S = 1.0  # then another address is asked; more for large bodies
 BYTES_PER_S = 4e6
 REDIRECTS = 2
 BACKOFF_S = 0.1
@@ -29,15 +29,18 @@
         self._parser = http1.ResponseParser(bounds=BOUNDS)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the request."""
         assert isinstance(transport, asyncio.Transport)
         transport.write(self.data)
 
     def data_received(self, data: bytes) -> None:
+        """Parse what has come of the answer."""
         response = self._parser.feed(data)
         if (response is not None or self._parser.broken) and not self.done.done():
             self.done.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the call; an answer without a length is complete now."""
         self._parser.close()
         if not self.done.done():
             self.done.set_result(None)
@@ -49,7 +52,7 @@
     path: str,
     body: bytes = b"",
     headers: Headers | None = None,
-    timeout_s: float = SILENCE_S,
+    timeout_s: float = ANSWER_TIMEOUT_S,
     host: str = "",
 ) -> http1.Response | Failure:
     """One call to host:port. TIMED_OUT and CLOSED leave open whether it was done."""
@@ -96,16 +99,16 @@
         order = self.random.sample(self.addresses, len(self.addresses))
         if not order:
             return Failure(Code.UNREACHABLE, "no address given")
-        turn = 0
+        attempt = 0
         while True:
-            answer = await self._follow(order[turn % len(order)], method, path, body, headers)
+            answer = await self._follow(order[attempt % len(order)], method, path, body, headers)
             if not _moves_on(answer):
                 return answer
             maybe = maybe or not isinstance(answer, Failure) or answer.maybe_done
             if loop.time() + pause > end:
                 break
             await asyncio.sleep(pause * (0.5 + self.random.random() / 2))
-            turn = turn + 1
+            attempt = attempt + 1
             pause = min(MOST_BACKOFF_S, pause * 1.6)
         if isinstance(answer, Failure) and (not maybe or answer.maybe_done):
             return answer
@@ -115,7 +118,7 @@
     async def _follow(
         self, address: str, method: str, path: str, body: bytes, headers: Headers | None
     ) -> http1.Response | Failure:
-        timeout_s = SILENCE_S + len(body) / BYTES_PER_S
+        timeout_s = ANSWER_TIMEOUT_S + len(body) / BYTES_PER_S
         for _ in range(REDIRECTS + 1):
             answer = await self._ask(address, method, path, body, headers, timeout_s)
             if isinstance(answer, Failure) or answer.status != 307:
@@ -133,6 +136,6 @@
     import json
 
     with contextlib.suppress(ValueError, KeyError, TypeError):
-        told = json.loads(answer.body)
-        return Failure(Code(told["code"]), str(told["reason"]))
+        body = json.loads(answer.body)
+        return Failure(Code(body["code"]), str(body["reason"]))
     return Failure(Code.INTERNAL, f"answered {answer.status}")
--- a/otterreach/cli/data.py
+++ b/otterreach/cli/data.py
@@ -188,6 +188,7 @@
 
 class _ReadOnlyLog:
     def append(self, kind: int, payload: bytes) -> None:
+        """Nothing is written to a file that is read."""
         raise AssertionError("a file that is read is not written")
 
 
--- a/otterreach/cli/state.py
+++ b/otterreach/cli/state.py
@@ -74,6 +74,7 @@
     changed = asyncio.Event()
 
     async def on_changes(link: Link, changes: Changes) -> None:
+        """Show what is new of the kind."""
         changed.set()
         for item in store.apply(changes.items):
             if not kind or item.key.partition("/")[0] == kind:
@@ -184,5 +185,6 @@
 
 
 def item_line(item: Item) -> str:
+    """An item as `watch` prints it: revision, key, value."""
     value = "gone" if item.is_tombstone else json.dumps(json.loads(item.value), sort_keys=True)
     return f"{item.revision >> 24}.{item.revision & 0xFFFFFF} {item.key} {value[:300]}"
--- a/otterreach/cli/state_commands.py
+++ b/otterreach/cli/state_commands.py
@@ -99,6 +99,7 @@
     from otterreach.cli import state
 
     def show(item: Any) -> None:
+        """Print one change at once."""
         print(state.item_line(item), flush=True)
 
     try:
--- a/otterreach/proxy/exchange.py
+++ b/otterreach/proxy/exchange.py
@@ -115,7 +115,7 @@
         self.fresh_only = fresh_only
         self.loop = pool.loop
         self.started = self.loop.time()
-        self.heard_at = self.started  # when a byte last came
+        self.last_received_at = self.started  # when a byte last came
         self.sent_at = 0.0
         self._announced_deadline = (
             deadline if announced_time_s is None else self.started + announced_time_s
@@ -194,7 +194,7 @@
 
     def received(self, data: bytes) -> None:
         """Bytes have come from the server."""
-        self.heard_at = self.loop.time()
+        self.last_received_at = self.loop.time()
         if self._parser is None or self._done.done():
             return
         response = self._parser.feed(data)
--- a/otterreach/proxy/item_placement.py
+++ b/otterreach/proxy/item_placement.py
@@ -39,6 +39,7 @@
         wanted = run.text_version if single_version else None
 
         def fits(server: Server) -> bool:
+            """Whether this server may get the item now."""
             if server.estimate.in_flight >= self._share_of(server):
                 return False
             version = server.versions.get(run.model)
--- a/otterreach/proxy/orders.py
+++ b/otterreach/proxy/orders.py
@@ -30,7 +30,7 @@
 BACKOFF_S = 0.4
 WRONG_SERVER_S = 2.0  # until the control state shows who is at the address
 NOTED_S = 5.0  # within this what was done is to be seen in the control state
-NOTE_ATTEMPTS = 3
+REPORT_ATTEMPTS = 3
 MIN_LOADS_AT_ONCE = 3  # servers that load at once: the larger of this ...
 LOADS_AT_ONCE_SHARE = 1 / 3  # ... and this share of them
 NO_ORDER_MS = 10**9
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeenLease:
+class ObservedLease:
     """A lease of this proxy, from when it was first seen here."""
 
     fence: int
@@ -106,11 +106,11 @@
         self.shutting_down = False
         self.loading: dict[str, asyncio.Task[None]] = {}  # by server
         self._last_order_at: dict[str, float] = {}  # by server
-        self._seen: dict[str, SeenLease] = {}  # by server
+        self._observed: dict[str, ObservedLease] = {}  # by server
         self._due_since: dict[DueLoad, float] = {}
         self._retry_at: dict[str, float] = {}  # by server
         self._completed: dict[tuple[str, str], CompletedLoad] = {}  # by server and model
-        self._orders_taken: dict[str, int | None] = {}  # by server, as it last reported them
+        self._orders_accepted: dict[str, int | None] = {}  # by server, as it last reported them
         self._rejected_fences: dict[str, int] = {}  # by server: a fence of ours that it refused as too low
         self._known = KnownState()
 
@@ -118,8 +118,8 @@
 
     def leased_servers(self) -> set[str]:
         """The servers whose leases this proxy holds."""
-        own = self.node.settings.node
-        return {ident for ident, lease in self.store.records(OrderLeaseRecord).items() if lease.holder == own}
+        own_node = self.node.settings.node
+        return {ident for ident, lease in self.store.records(OrderLeaseRecord).items() if lease.holder == own_node}
 
     def fence(self, ident: str) -> int:
         """The fencing token under which an order to this server may be sent right now; NO_FENCE: none may."""
@@ -128,11 +128,11 @@
         if self.shutting_down or lease is None or lease.holder != self.node.settings.node:
             return NO_FENCE
         revision = self.store.items[key_of(OrderLeaseRecord, ident)].revision
-        seen = self._seen.get(ident)
-        if seen is None or seen.fence != revision:
-            seen = SeenLease(revision, now + lease.wait_ms / 1000)
-            self._seen[ident] = seen
-        return revision if now >= seen.usable_from and self.node.follower.age_s() < LEASE_S else NO_FENCE
+        observed = self._observed.get(ident)
+        if observed is None or observed.fence != revision:
+            observed = ObservedLease(revision, now + lease.wait_ms / 1000)
+            self._observed[ident] = observed
+        return revision if now >= observed.usable_from and self.node.follower.age_s() < LEASE_S else NO_FENCE
 
     # Which loads ---------------------------------------------------------------------------------
 
@@ -146,16 +146,16 @@
     def step(self) -> None:
         """Start the loads whose turn it is here."""
         if self._known.revision != self.store.revision:
-            self._look_at_state()
+            self._read_state()
         known = self._known
         if not known.leased or not known.due:
             return
-        for load in self._whose_turn(known):
+        for load in self._loads_to_start(known):
             server = self.store.record(ServerRecord, load.server)
             if server and load.server in known.leased and load.server not in self.loading and self._is_wanted(load):
                 self.loading[load.server] = asyncio.ensure_future(self._load(load, server.address))
 
-    def _look_at_state(self) -> None:
+    def _read_state(self) -> None:
         servers = self.store.records(ServerRecord)
         leased = self.leased_servers()
         for ident in leased:
@@ -163,7 +163,7 @@
         due = due_loads(servers, self.store.records(VersionRecord))
         self._due_since = {load: self._due_since[load] for load in due if load in self._due_since}
         self._completed = {key: done for key, done in self._completed.items() if key[0] in servers}
-        self._orders_taken = {ident: taken for ident, taken in self._orders_taken.items() if ident in leased}
+        self._orders_accepted = {ident: taken for ident, taken in self._orders_accepted.items() if ident in leased}
         self._rejected_fences = {ident: fence for ident, fence in self._rejected_fences.items() if ident in leased}
         with_models = sum(bool(server.models) for server in servers.values())
         self._known = KnownState(self.store.revision, leased, due, with_models)
@@ -176,11 +176,11 @@
         completed = self._completed.get((load.server, load.model))
         return completed is None or completed.version < load.version or now - completed.at > NOTED_S
 
-    def _whose_turn(self, known: KnownState) -> list[DueLoad]:
+    def _loads_to_start(self, known: KnownState) -> list[DueLoad]:
         """Whose turn it is, at this proxy or another: a server takes one order at a time."""
         now = self.loop.time()
         free = max(MIN_LOADS_AT_ONCE, round(known.servers_with_models * LOADS_AT_ONCE_SHARE))
-        turn: list[DueLoad] = []
+        loads: list[DueLoad] = []
         busy: set[str] = set()
         for load in known.due:
             if free <= 0:
@@ -189,19 +189,19 @@
                 continue
             busy.add(load.server)
             since = self._due_since.setdefault(load, now)
-            turn.append(load)
+            loads.append(load)
             free -= now - since < STUCK_S
-        return turn
+        return loads
 
     # One load ------------------------------------------------------------------------------------
 
     async def _load(self, load: DueLoad, address: str) -> None:
         try:
-            await self._bring_to_version(load, address)
+            await self._update_server(load, address)
         finally:
             self.loading.pop(load.server, None)
 
-    async def _bring_to_version(self, load: DueLoad, address: str) -> None:
+    async def _update_server(self, load: DueLoad, address: str) -> None:
         """Order one server to a version and wait until it has it."""
         ident = load.server
         fence = self.fence(ident)
@@ -211,7 +211,7 @@
         result = await self._order(server, load, fence)
         if result is OrderResult.HOLDS or (result in LOOK_AGAIN and await self._wait_until_loaded(server, load)):
             self._completed[ident, load.model] = CompletedLoad(load.version, self.loop.time())
-            await self._note_loaded(load)
+            await self._report_loaded(load)
         elif result is OrderResult.WRONG_SERVER:
             self._retry_at[ident] = self.loop.time() + WRONG_SERVER_S
         else:
@@ -220,7 +220,7 @@
     async def _order(self, server: ModelServer, load: DueLoad, fence: int) -> OrderResult:
         """Send the order, unless the server's report makes it needless or impossible."""
         ident = server.ident
-        if ident not in self._orders_taken:
+        if ident not in self._orders_accepted:
             report = await server.report()
             if report is None:
                 return OrderResult.NOT_SENT
@@ -228,8 +228,8 @@
                 return OrderResult.HOLDS
             if report.busy:
                 return OrderResult.CONFLICT
-            self._orders_taken[ident] = report.calls
-        order = Order(load.model, load.version, self.node.settings.node, fence, self._orders_taken[ident])
+            self._orders_accepted[ident] = report.calls
+        order = Order(load.model, load.version, self.node.settings.node, fence, self._orders_accepted[ident])
 
         def may_write() -> bool:
             """Danger: while a connection was opened the lease may have run out."""
@@ -244,9 +244,9 @@
     def _learn_from(self, ident: str, order: Order, result: OrderResult) -> None:
         """What is known now of the orders that the server has taken."""
         if result is OrderResult.TAKEN and order.expect is not None:
-            self._orders_taken[ident] = order.expect + 1
+            self._orders_accepted[ident] = order.expect + 1
         elif result is not OrderResult.NOT_SENT:
-            self._orders_taken.pop(ident, None)
+            self._orders_accepted.pop(ident, None)
         if result is OrderResult.FENCED:
             self._rejected_fences[ident] = order.fence
 
@@ -266,14 +266,14 @@
                 return True
             # Danger: a report is some hundred ms old; one from before the order would have it ordered twice.
             if not report.busy and self.loop.time() > began + REPORT_AGE_S:
-                self._orders_taken[server.ident] = report.calls
+                self._orders_accepted[server.ident] = report.calls
                 return False
         return False
 
-    async def _note_loaded(self, load: DueLoad) -> None:
+    async def _report_loaded(self, load: DueLoad) -> None:
         """Let all proxies know at once, sooner than by the server's next heartbeat."""
         message = ModelLoaded(load.server, load.model, load.version)
-        for _ in range(NOTE_ATTEMPTS):
+        for _ in range(REPORT_ATTEMPTS):
             if not isinstance(await self.node.call_primary(message), Failure):
                 return
             await asyncio.sleep(STEP_INTERVAL_S)
--- a/otterreach/proxy/pools.py
+++ b/otterreach/proxy/pools.py
@@ -91,7 +91,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Bytes have come."""
-        self.pool.heard_at = self.pool.loop.time()
+        self.pool.last_received_at = self.pool.loop.time()
         if self._user:
             self._user.received(data)
         else:
@@ -144,7 +144,7 @@
         self.address = address
         self.most = most
         self.closed = False
-        self.heard_at = -1e9  # when anything last came from the server
+        self.last_received_at = -1e9  # when anything last came from the server
         self.opened = 0  # in all, for the books
         self.idle: list[Connection] = []  # the latest used last
         self.connections: set[Connection] = set()
@@ -201,7 +201,7 @@
             async with asyncio.timeout(timeout_s):
                 connection = await self._opener(self.address, lambda: Connection(self))
         except TimeoutError:
-            if self.heard_at < asked_at:
+            if self.last_received_at < asked_at:
                 self.close_idle()  # Danger: a machine that vanished leaves its connections open
             return None
         except OSError:
--- a/otterreach/proxy/reward_calls.py
+++ b/otterreach/proxy/reward_calls.py
@@ -84,6 +84,7 @@
         within = min(route.timeout_s, MAX_ATTEMPT_S, max(MIN_ATTEMPT_S, 4 * route.target_s))
 
         def wanted() -> bool:
+            """Whether it may still be sent, asked right before the write."""
             return self.permission.may_send(run) and self.fleet.may_write(server, run.work.scorer_host, path)
 
         exchange = self.fleet.exchange(server, outbound, self.loop.time() + within, wanted)
--- a/otterreach/proxy/streams.py
+++ b/otterreach/proxy/streams.py
@@ -12,9 +12,9 @@
 from otterreach.runtime.configuration import Route
 from otterreach.sidecar import http1
 
-MIN_SILENCE_S = 1.5  # a resumable stream that says nothing for so long is tried elsewhere, if that is possible
-SILENCE_IN_TARGETS = 3.0
-SILENCE_CHECK_S = 0.25
+MIN_STALL_S = 1.5  # a resumable stream that says nothing for so long is tried elsewhere, if that is possible
+STALL_IN_TARGETS = 3.0
+STALL_CHECK_S = 0.25
 
 
 class _Relay:
@@ -130,20 +130,20 @@
             fresh_only=not attempt.idempotent,
         )
         relay.attach(exchange)
-        silent = max(MIN_SILENCE_S, SILENCE_IN_TARGETS * route.target_s)
+        silent = max(MIN_STALL_S, STALL_IN_TARGETS * route.target_s)
         may_resume = attempt.idempotent and len(attempt.sent_to) + 1 < route.tries
         if may_resume:
-            self.loop.call_later(SILENCE_CHECK_S, self._check_silence, exchange, silent)
+            self.loop.call_later(STALL_CHECK_S, self._check_stall, exchange, silent)
         return await self.fleet.attempt(server, exchange)
 
-    def _check_silence(self, exchange: Exchange, silent_s: float) -> None:
+    def _check_stall(self, exchange: Exchange, stall_s: float) -> None:
         """One check at a time, in place of a timer for each event."""
         if exchange.is_done:
             return
-        if exchange.sent_at and self.loop.time() - max(exchange.heard_at, exchange.sent_at) > silent_s:
+        if exchange.sent_at and self.loop.time() - max(exchange.last_received_at, exchange.sent_at) > stall_s:
             exchange.give_up("silent", True)
         else:
-            self.loop.call_later(SILENCE_CHECK_S, self._check_silence, exchange, silent_s)
+            self.loop.call_later(STALL_CHECK_S, self._check_stall, exchange, stall_s)
 
     def _ended(self, attempt: ClientRequest, route: Route, server: Server, outcome: Outcome, relay: _Relay) -> bool:
         """Whether the client has its last word."""
--- a/otterreach/proxy/text_generation.py
+++ b/otterreach/proxy/text_generation.py
@@ -16,7 +16,7 @@
 STREAM_TIMEOUT_S = 1.2  # between events, of a server that says nothing on any connection
 FIRST_EVENT_TIMEOUT_S = 2.5  # before the first event: it may wait in the server's queue
 SERVER_TIMEOUT_S = 0.8
-SILENCE_CHECK_S = 0.25
+STALL_CHECK_S = 0.25
 
 
 class TextGeneration:
@@ -49,6 +49,7 @@
         fits = self.placer.filter_for(run, route.single)
 
         def wanted() -> bool:
+            """Whether it may still be sent, asked right before the write."""
             server.estimate.in_flight -= 1  # it is counted already
             fit = fits(server)
             server.estimate.in_flight += 1
@@ -115,19 +116,19 @@
     async def watch(self) -> None:
         """Break off what is silent. Danger: after a stand-still of this process everything looks silent."""
         while True:
-            await asyncio.sleep(SILENCE_CHECK_S)
+            await asyncio.sleep(STALL_CHECK_S)
             now = self.loop.time()
-            late = now - self._checked_at > 3 * SILENCE_CHECK_S
+            late = now - self._checked_at > 3 * STALL_CHECK_S
             self._checked_at = now
             if late:
                 continue
             for run in list(self.queue.runs.values()):
                 if run.exchange and run.server and run.exchange.sent_at:
-                    self._end_if_silent(run, run.exchange, run.server, now)
+                    self._end_if_stalled(run, run.exchange, run.server, now)
 
-    def _end_if_silent(self, run: ItemRun, exchange: Exchange, server: Server, now: float) -> None:
-        quiet = now - max(exchange.heard_at, exchange.sent_at)
+    def _end_if_stalled(self, run: ItemRun, exchange: Exchange, server: Server, now: float) -> None:
+        quiet = now - max(exchange.last_received_at, exchange.sent_at)
         limit = STREAM_TIMEOUT_S if run.events else FIRST_EVENT_TIMEOUT_S
-        server_silent = now - server.pool.heard_at > SERVER_TIMEOUT_S
-        if quiet > limit and (server_silent or quiet > 2 * limit):
+        server_stalled = now - server.pool.last_received_at > SERVER_TIMEOUT_S
+        if quiet > limit and (server_stalled or quiet > 2 * limit):
             exchange.give_up(StopReason.SILENT, True)
--- a/otterreach/sidecar/__main__.py
+++ b/otterreach/sidecar/__main__.py
@@ -40,6 +40,7 @@
         self.reload = asyncio.Event()
 
     def install(self) -> None:
+        """Have the running loop set the events."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
@@ -119,6 +120,7 @@
 
 
 def main() -> int:
+    """Run the sidecar; 2 if its configuration can't be read."""
     try:
         asyncio.run(_until_signalled())
     except ConfigError as error:
--- a/otterreach/sidecar/config.py
+++ b/otterreach/sidecar/config.py
@@ -21,11 +21,14 @@
 
 
 class Address(NamedTuple):
+    """A host and a port."""
+
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: Any) -> Address:
+        """From `host:port`; ValueError for anything else."""
         host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
         if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
             raise ValueError(f"{text!r} is no host:port")
@@ -41,6 +44,8 @@
 
 
 class MemberList(NamedTuple):
+    """What discovery says: changes, or the complete list, at a revision of its own."""
+
     revision: int
     complete: bool
     members: tuple[Member, ...]
@@ -83,6 +88,8 @@
 
 @dataclass(frozen=True)
 class Config:
+    """What the sidecar is told at its start."""
+
     path: str  # of the file, to read again when it is replaced
     name: str
     listen: Address
@@ -176,6 +183,7 @@
 
 def _names(raw: dict[str, Any]) -> Names:
     def places(key: str, named: bool) -> dict[str, int]:
+        """The index of each name in one of the lists of the settings."""
         try:
             rows = raw.get(key) or []
             return {row["name"] if named else str(row): n for n, row in enumerate(rows)}
--- a/otterreach/sidecar/discovery.py
+++ b/otterreach/sidecar/discovery.py
@@ -16,7 +16,7 @@
 
 # What a silent watch misses counts as told 6 s after its last word (4 s after a move), and a call may wait a
 # second to be turned away. So silence ends a watch once an empty line, due every 2 s, is surely late.
-SILENCE_S = 3.0
+ANSWER_TIMEOUT_S = 3.0
 # with a call, where those before got no answer
 PATIENCE_GROWTH = 1.5
 LONGEST_PATIENCE_S = 6.0
@@ -117,18 +117,18 @@
         names: Names,
         revision: int,
         on_list: Callable[[MemberList], None],
-        on_word: Callable[[], None] = lambda: None,
+        on_idle: Callable[[], None] = lambda: None,
         longest_wait_s: float = LONGEST_WAIT_S,
     ) -> None:
         self._address = address
         self._names = names
         self._on_list = on_list
-        self._on_word = on_word  # called once it has told all that it has for now
+        self._on_idle = on_idle  # called once it has told all that it has for now
         self._revision = revision
         self._wait_s = FIRST_WAIT_S
         self._longest_wait_s = longest_wait_s
         self._patience_s = 0.0  # with the next call, where that is longer than silence may last
-        self._turn: asyncio.Task[None] | None = None
+        self._watching: asyncio.Task[None] | None = None
 
     def move(self, address: Address) -> None:
         """Watch at another address from now on.
@@ -141,16 +141,17 @@
         self._address = address
         self._wait_s = FIRST_WAIT_S
         self._patience_s = 0.0
-        if self._turn:
-            self._turn.cancel()
+        if self._watching:
+            self._watching.cancel()
 
     async def run(self) -> None:
+        """Watch, and begin anew after each end; for ever."""
         while True:
-            self._turn = asyncio.create_task(self._watch_and_wait())
+            self._watching = asyncio.create_task(self._watch_and_wait())
             try:
-                await asyncio.wait([self._turn])  # a turn may be cancelled, and that does not end the watch
+                await asyncio.wait([self._watching])  # a turn may be cancelled, and that does not end the watch
             finally:
-                self._turn.cancel()
+                self._watching.cancel()
 
     async def _watch_and_wait(self) -> None:
         try:
@@ -160,7 +161,7 @@
         except OSError as error:
             print(f"discovery: {type(error).__name__}: {error}", file=sys.stderr)
             if isinstance(error, ConnectionRefusedError):  # nobody is there; one that is down holds its calls
-                self._on_word()
+                self._on_idle()
         except Exception:  # Danger: whatever it was, without a watch drains are missed for good
             traceback.print_exc()
         # Jittered: all sidecars lose discovery at the same moment.
@@ -187,7 +188,7 @@
                     self._patience_s = 0.0
                     for text in objects.feed(b"".join(body)):
                         self._on_object(text)
-                    self._on_word()
+                    self._on_idle()
                 body.clear()
                 if parser.broken or parser.response or parser.status not in (0, 200):
                     raise OSError(f"the watch has ended, with status {parser.status}")
@@ -200,7 +201,7 @@
 
         A service that answers slowly would otherwise be asked anew each time just before its answer.
         """
-        patience_s = SILENCE_S if answered else max(SILENCE_S, self._patience_s)
+        patience_s = ANSWER_TIMEOUT_S if answered else max(ANSWER_TIMEOUT_S, self._patience_s)
         try:
             async with asyncio.timeout(patience_s):
                 return await reader.read(65536)
--- a/otterreach/sidecar/endpoints.py
+++ b/otterreach/sidecar/endpoints.py
@@ -96,11 +96,12 @@
         self.started_ns = started_ns
         self.open_to_new = open_to_new
         self.host = f"{address.host}:{address.port}".encode()
-        self.heard_ns = 0  # when anything last came from it
+        self.last_received_ns = 0  # when anything last came from it
         self.idle: list[Connection] = []  # the latest used last
         self.waiting: set[Attempt] = set()  # for a connection of their own
 
     def close_idle(self) -> None:
+        """Close all connections that carry no request."""
         idle = self.idle
         self.idle = []
         for connection in idle:
@@ -129,10 +130,12 @@
         self._parser: http1.ResponseParser | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is open and counts as one of the owner's."""
         super().connection_made(transport)
         self._owner.connections.add(self)
 
     def start(self, attempt: Attempt, data: bytes) -> None:
+        """Write the request of an attempt."""
         self._attempt = attempt
         attempt.connection = self
         self._parser = http1.ResponseParser()
@@ -144,11 +147,12 @@
         A request written to an idle one would be lost to a time-out, or to a reset when the machine is back, and an
         unsafe one with it; a new connection that does not come up proves that nothing ran.
         """
-        if self._pool.heard_ns < since_ns:
+        if self._pool.last_received_ns < since_ns:
             self._pool.close_idle()
 
     def data_received(self, data: bytes) -> None:
-        self._pool.heard_ns = time.monotonic_ns()
+        """Parse the answer; bytes that nobody waits for end the connection."""
+        self._pool.last_received_ns = time.monotonic_ns()
         if self._attempt is None or self._parser is None:
             self.discard()  # nobody asked
             return
@@ -159,6 +163,7 @@
             self._end(Status.CONNECT_FAILED if self.unwritten else Status.RESET)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the attempt as far as the connection proves anything."""
         self._owner.connections.discard(self)
         if self in self._pool.idle:
             self._pool.idle.remove(self)
@@ -231,6 +236,7 @@
         self.connections: set[Connection] = set()
 
     def update(self, number: int, address: Address, started_ns: int, open_to_new: bool) -> None:
+        """Take over an endpoint's address; another start is another process, with connections of its own."""
         pool = self._pools.get(number)
         if pool and (pool.address, pool.started_ns) == (address, started_ns):
             if open_to_new:
@@ -244,6 +250,7 @@
         self._pools[number] = Pool(address, started_ns, open_to_new)
 
     def remove(self, number: int) -> None:
+        """Send nothing more to an endpoint that has gone."""
         if pool := self._pools.pop(number, None):
             pool.retire()
 
@@ -286,7 +293,7 @@
             async with asyncio.timeout(self._connect_timeout_s):
                 connection = await open_tcp(pool.address, lambda: Connection(self, pool))
         except TimeoutError:
-            if pool.heard_ns < attempt.started_ns:
+            if pool.last_received_ns < attempt.started_ns:
                 pool.close_idle()  # as for Connection.suspect
         except OSError:
             pass
@@ -321,6 +328,7 @@
         connection.start(attempt, http1.encode_request(attempt.request, pool.host, headers))
 
     def release(self, connection: Connection, pool: Pool) -> None:
+        """Keep the connection for another request, or close it."""
         if pool.open_to_new and len(pool.idle) < MAX_IDLE and not connection.closing:
             connection.idle_since = time.monotonic()
             pool.idle.append(connection)
@@ -328,6 +336,7 @@
             connection.discard()
 
     def close_idle(self, number: int) -> None:
+        """Close the idle connections to an endpoint."""
         if pool := self._pools.get(number):
             pool.close_idle()
 
--- a/otterreach/sidecar/http1.py
+++ b/otterreach/sidecar/http1.py
@@ -22,6 +22,8 @@
 
 
 class Request(NamedTuple):
+    """A request as it came."""
+
     method: bytes
     target: bytes  # path and query, as they came
     headers: dict[bytes, bytes]  # names in lower case
@@ -30,6 +32,8 @@
 
 
 class Response(NamedTuple):
+    """A complete answer."""
+
     status: int
     headers: dict[bytes, bytes]
     body: bytes
@@ -71,10 +75,12 @@
 
     @property
     def head_too_large(self) -> bool:
+        """Whether the head is longer than allowed."""
         return self.head_size > self.bounds.head or self.in_head and self.raw_size > self.bounds.head
 
     @property
     def too_large(self) -> bool:
+        """Whether any part is longer than allowed."""
         most = self.bounds.body
         raw_most = self.bounds.head + CHUNKED * most
         return self.body_size > most or self.head_too_large or self.raw_size > raw_most
@@ -87,9 +93,11 @@
 
     @property
     def framed(self) -> bool:
+        """Whether the headers tell where the body ends."""
         return b"content-length" in self.headers or b"transfer-encoding" in self.headers
 
     def add_header(self, name: bytes, value: bytes) -> None:
+        """Collect a header."""
         name = name.lower()
         value = value or b""
         self.head_size += len(name) + len(value)
@@ -102,11 +110,13 @@
                 self.headers[name] += (b"; " if name == b"cookie" else b", ") + value
 
     def add_body(self, data: bytes) -> None:
+        """Collect a part of the body, up to the bound."""
         self.body_size += len(data)
         if self.body_size <= self.bounds.body:
             self.body.append(data)
 
     def end_head(self) -> None:
+        """The head is complete: refuse what could mean two things."""
         self.in_head = False
         coding = self.headers.get(b"transfer-encoding")
         if coding is not None and (coding.lower() != b"chunked" or b"content-length" in self.headers):
@@ -165,16 +175,20 @@
         return message.bounds.head_error if message.head_too_large else HTTPStatus.REQUEST_ENTITY_TOO_LARGE
 
     def on_message_begin(self) -> None:
+        """httptools: a request begins."""
         self._begun = True
 
     def on_url(self, url: bytes) -> None:
+        """httptools: a part of the target."""
         self._target += url
         self._message.head_size += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """httptools: a header."""
         self._message.add_header(name, value)
 
     def on_headers_complete(self) -> None:
+        """httptools: the head is complete."""
         message = self._message
         message.end_head()
         if message.ambiguous:
@@ -185,9 +199,11 @@
             self.wants_continue = True
 
     def on_body(self, data: bytes) -> None:
+        """httptools: a part of the body."""
         self._message.add_body(data)
 
     def on_message_complete(self) -> None:
+        """httptools: the request is complete."""
         message = self._message
         parser = self._parser
         if message.too_large:
@@ -236,7 +252,7 @@
             try:
                 self._parser.feed_data(data)
             except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-                self._spoil()
+                self._mark_broken()
             # Announcements (1xx) and the answer's own head share one allowance: either may go on for ever.
             self._message.raw_size += len(data)
             if self.response is None and self._message.too_large and not (self._sink and self.status):
@@ -253,21 +269,24 @@
             self.response = Response(self.status, message.headers, b"".join(message.body), False)
         return self.response
 
-    def _spoil(self) -> None:
+    def _mark_broken(self) -> None:
         if self.response is None:
             self.broken = True
         else:  # good as it is, but the connection brings more than belongs to it
             self.response = self.response._replace(keep_alive=False)
 
     def on_message_begin(self) -> None:
+        """httptools: an answer begins."""
         if self.response is not None:
-            self._spoil()
+            self._mark_broken()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """httptools: a header."""
         if self.response is None:
             self._message.add_header(name, value)
 
     def on_headers_complete(self) -> None:
+        """httptools: the head is complete."""
         if self.response is not None or self._parser is None:
             return
         message = self._message
@@ -287,6 +306,7 @@
         return self.status not in BODILESS if self._must_frame else self.status == HTTPStatus.OK
 
     def on_body(self, data: bytes) -> None:
+        """httptools: a part of the body."""
         if self.response is not None:
             return  # Danger: of another answer, right behind this one
         if self._sink:
@@ -295,6 +315,7 @@
             self._message.add_body(data)
 
     def on_message_complete(self) -> None:
+        """httptools: the answer is complete."""
         if self.response is not None or self._parser is None:
             return
         if self.status == HTTPStatus.SWITCHING_PROTOCOLS:
@@ -323,6 +344,7 @@
 
 
 def encode_response(status: int, body: bytes = b"", retry_after_s: float = 0.0, close: bool = False) -> bytes:
+    """The bytes of an answer with this status, these headers and this body."""
     head = b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n" % (status, PHRASES[status], len(body))
     if retry_after_s > 0:
         head += b"Retry-After: %.3f\r\n" % retry_after_s
--- a/otterreach/sidecar/server.py
+++ b/otterreach/sidecar/server.py
@@ -29,7 +29,7 @@
 READ_NS = 1_000_000  # a request that waited no longer has not waited
 LINGER_S = 1.0  # to let a client read why it was cut off
 SWALLOW_PAUSE_S = 0.004  # between two reads of what nobody wants any more
-SILENT_S = 2.1  # for a first request
+IDLE_TIMEOUT_S = 2.1  # for a first request
 HALF_SENT_S = 2.6  # for the rest of a request: good clients may be slow, bad ones are owed an end within 3 s
 KEPT_S = 10.0  # at rest after an answer
 UNREAD_S = 10.0  # an answer that its client does not read
@@ -130,10 +130,12 @@
         return self._closing or self._busy or bool(self._queue)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """A client has connected."""
         super().connection_made(transport)
         self._server.arrive(self)
 
     def data_received(self, data: bytes) -> None:
+        """Parse what has come, and start the next request if none is open."""
         if self._closing or self._parser.error:
             self._swallow()
             return
@@ -160,6 +162,7 @@
             self._transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The client has gone: give up its open request."""
         self._closing = True
         self._server.forget(self)
         self._parser.close()
@@ -272,7 +275,7 @@
         elif self._parser.partial:
             if quiet > HALF_SENT_S:
                 self._reject(Answer(HTTPStatus.REQUEST_TIMEOUT))
-        elif quiet > (KEPT_S if self.served else SILENT_S):
+        elif quiet > (KEPT_S if self.served else IDLE_TIMEOUT_S):
             self.close_if_idle()
 
     @property
@@ -289,6 +292,7 @@
         return self._closing or self.ended
 
     def abort(self) -> None:
+        """Close at once, with a reset."""
         self._closing = True
         if self._transport:
             self._transport.abort()
@@ -332,6 +336,7 @@
 
     @property
     def connections(self) -> list[ClientConnection]:
+        """All connections of clients."""
         return [*self._unproven, *self._kept, *self._working]
 
     @property
@@ -347,6 +352,7 @@
         return len(self._working) > self._most
 
     def arrive(self, connection: ClientConnection) -> None:
+        """A connection that was being accepted is open."""
         self._arriving -= 1
         self.rest(connection)
 
@@ -363,11 +369,13 @@
         (self._kept if connection.served else self._unproven)[connection] = None
 
     def forget(self, connection: ClientConnection) -> None:
+        """The connection has ended."""
         self._unproven.pop(connection, None)
         self._kept.pop(connection, None)
         self._working.discard(connection)
 
     def listen(self, address: Address) -> Address:
+        """Listen at this address; port 0 takes a free one. Returns the address in use."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setblocking(False)
@@ -402,7 +410,7 @@
             loop.call_later(ACCEPT_PAUSE_S, self._watch_listener)
             return False
         if self._count >= self._most:
-            self._make_room()
+            self._evict_connection()
         connected.setblocking(False)
         self._arriving += 1
         task = loop.create_task(self._serve(connected))
@@ -410,7 +418,7 @@
         task.add_done_callback(self._accepting.discard)
         return True
 
-    def _make_room(self) -> None:
+    def _evict_connection(self) -> None:
         """Danger: hundreds that connect and say nothing would crowd out those that ask.
 
         Whoever means to ask does so at once: so the oldest that have not, then those longest at rest, and the newest
--- a/otterreach/sidecar/sidecar.py
+++ b/otterreach/sidecar/sidecar.py
@@ -62,6 +62,8 @@
 
 
 class Sidecar:
+    """Carries out what the balancer decides: it turns what happens into events and actions into I/O."""
+
     def __init__(self, config: Config, endpoints: Endpoints) -> None:
         self._balancer = Balancer(config.settings, config.seed)
         self._endpoints = endpoints
@@ -69,7 +71,7 @@
         self._numbers: dict[str, int] = {}  # endpoint id -> its number; one that is gone never returns
         self._ready: set[int] = set()
         # Danger: what pushed lists tell counts from a process's first moment, and `known` may be older.
-        self._told = config.settings.discovery != "push"
+        self._list_is_current = config.settings.discovery != "push"
         self._next_request = 0
         self._next_number = 0
         self._events: deque[api.Event] = deque()
@@ -89,7 +91,7 @@
     @property
     def ready(self) -> bool:
         """Requests can be served: discovery has named an endpoint, and nothing newer is on its way."""
-        return self._told and bool(self._ready)
+        return self._list_is_current and bool(self._ready)
 
     # From the application -------------------------------------------------------------------------
 
@@ -111,6 +113,7 @@
         return request_id
 
     def client_gone(self, request_id: int) -> None:
+        """The client has gone without its answer: end the attempts."""
         exchange = self._exchanges.get(request_id)
         if exchange and exchange.reply:
             self._close(exchange)
@@ -136,7 +139,7 @@
 
     def go_by_known(self) -> None:
         """Discovery has no more to tell for now: the list at hand is the best there is."""
-        self._told = True
+        self._list_is_current = True
 
     def _apply(self, update: MemberList, form: RosterForm) -> list[api.Listed]:
         if form is not RosterForm.DELTA:
@@ -295,15 +298,15 @@
         exchange = self._exchanges.get(request_id)
         if exchange and exchange.reply:
             print("driver: a request was answered 504, as the module did not end it", file=sys.stderr)
-            self._cut_short(request_id, exchange, b"no answer in time\n")
+            self._fail_now(request_id, exchange, b"no answer in time\n")
 
     def answer_all(self) -> None:
         """The program ends: what is still open is answered now, or it would be lost."""
         for request_id, exchange in list(self._exchanges.items()):
             if exchange.reply:
-                self._cut_short(request_id, exchange, b"restarting\n")
+                self._fail_now(request_id, exchange, b"restarting\n")
 
-    def _cut_short(self, request_id: int, exchange: _Exchange, why: bytes) -> None:
+    def _fail_now(self, request_id: int, exchange: _Exchange, why: bytes) -> None:
         self._answer(exchange, Answer(504, why))
         self._handle(api.ClientGone(request_id))
         self._abandon(request_id, exchange)
--- a/otterreach/sidecar/transport.py
+++ b/otterreach/sidecar/transport.py
@@ -27,6 +27,7 @@
         self._poll: select.poll | None = None  # none where the transport has no socket
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         sock = transport.get_extra_info("socket")
@@ -37,9 +38,11 @@
         transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
+        """Bytes stay in the buffer: the kernel takes no more."""
         self.unwritten = True
 
     def resume_writing(self) -> None:
+        """The kernel has all that was written."""
         self.unwritten = False
 
     @property
@@ -81,6 +84,7 @@
         self._poll: select.poll | None = None  # none where the transport has no socket
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         sock = transport.get_extra_info("socket")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -118,10 +118,10 @@
 
     What is missed counts 6 s after the last word, 4 s after a move; the call may be turned away once, after a second.
     """
-    again_s = discovery.SILENCE_S + discovery.FIRST_WAIT_S + 1.0
-    assert discovery.SILENCE_S > 2.5
+    again_s = discovery.ANSWER_TIMEOUT_S + discovery.FIRST_WAIT_S + 1.0
+    assert discovery.ANSWER_TIMEOUT_S > 2.5
     assert again_s + discovery.CONNECT_S + 2 * discovery.FIRST_WAIT_S < 6.0
-    assert discovery.SILENCE_S + discovery.FIRST_WAIT_S < 4.0
+    assert discovery.ANSWER_TIMEOUT_S + discovery.FIRST_WAIT_S < 4.0
 
 
 class Silent(Discovery):
@@ -137,7 +137,7 @@
 
 @limited
 async def test_a_move_to_a_silent_address_is_tried_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.1)
+    monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 0.1)
     silent = Silent()
     async with Endpoint().serve() as endpoint, silent.serve(), world(tmp_path, endpoint) as it:
         await until(lambda: bool(it.discovery.connections))
@@ -171,7 +171,7 @@
             await watch._read(asyncio.StreamReader(), answered)
     assert given == [3.0, 4.5, 6.0, 6.0, 3.0]
     monkeypatch.undo()
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.02)
+    monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 0.02)
     async with Silent().serve() as peer:
         watch.move(peer.address)
         running = asyncio.create_task(watch.run())
@@ -195,7 +195,7 @@
         while log.count("discovery: no word in time") < 2:
             await asyncio.sleep(0.01)
             log += capfd.readouterr().err
-        assert asyncio.get_running_loop().time() - began < discovery.SILENCE_S
+        assert asyncio.get_running_loop().time() - began < discovery.ANSWER_TIMEOUT_S
         running.cancel()
 
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -457,7 +457,7 @@
 @limited
 async def test_a_watch_that_says_nothing_is_opened_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A cut-off discovery keeps its connection open; only its silence tells."""
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.1)
+    monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 0.1)
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         await until(lambda: len(sidecar.discovery.connections) == 2)
         assert (await sidecar.discovery.connections[0][0].read()) == b""  # the old one is given up
