--- a/otterreach/controller/config.py
+++ b/otterreach/controller/config.py
@@ -8,7 +8,6 @@
 import json
 import re
 from enum import Enum
-from typing import Any
 
 from otterreach.controller.change_history import EMPTY_HISTORY, ChangeHistory, digest_of
 from otterreach.controller.config_patch import EMPTY_DOCUMENT, apply_patch
@@ -107,7 +106,7 @@
     return one.get("gen") == other.get("gen") and _canonical(one) == _canonical(other)
 
 
-def _canonical(value: Any) -> str:
+def _canonical(value: object) -> str:
     return json.dumps(value, sort_keys=True, separators=(",", ":"))
 
 
--- a/otterreach/controller/writes.py
+++ b/otterreach/controller/writes.py
@@ -15,7 +15,6 @@
 import asyncio
 from collections.abc import Coroutine, Iterable
 from dataclasses import dataclass
-from typing import Any
 
 from otterreach.controller.election import CALL_TIMEOUT_S, Election
 from otterreach.controller.epoch_heartbeats import CONFIRM_TIMEOUT_S, EpochHeartbeats
@@ -188,7 +187,7 @@
         backups = [witness for witness in configuration.witnesses if witness.id in configuration.backups]
         request = AppendItems(configuration.number, items)
         asked_at = replica.loop.time()
-        calls: list[Coroutine[Any, Any, Done | Failure]] = [
+        calls: list[Coroutine[object, object, Done | Failure]] = [
             self.endpoint.call(backup.address, request, CALL_TIMEOUT_S) for backup in backups
         ]
         synced, *replies = await asyncio.gather(replica.sync(), *calls)
--- a/otterreach/jobstore/leadership.py
+++ b/otterreach/jobstore/leadership.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any, Protocol
+from typing import Protocol
 
 from otterreach.jobstore.job import Job
 from otterreach.jobstore.job_table import JobChange
@@ -75,7 +75,7 @@
         self.ended = False
         self.began_at = context.now()
         self.streams: dict[str, ReplicaStream] = {}  # by member
-        self._tasks: dict[str, asyncio.Task[Any]] = {}
+        self._tasks: dict[str, asyncio.Task[object]] = {}
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
 
     async def begin(self) -> None:
--- a/otterreach/jobstore/replication_context.py
+++ b/otterreach/jobstore/replication_context.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Coroutine
 from random import Random
-from typing import Any, Protocol, TypeVar
+from typing import Protocol, TypeVar
 
 from otterreach.jobstore.disk_monitor import DiskMonitor
 from otterreach.jobstore.partition_replica import RecordLog
@@ -55,7 +55,7 @@
         """The member id of this process."""
         return self.node.member
 
-    def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
+    def spawn(self, work: Coroutine[object, object, T]) -> asyncio.Task[T]:
         """Run in the background."""
         return self.node.endpoint.spawn(work)
 
--- a/otterreach/sidecar/__main__.py
+++ b/otterreach/sidecar/__main__.py
@@ -113,7 +113,7 @@
     signals = Signals()
     signals.install()
     try:
-        await run(load(os.environ), signals, lambda address: None)
+        await run(load(os.environ), signals, lambda _: None)
     finally:
         # Danger: the closing loop gives signals back their deadly defaults. What comes now finds us leaving.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
