--- a/otterreach/balancer/interface.py
+++ b/otterreach/balancer/interface.py
@@ -79,7 +79,7 @@
 
 
 class Settings(NamedTuple):
-    """What a sidecar is told at its start: the deployment's rules, allowances and prices."""
+    """The settings handed over at start: the deployment's rules, allowances and prices."""
 
     classes: tuple[RequestClass, ...]
     zone: int
--- a/otterreach/balancer/routing.py
+++ b/otterreach/balancer/routing.py
@@ -15,7 +15,7 @@
 
 ALPHA = 0.3  # weight of a new response time: the paper finds one sample enough, so a short memory
 FAIL_ALPHA = 0.6  # the same of a failure: rarer than answers, and worth more
-KIND_ALPHA = 0.1  # a kind's mean moves over some 10 answers: it stands for endpoints unheard of
+KIND_ALPHA = 0.1  # a kind's mean moves over some 10 answers: it stands for endpoints without answers
 CLASS_ALPHA = 0.02  # a class's usual time moves over some 50 answers: slower than any endpoint's
 MIN_ENDPOINTS = 12  # endpoints in a sidecar's draw, however little it sends: some of each zone and kind
 CLASS_MEMORY = 8  # an endpoint's answers in one class are rarer, and remembered that much longer
@@ -144,12 +144,12 @@
     def _typical_slowdown(self, endpoint: Endpoint) -> float:
         """The x_i of an endpoint of which nothing is known yet: the mean of its kind.
 
-        Danger: of many endpoints most are unheard of, and a slow kind would take a fast one's odds.
+        Danger: of many endpoints most have given no answer yet, and a slow kind would take a fast one's odds.
         """
         return self.slowdown_by_kind.get(endpoint.kind) or self.mean_weight / endpoint.weight
 
     def _endpoints_in_use(self) -> list[Endpoint]:
-        """The first of this sidecar's own order: as many as it hears of often, as the design assumes."""
+        """The first of this sidecar's own order: those that answer it often, as the design assumes."""
         return self.ready[: MIN_ENDPOINTS + int(self.request_rate.read(self.now) * self.half_life_ns)]
 
     def _cap_cold_endpoints(self, candidates: list[Endpoint], odds: list[float]) -> float:
--- a/otterreach/cli/app.py
+++ b/otterreach/cli/app.py
@@ -1,4 +1,4 @@
-"""The command line's application, and what its commands share: how the system is reached, how a failure is told."""
+"""The command line's application, and what its commands share: how the system is reached, how a failure is shown."""
 
 from __future__ import annotations
 
--- a/otterreach/controller/failure_detector.py
+++ b/otterreach/controller/failure_detector.py
@@ -59,7 +59,7 @@
         for server in servers:
             self.last_server_heartbeat[server] = now
 
-    # What is told --------------------------------------------------------------------------------
+    # Reports and queries -------------------------------------------------------------------------
 
     def report_since(self, watcher: str, since: float) -> LivenessReport:
         """The heartbeats that arrived since then, for the primary."""
--- a/otterreach/proxy/directory.py
+++ b/otterreach/proxy/directory.py
@@ -66,7 +66,11 @@
 
 
 class JobStoreDirectory:
-    """`load` gives slots, free ones and the batch jobs at hand; `ended` and `moved` are told of what Pongs bring."""
+    """Which job store nodes serve which batch jobs, kept fresh by pings.
+
+    `load` gives all slots, free slots and the batch jobs at hand. `ended` and `moved` are called for each batch job
+    and partition that a Pong says has ended or moved.
+    """
 
     def __init__(
         self,
--- a/otterreach/proxy/exchange.py
+++ b/otterreach/proxy/exchange.py
@@ -73,7 +73,7 @@
     request_id: bytes
 
     def encode(self, server: str, left_s: float, extra: Headers) -> bytes:
-        """The bytes of an attempt. `left_s`: the deadline that the server is told; `extra`: headers of this attempt."""
+        """The bytes of an attempt. `left_s`: the deadline announced to the server; `extra`: headers of this attempt."""
         lines = [self.method + b" " + self.target + b" HTTP/1.1"]
         lines += [name + b": " + value for name, value in self.headers.items() if name not in extra]
         lines += [name + b": " + value for name, value in extra.items()]
@@ -119,7 +119,7 @@
         self.sent_at = 0.0
         self._announced_deadline = (
             deadline if announced_time_s is None else self.started + announced_time_s
-        )  # the deadline the server is told
+        )  # the deadline announced to the server
         self._on_head = on_head
         self._on_body = on_body
         self._body_chunks: list[bytes] = []
--- a/otterreach/proxy/fleet.py
+++ b/otterreach/proxy/fleet.py
@@ -144,7 +144,7 @@
         server.pool.most = max(MIN_CONNECTIONS, share)
 
     def _notify_soon(self) -> None:
-        """Danger: many items come in one piece; who listens is told once, after them."""
+        """Have the listeners called once, after the many items that come at a time."""
         if not self._notification_scheduled:
             self._notification_scheduled = True
             self.loop.call_soon(self._notify)
@@ -228,7 +228,7 @@
         )
 
     async def attempt(self, server: Server, exchange: Exchange) -> Outcome:
-        """Run an exchange, and keep the books on its server but for the response time."""
+        """Run an exchange and update its server's estimates, the response time excepted."""
         server.estimate.record_sent()
         try:
             outcome = await exchange.run()
--- a/otterreach/proxy/ingress.py
+++ b/otterreach/proxy/ingress.py
@@ -252,7 +252,7 @@
             self.close_if_idle()
 
     def _over_time(self, now: float, caps: Caps) -> bool:
-        """A head has its time as a whole, however slowly it comes; a body and a rest may only not stand still."""
+        """Time-outs: a head has to be complete in time, however slowly it comes; a body only has to go on coming."""
         if self._parser.in_head:
             return now - self._begun_at > caps.header_s
         return now - self._quiet_since > (caps.header_s + caps.idle_s if self._parser.partial else caps.idle_s)
--- a/otterreach/proxy/item_queue.py
+++ b/otterreach/proxy/item_queue.py
@@ -52,7 +52,7 @@
         self.change_phase(run, Phase.QUEUED)
 
     def change_phase(self, run: ItemRun, phase: Phase) -> None:
-        """The one place that changes a run's phase, and keeps the books."""
+        """The one function that changes a run's phase; it updates the counts by phase."""
         if run.phase is phase or run.phase is Phase.DONE:
             return
         self._at_servers += (phase is Phase.RUNNING) - (run.phase is Phase.RUNNING)
--- a/otterreach/proxy/item_reports.py
+++ b/otterreach/proxy/item_reports.py
@@ -1,4 +1,4 @@
-"""What the job store is told of items: results, which are repeated until taken; what runs here; what is given back."""
+"""Reports to the job store: results, repeated until acknowledged; which items run here; which are returned."""
 
 from __future__ import annotations
 
--- a/otterreach/proxy/item_run.py
+++ b/otterreach/proxy/item_run.py
@@ -31,7 +31,7 @@
 
 
 class Reason:
-    """Why an item is given up for good, as the job store is told."""
+    """Why an item is given up for good, as reported to the job store."""
 
     WAITED = "waited"
     ROUTE_GONE = "route_gone"
--- a/otterreach/proxy/pools.py
+++ b/otterreach/proxy/pools.py
@@ -145,7 +145,7 @@
         self.most = most
         self.closed = False
         self.last_received_at = -1e9  # when anything last came from the server
-        self.opened = 0  # in all, for the books
+        self.opened = 0  # in all, for the log
         self.idle: list[Connection] = []  # the latest used last
         self.connections: set[Connection] = set()
         self._opener = opener
--- a/otterreach/sidecar/__main__.py
+++ b/otterreach/sidecar/__main__.py
@@ -48,7 +48,7 @@
 
 
 async def run(config: Config, signals: Signals, on_listening: Callable[[Address], None]) -> None:
-    """One sidecar from its start until it is told to stop and all that it took is answered."""
+    """Run one sidecar until a signal to stop, and until all requests that it accepted are answered."""
     loop = asyncio.get_running_loop()
     settings = config.settings
     sockets = max(16, config.sockets - SPARE_SOCKETS)
--- a/otterreach/sidecar/config.py
+++ b/otterreach/sidecar/config.py
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Config:
-    """What the sidecar is told at its start."""
+    """The sidecar's configuration, as read at its start."""
 
     path: str  # of the file, to read again when it is replaced
     name: str
--- a/otterreach/sidecar/endpoints.py
+++ b/otterreach/sidecar/endpoints.py
@@ -110,8 +110,8 @@
     def retire(self) -> None:
         """Drained, gone or replaced.
 
-        Danger: an attempt that waits for a connection would arrive after the news; it has not been sent, so the module
-        may place it anew.
+        Danger: an attempt that waits for a connection would arrive after the change; it has not been sent, so the
+        module may place it anew.
         """
         self.open_to_new = False
         self.close_idle()
--- a/otterreach/sidecar/http1.py
+++ b/otterreach/sidecar/http1.py
@@ -221,8 +221,8 @@
 class ResponseParser:
     """Bytes in, one response out; a body may be handed on as it comes (discovery's watch).
 
-    `on_head` is told the status and the headers of the answer. `must_frame`: a body that only the connection's end
-    would end is broken, also where it is handed on.
+    `on_head` is called with the status and the headers of the answer. `must_frame`: a body that only the end of the
+    connection would end is broken, also where it is handed on.
     """
 
     def __init__(
--- a/otterreach/sidecar/sidecar.py
+++ b/otterreach/sidecar/sidecar.py
@@ -125,7 +125,7 @@
     def listed(self, update: MemberList, form: RosterForm | None = None) -> None:
         """The connections learn of it first, so that nothing decided next reaches an endpoint that drains.
 
-        Danger: that ends attempts, and the module would place them anew by the list it had before; so it hears of the
+        Danger: that ends attempts, and the module would place them anew by the list it had before; so it gets the
         list ahead of them.
         """
         form = form or (RosterForm.FULL if update.complete else RosterForm.DELTA)
