--- /dev/null
+++ b/tests/balancer/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the decisions of the sidecar."""
--- a/tests/test_hostile.py
+++ b/tests/balancer/test_hostile_input.py
@@ -6,8 +6,8 @@
 
 from otterreach.balancer import interface as api
 from otterreach.balancer.interface import RosterForm, Settings, Status
-from tests.support import MS, SECOND, Sidecar, finals, listed, raw_settings, sends, timers
-from tests.test_rules import World
+from tests.balancer.support import MS, SECOND, Sidecar, finals, listed, raw_settings, sends, timers
+from tests.balancer.test_rules import World
 
 
 @pytest.mark.parametrize("size", [0, 1, 300])
--- a/tests/test_logic.py
+++ b/tests/balancer/test_logic.py
@@ -18,9 +18,9 @@
 from otterreach.balancer.logic import Balancer
 from otterreach.balancer.routing import COLD_SHARE
 from otterreach.balancer.state import PendingRequest
-from tests.support import MS, SECOND, Sidecar, finals, listed, quiet, sends, settings, timers
+from tests.balancer.support import MS, SECOND, Sidecar, finals, listed, quiet, sends, settings, timers
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 POLICY = [ROOT / name for name in tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]]
 
 
@@ -689,7 +689,7 @@
 
 
 def test_same_events_same_actions_whatever_the_hash_seed() -> None:
-    code = "from tests.test_logic import play; print(hash(tuple(map(repr, play(3)))) and play(3))"
+    code = "from tests.balancer.test_logic import play; print(hash(tuple(map(repr, play(3)))) and play(3))"
     outputs = {
         subprocess.run(
             [sys.executable, "-c", code],
--- a/tests/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -12,8 +12,8 @@
 from otterreach.balancer import interface as api
 from otterreach.balancer.interface import EndpointState, Status
 from otterreach.balancer.logic import Balancer
-from tests.checker import Checker
-from tests.support import MS, SECOND, raw_settings
+from tests.balancer.checker import Checker
+from tests.balancer.support import MS, SECOND, raw_settings
 
 TICK = 5 * MS
 STATUSES = list(Status)
--- a/tests/test_wire.py
+++ b/tests/balancer/test_wire.py
@@ -15,9 +15,9 @@
 from otterreach.balancer import interface as api
 from otterreach.balancer import wire
 from otterreach.balancer.simhost import Host
-from tests.support import MS, SECOND, listed, raw_settings
+from tests.balancer.support import MS, SECOND, listed, raw_settings
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 BUILT_PYTHON = "exec .venv/bin/python"
 
 
--- /dev/null
+++ b/tests/cli/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the command line."""
--- a/tests/test_operations.py
+++ b/tests/cli/test_operations.py
@@ -13,7 +13,7 @@
 from otterreach.cli.codes import ExitCode
 from otterreach.cli.local_commands import ROLES
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 PAGE = (ROOT / "docs" / "operations.md").read_text()
 PROGRAMS = {"runtime": "all", "controller": "controller", "jobstore": "jobstore", "proxy": "proxy"}
 PACKAGES = tuple(PROGRAMS)
--- a/tests/test_controller_contact.py
+++ b/tests/controller/test_contact.py
@@ -11,7 +11,7 @@
 from otterreach.controller.formation import Formation
 from otterreach.controller.witness_contacts import WitnessContacts
 from otterreach.simulation.world import Box
-from tests.controller_world import Cluster, configuration_of
+from tests.controller.controller_world import Cluster, configuration_of
 
 UNCLEAR = (0, 503)
 ANSWER_S = 0.5  # by then a caller has its 5xx
--- a/tests/test_control_api.py
+++ b/tests/controller/test_control_api.py
@@ -13,7 +13,7 @@
 from otterreach.controller.messages import ApiCall
 from otterreach.controller.publisher import is_private
 from otterreach.runtime.records import AcceptedChange
-from tests.control_api_support import Case, StagedControl, patch, put, settle, statuses
+from tests.controller.control_api_support import Case, StagedControl, patch, put, settle, statuses
 
 SMALL_RING = 16
 
--- a/tests/test_control_api_resources.py
+++ b/tests/controller/test_control_api_resources.py
@@ -14,7 +14,7 @@
 from otterreach.controller.planner import StoreMembers
 from otterreach.controller.survival import FailureDomain, SurviveLimits
 from otterreach.runtime.records import ModelVersion, RetirementRecord, ServerRecord, ServerState, VersionRecord
-from tests.control_api_support import Case, StagedControl, deregistration, heartbeat, settle, statuses
+from tests.controller.control_api_support import Case, StagedControl, deregistration, heartbeat, settle, statuses
 
 
 class VersionTest(Case):
--- a/tests/test_control_api_router.py
+++ b/tests/controller/test_control_api_router.py
@@ -13,7 +13,7 @@
 from otterreach.runtime.codes import Code
 from otterreach.runtime.store import ReplicatedStore
 from otterreach.sidecar import http1
-from tests.control_api_support import Case, StagedControl, heartbeat, put
+from tests.controller.control_api_support import Case, StagedControl, heartbeat, put
 
 
 class Follower:
--- a/tests/test_control_api_schedules.py
+++ b/tests/controller/test_control_api_schedules.py
@@ -19,7 +19,7 @@
 from otterreach.controller.messages import ApiCall
 from otterreach.runtime.configuration import ConfigurationRecord
 from tests import virtual
-from tests.control_api_support import StagedControl, patch, put, settle
+from tests.controller.control_api_support import StagedControl, patch, put, settle
 
 CHANGES = [
     put(0, 2, "a"),
--- a/tests/test_many_changes.py
+++ b/tests/controller/test_many_changes.py
@@ -18,7 +18,7 @@
 from otterreach.runtime.compaction import Compaction
 from otterreach.runtime.store import Item
 from otterreach.simulation.disk import Disk, VirtualJournal
-from tests.test_snapshot import SETTINGS, Link, Receiver, sender_on
+from tests.controller.test_snapshot import SETTINGS, Link, Receiver, sender_on
 from tests.virtual import run
 
 CHANGES, ROUTES, RESTART_EVERY, CHANGE_S = 2000, 600, 100, 2.0
--- a/tests/test_controller_membership.py
+++ b/tests/controller/test_membership.py
@@ -8,7 +8,7 @@
 from otterreach.controller.epochs import EpochConfiguration
 from otterreach.controller.survival import unmet_by_replicas, unmet_by_voters
 from otterreach.simulation.world import Box
-from tests.controller_world import Cluster
+from tests.controller.controller_world import Cluster
 
 LEAVE_S = 1.1
 REPAIR_S = 2.0
--- a/tests/test_control_primary.py
+++ b/tests/controller/test_primary.py
@@ -16,7 +16,7 @@
 from otterreach.runtime.store import ReplicatedStore
 from otterreach.simulation.disk import Disk, VirtualJournal
 from tests import virtual
-from tests.test_controller import SETTINGS
+from tests.controller.test_node import SETTINGS
 
 
 class Follower:
--- a/tests/jobstore_world.py
+++ b/tests/jobstore/jobstore_world.py
@@ -41,7 +41,7 @@
 from otterreach.runtime.records import PartitionRecord, Record, put
 from otterreach.runtime.rpc import Done
 from otterreach.runtime.store import Item, ReplicatedStore
-from tests.jobstore_net import Net, VirtualDisk, VirtualEndpoint, VirtualJournal
+from tests.jobstore.jobstore_net import Net, VirtualDisk, VirtualEndpoint, VirtualJournal
 
 SETTINGS = {
     "portRange": [7000, 7001],
--- a/tests/test_jobstore_disks.py
+++ b/tests/jobstore/test_disks.py
@@ -13,7 +13,7 @@
 from otterreach.jobstore.placement import partition_of
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done
-from tests.jobstore_world import Client, Store, World
+from tests.jobstore.jobstore_world import Client, Store, World
 from tests.virtual import VirtualLoop, run
 
 TAKEOVER_S = 1.1  # as long as a dead one would take
--- a/tests/test_jobstore_dispatch.py
+++ b/tests/jobstore/test_dispatch.py
@@ -16,7 +16,7 @@
 from otterreach.jobstore.placement import partition_of
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done
-from tests.jobstore_world import ROUTE, Client, Runner, World, lot
+from tests.jobstore.jobstore_world import ROUTE, Client, Runner, World, lot
 from tests.virtual import run
 
 MAX_WAIT_S = 30.0  # of ROUTE
--- a/tests/test_jobstore_install.py
+++ b/tests/jobstore/test_installation.py
@@ -14,7 +14,7 @@
 from otterreach.jobstore.partition_replica import ReplicaState
 from otterreach.jobstore.placement import PARTITIONS, partition_of
 from otterreach.runtime.rpc import Done
-from tests.jobstore_world import Client, Store, World
+from tests.jobstore.jobstore_world import Client, Store, World
 from tests.virtual import run
 
 BIG = "big"
--- a/tests/test_jobstore_jobs.py
+++ b/tests/jobstore/test_jobs.py
@@ -13,7 +13,7 @@
 from otterreach.jobstore.job_table import JobTable
 from otterreach.jobstore.messages import ItemFinished
 from otterreach.runtime.codes import Code, Failure
-from tests.jobstore_world import body_of, lot
+from tests.jobstore.jobstore_world import body_of, lot
 
 
 def job_of(body: bytes, job: str = "a") -> Job:
--- a/tests/test_jobstore_repair.py
+++ b/tests/jobstore/test_repair.py
@@ -1,4 +1,4 @@
-"""After a loss each partition is at full strength again within syncS: `python3 -m tests.test_jobstore_repair` measures.
+"""After a loss each partition is at full strength again within syncS: `python3 -m tests.jobstore.test_repair` measures.
 
 Time is the virtual network's: delays, the links' bandwidth and the disks' syncs, without that of the processors.
 """
@@ -12,8 +12,8 @@
 from otterreach.controller.failure_detector import HEARTBEAT_TIMEOUT_S
 from otterreach.controller.node import PLAN_INTERVAL_S
 from otterreach.runtime.rpc import Done
-from tests.jobstore_world import Client, Store, World
-from tests.test_jobstore_install import MBIT_30, big_job
+from tests.jobstore.jobstore_world import Client, Store, World
+from tests.jobstore.test_installation import MBIT_30, big_job
 from tests.virtual import run
 
 MBIT_600 = 600e6 / 8
--- a/tests/test_jobstore_copies.py
+++ b/tests/jobstore/test_replicas.py
@@ -14,7 +14,7 @@
 from otterreach.jobstore.replication_context import MAX_CONFIRMATION_AGE_S
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done
-from tests.jobstore_world import Client, Store, World, lot
+from tests.jobstore.jobstore_world import Client, Store, World, lot
 from tests.virtual import run
 
 Scene = Callable[[World, Client], Coroutine[Any, Any, None]]
--- a/tests/test_jobstore_leaving.py
+++ b/tests/jobstore/test_shutdown.py
@@ -12,7 +12,7 @@
 from otterreach.runtime.codes import Code
 from otterreach.runtime.node import Node
 from otterreach.runtime.rpc import Done
-from tests.jobstore_world import Client, Store, World
+from tests.jobstore.jobstore_world import Client, Store, World
 from tests.virtual import run
 
 JOBS = [f"job{n}" for n in range(20)]
--- a/tests/test_jobstore_troubles.py
+++ b/tests/jobstore/test_troubles.py
@@ -14,7 +14,7 @@
 from otterreach.jobstore.placement import partition_of
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done
-from tests.jobstore_world import Client, Runner, Store, World, body_of, lot
+from tests.jobstore.jobstore_world import Client, Runner, Store, World, body_of, lot
 from tests.virtual import run
 
 HEARTBEAT_TIMEOUT_S = 0.9
--- /dev/null
+++ b/tests/project/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the pages, the deploy files and the layout of the project."""
--- a/tests/test_deploy.py
+++ b/tests/project/test_deploy.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 FILES = ("balancer", "system")
 SHELL = "/bin/sh"  # the commands of a deploy file go to it
 SHELL_WORDS = {"exec"}
--- a/tests/test_layout.py
+++ b/tests/project/test_layout.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 SOURCE = ROOT / "otterreach"
 PAGE = (ROOT / "CONTRIBUTING.md").read_text()
 EVERYTHING = "everything"
--- a/tests/test_readme.py
+++ b/tests/project/test_readme.py
@@ -5,7 +5,7 @@
 import re
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 README = (ROOT / "README.md").read_text()
 
 
--- a/tests/test_proxy_parts.py
+++ b/tests/proxy/test_parts.py
@@ -20,7 +20,7 @@
 from otterreach.runtime.configuration import Caps, ConfigurationRecord, host_key
 from otterreach.runtime.rpc import Done
 from tests import virtual
-from tests.proxy_support import Caller, FakeEndpoint, World, list_job_store_node, played, route, serve, settings
+from tests.proxy.proxy_support import Caller, FakeEndpoint, World, list_job_store_node, played, route, serve, settings
 
 
 def known(x: float, in_flight: int = 0, at: float = 0.0) -> Estimate:
--- a/tests/test_proxy_requests.py
+++ b/tests/proxy/test_requests.py
@@ -11,7 +11,7 @@
 from otterreach.proxy.streams import Streams
 from otterreach.runtime.configuration import Caps
 from tests import virtual
-from tests.proxy_support import (
+from tests.proxy.proxy_support import (
     HOST,
     SEAL,
     Call,
--- a/tests/test_proxy_runner.py
+++ b/tests/proxy/test_runner.py
@@ -17,7 +17,7 @@
 from otterreach.proxy.send_permission import MAX_ENDED_JOBS, SendPermission
 from otterreach.runtime.codes import Code, Failure
 from tests import virtual
-from tests.proxy_support import (
+from tests.proxy.proxy_support import (
     JOB_STORE_NODE,
     Call,
     FakeEndpoint,
--- a/tests/test_proxy_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -12,7 +12,7 @@
 from otterreach.proxy.ingress import Client, Ingress
 from otterreach.proxy.pools import Pool
 from otterreach.runtime.configuration import Caps
-from tests.proxy_support import SEAL
+from tests.proxy.proxy_support import SEAL
 
 
 def outbound(body: bytes = b"") -> Outbound:
--- /dev/null
+++ b/tests/runtime/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of what all roles share."""
--- a/tests/test_codes.py
+++ b/tests/runtime/test_codes.py
@@ -1,4 +1,4 @@
-"""docs/codes.md holds the numbers of otterreach.runtime.codes alone. `python3 -m tests.test_codes` writes it anew."""
+"""docs/codes.md holds the numbers of otterreach.runtime.codes; `python3 -m tests.runtime.test_codes` writes it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from otterreach.runtime import codes
 from otterreach.runtime.codes import Code, Failure
 
-PAGE = Path(__file__).parent.parent / "docs" / "codes.md"
+PAGE = Path(__file__).parent.parent.parent / "docs" / "codes.md"
 LINE = re.compile(r"^    ([A-Z_]+) = (\d+)  # (.+)$", re.MULTILINE)
 HEAD = """# Result codes
 
--- a/tests/test_hostile_peers.py
+++ b/tests/runtime/test_hostile_peers.py
@@ -25,8 +25,8 @@
 from otterreach.runtime.rpc import HEADER, Endpoint, Link
 from otterreach.sidecar import http1
 from tests import virtual
-from tests.proxy_support import Call, Caller, FakeServer, ServerEnd, World, route
-from tests.test_proxy_requests import ingress
+from tests.proxy.proxy_support import Call, Caller, FakeServer, ServerEnd, World, route
+from tests.proxy.test_requests import ingress
 from tests.virtual import LATENCY_S, MemoryLoop, MemoryTransport, connect
 
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
--- a/tests/test_schemas.py
+++ b/tests/runtime/test_schemas.py
@@ -1,4 +1,4 @@
-"""otterreach/schemas/*.fbs are what the codec says of each message. `python3 -m tests.test_schemas` writes them."""
+"""The files of otterreach/schemas are what the codec says. `python3 -m tests.runtime.test_schemas` writes them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from otterreach.runtime import codec
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 SCHEMAS = ROOT / "otterreach" / "schemas"
 PACKAGES = ("runtime", "controller", "jobstore", "proxy")
 WORDS: dict[Any, st.SearchStrategy[Any]] = {
--- /dev/null
+++ b/tests/sidecar/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the sidecar in service."""
--- a/tests/net.py
+++ b/tests/sidecar/net.py
@@ -15,7 +15,7 @@
 from otterreach.sidecar import http1
 from otterreach.sidecar.__main__ import Signals, run
 from otterreach.sidecar.config import Address, Config, load
-from tests.support import raw_settings
+from tests.balancer.support import raw_settings
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 LIMIT_S = 20.0  # no test may hang
@@ -153,7 +153,7 @@
 
 
 def settings_json(**changes: Any) -> dict[str, Any]:
-    """The settings of tests/support.py, with names: class `look` is safe, `keyed` keyed, `once` unsafe."""
+    """The settings of tests/balancer/support.py, with names: class `look` is safe, `keyed` keyed, `once` unsafe."""
     raw = raw_settings(**changes)
     for row, name in zip(raw["request-classes"], ("look", "keyed", "once"), strict=True):
         row["name"] = name
--- a/tests/test_bad_clients.py
+++ b/tests/sidecar/test_bad_clients.py
@@ -10,9 +10,9 @@
 import pytest
 
 from otterreach.sidecar import server
-from tests.net import Endpoint, exchange, limited, raw_call, read_response, until, world
-from tests.test_endpoints import say_nothing
-from tests.test_sidecar import slow
+from tests.sidecar.net import Endpoint, exchange, limited, raw_call, read_response, until, world
+from tests.sidecar.test_endpoints import say_nothing
+from tests.sidecar.test_sidecar import slow
 
 HEAD = raw_call("once").removesuffix(b"Content-Length: 0\r\n\r\n")
 
--- a/tests/test_discovery.py
+++ b/tests/sidecar/test_discovery.py
@@ -18,7 +18,9 @@
 from otterreach.sidecar import discovery
 from otterreach.sidecar.config import Address, load
 from otterreach.sidecar.discovery import Objects, Watch
-from tests.net import (
+from tests.balancer.support import MS
+from tests.balancer.support import settings as module_settings
+from tests.sidecar.net import (
     Discovery,
     Endpoint,
     exchange,
@@ -32,9 +34,7 @@
     world,
     write_config,
 )
-from tests.support import MS
-from tests.support import settings as module_settings
-from tests.test_reload import name_discovery
+from tests.sidecar.test_reload import name_discovery
 
 HEALTH = b"GET /healthz HTTP/1.1\r\n\r\n"
 PLACE = Address("127.0.0.1", 9)
--- a/tests/test_leaving.py
+++ b/tests/sidecar/test_draining.py
@@ -16,10 +16,10 @@
 from otterreach.balancer.interface import Status
 from otterreach.sidecar.endpoints import REST_S, Attempt
 from otterreach.sidecar.server import ClientConnection
-from tests.net import Endpoint, World, exchange, limited, raw_call, until, world
-from tests.support import MS
-from tests.test_endpoints import Driver, say_nothing
-from tests.test_sidecar import NEVER_RAN, driven
+from tests.balancer.support import MS
+from tests.sidecar.net import Endpoint, World, exchange, limited, raw_call, until, world
+from tests.sidecar.test_endpoints import Driver, say_nothing
+from tests.sidecar.test_sidecar import NEVER_RAN, driven
 
 
 async def connected(it: World) -> socket.socket:
--- a/tests/test_endpoints.py
+++ b/tests/sidecar/test_endpoints.py
@@ -15,8 +15,8 @@
 from otterreach.sidecar.config import Address
 from otterreach.sidecar.endpoints import Attempt, Endpoints
 from otterreach.sidecar.http1 import Request
-from tests.net import OK, Endpoint, limited, no_room, reset, until
-from tests.support import MS, SECOND
+from tests.balancer.support import MS, SECOND
+from tests.sidecar.net import OK, Endpoint, limited, no_room, reset, until
 
 GET = Request(b"GET", b"/look/1?q=2", {b"x-trace-id": b"t9", b"x-other": b"no"}, b"", True)
 
--- a/tests/test_program.py
+++ b/tests/sidecar/test_program.py
@@ -17,7 +17,7 @@
 from otterreach.balancer import Balancer
 from otterreach.sidecar.__main__ import _ending
 from otterreach.sidecar.config import Address, ConfigError, load
-from tests.net import OK, Endpoint, exchange, limited, member, raw_call, read_response, until, write_config
+from tests.sidecar.net import OK, Endpoint, exchange, limited, member, raw_call, read_response, until, write_config
 
 NO_POSITION = Address("127.0.0.1", 1)
 
--- a/tests/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -13,7 +13,7 @@
 
 from otterreach.sidecar import discovery
 from otterreach.sidecar.config import Address
-from tests.net import (
+from tests.sidecar.net import (
     Discovery,
     Endpoint,
     exchange,
@@ -24,9 +24,9 @@
     until,
     write_config,
 )
-from tests.net import world as sidecar_world
-from tests.test_endpoints import say_nothing
-from tests.test_program import NO_POSITION, free_port, start
+from tests.sidecar.net import world as sidecar_world
+from tests.sidecar.test_endpoints import say_nothing
+from tests.sidecar.test_program import NO_POSITION, free_port, start
 
 
 def name_discovery(file: Path, address: Address) -> None:
--- a/tests/test_ending.py
+++ b/tests/sidecar/test_shutdown.py
@@ -12,7 +12,8 @@
 
 from otterreach.sidecar import __main__ as program
 from otterreach.sidecar import server
-from tests.net import (
+from tests.balancer.support import MS, SECOND, raw_settings, settings
+from tests.sidecar.net import (
     OK,
     SLACK_S,
     Endpoint,
@@ -24,8 +25,7 @@
     until,
     world,
 )
-from tests.support import MS, SECOND, raw_settings, settings
-from tests.test_endpoints import say_nothing
+from tests.sidecar.test_endpoints import say_nothing
 
 
 def classes(deadline_ns: int) -> list[dict[str, Any]]:
--- a/tests/test_sidecar.py
+++ b/tests/sidecar/test_sidecar.py
@@ -22,7 +22,8 @@
 from otterreach.sidecar.config import load
 from otterreach.sidecar.endpoints import REST_S, Endpoints
 from otterreach.sidecar.sidecar import Answer, Call, Sidecar
-from tests.net import (
+from tests.balancer.support import MS, SECOND
+from tests.sidecar.net import (
     OK,
     SLACK_S,
     Endpoint,
@@ -37,8 +38,7 @@
     world,
     write_config,
 )
-from tests.support import MS, SECOND
-from tests.test_endpoints import GET, answer, hang_up, say_nothing
+from tests.sidecar.test_endpoints import GET, answer, hang_up, say_nothing
 
 NEVER_RAN = answer("503 Busy", "X-Never-Ran: 1\r\n")
 
--- /dev/null
+++ b/tests/simulation/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the simulation and its checkers."""
