--- a/otterreach/loadtest/engine.py
+++ b/otterreach/loadtest/engine.py
@@ -91,7 +91,7 @@
 
 
 @dataclass(slots=True)
-class PartitionRecord:
+class CachedPart:
     tokens: int
     users: int = 0
     ready: bool = False  # read by somebody
@@ -102,7 +102,7 @@
 
     def __init__(self, total: int) -> None:
         self.total = total
-        self.parts: OrderedDict[Key, PartitionRecord] = OrderedDict()
+        self.parts: OrderedDict[Key, CachedPart] = OrderedDict()
         self.made = 0.0
 
     @property
@@ -134,7 +134,7 @@
             return False
         for key, tokens in keys:
             if key not in kept:
-                self.parts[key] = PartitionRecord(tokens, 1)
+                self.parts[key] = CachedPart(tokens, 1)
             self.parts.move_to_end(key)
         self.made += more
         return True
--- a/otterreach/simulation/control.py
+++ b/otterreach/simulation/control.py
@@ -83,7 +83,7 @@
         self.plan = faults.draw(
             Random(world.seed ^ 0xFA), names, others, world.survive, True, setup.members, setup.survive_zones > 0
         )
-        self.troubles: faults.Troubles | None = None
+        self.injector: faults.FaultInjector | None = None
         self.history = History(world.expect)
         self.invariants = ControlInvariants(world, self.history)
 
@@ -96,9 +96,9 @@
         self.invariants.watch()
         tasks = self._start_callers()
         await self._until(lambda: self.history.newest > 0, START_S, "first configuration")
-        self.troubles = faults.Troubles(world, self.plan)
-        self.troubles.leader = self.invariants.leader
-        self.troubles.watch_messages()
+        self.injector = faults.FaultInjector(world, self.plan)
+        self.injector.leader = self.invariants.leader
+        self.injector.watch_messages()
         start = world.now
         for begin, end in self.plan.calm:
             await asyncio.sleep(max(0.0, start + begin + CONTACT_S - world.now))
@@ -143,15 +143,15 @@
 
     def _excused(self, owner: str) -> bool:
         """Orders right after their sender was thawed, or a link healed, don't count."""
-        troubles = self.troubles
-        last = max(troubles.thawed.get(owner, -1e9), troubles.healed) if troubles else -1e9
+        injector = self.injector
+        last = max(injector.thawed.get(owner, -1e9), injector.healed) if injector else -1e9
         return self.world.now - last < THAW_S
 
     async def _check_history(self) -> None:
         while not self.stopping:
             await asyncio.sleep(CHECK_S)
             self.history.check()
-            if self.troubles is not None and self.troubles.calm_for() > SYNC_S:
+            if self.injector is not None and self.injector.calm_for() > SYNC_S:
                 self.invariants.check_strength()
 
     # Promises with a time in them ------------------------------------------------------------------
--- a/otterreach/simulation/faults.py
+++ b/otterreach/simulation/faults.py
@@ -188,7 +188,7 @@
     return random.choice([0.05, 0.4, 0.8, 1.5, 3.0, 5.0]) * random.uniform(0.5, 1.5)
 
 
-class Troubles:
+class FaultInjector:
     """Carries a plan out. Machines under several faults at a time come back when the last one is over."""
 
     def __init__(self, world: World, plan: Plan) -> None:
@@ -248,13 +248,13 @@
 
     def watch_messages(self) -> None:
         """For as long as the run lasts: tell `sent` of each call between processes."""
-        troubles = self
+        injector = self
 
         def calling(plain: Any) -> Any:
             def call(endpoint: Endpoint, address: str, value: Any, timeout_s: float) -> Any:
                 owner = OWNER.get()
-                if troubles.armed and owner is not None and owner.name in troubles.world.boxes:
-                    troubles.sent(owner.name, type(value).__name__)
+                if injector.armed and owner is not None and owner.name in injector.world.boxes:
+                    injector.sent(owner.name, type(value).__name__)
                 return plain(endpoint, address, value, timeout_s)
 
             return call
--- a/otterreach/simulation/invariants.py
+++ b/otterreach/simulation/invariants.py
@@ -39,7 +39,7 @@
         self.primaries: dict[int, str] = {}  # id by number
         self.acked_items: dict[str, int] = {}  # key -> rev
         self.ends: dict[str, int] = {}  # key -> rev of its last end, acknowledged or not
-        self._copies: dict[tuple[str, int], _CopySeen] = {}  # by machine and life
+        self._copies: dict[tuple[str, int], _ObservedReplica] = {}  # by machine and life
         world.watch(self.summary, self._check_primaries, self._check_copies, always=False)
 
     def watch(self) -> None:
@@ -112,8 +112,8 @@
     def _check_copies(self) -> None:
         for box in self.world.boxes.values():
             if box.up and box.node is not None:
-                seen = self._copies.setdefault((box.name, box.lives), _CopySeen(box.name, self.world))
-                seen.look(box.node.store, self.history)
+                seen = self._copies.setdefault((box.name, box.lives), _ObservedReplica(box.name, self.world))
+                seen.check(box.node.store, self.history)
 
     def check_acknowledged(self, control: ControlReplication) -> None:
         """Each acknowledged change is there, or a newer one; an end may have been collected."""
@@ -171,7 +171,7 @@
             self.world.expect(rank >= LEAST[state], "acknowledged is gone", f"server {ident} {state}: {known}")
 
 
-class _CopySeen:
+class _ObservedReplica:
     """What one process' copy has held so far in its life."""
 
     def __init__(self, name: str, world: World) -> None:
@@ -181,7 +181,7 @@
         self._config = (0, 0)  # rev, gen
         self._servers: dict[str, tuple[int, int]] = {}  # rev, rank
 
-    def look(self, store: Any, history: History) -> None:
+    def check(self, store: Any, history: History) -> None:
         if store.revision == self._rev:
             return
         self._rev = store.revision
@@ -192,9 +192,9 @@
             self.world.expect(gen >= old, "copy goes back", f"{self.name}: {gen} after {old}")
             self._config = (config.revision, gen)
         for ident in history.servers:
-            self._look_at_server(ident, store.items.get(f"server/{ident}"))
+            self._check_server(ident, store.items.get(f"server/{ident}"))
 
-    def _look_at_server(self, ident: str, item: Any) -> None:
+    def _check_server(self, ident: str, item: Any) -> None:
         revision, old = self._servers.get(ident, (0, 0))
         if item is None or item.revision == revision:
             return
--- a/otterreach/simulation/job_members.py
+++ b/otterreach/simulation/job_members.py
@@ -13,7 +13,7 @@
 
 from otterreach.jobstore.placement import partition_of
 from otterreach.simulation import client
-from otterreach.simulation.job_trainers import Lot
+from otterreach.simulation.job_trainers import BatchJob
 from otterreach.simulation.world import CTL, Box, Main, World
 
 PAUSE_S = (1.0, 6.0)  # between two changes
@@ -35,11 +35,11 @@
 class Members:
     """Changes of store machines, one after the other."""
 
-    def __init__(self, world: World, random: Random, store_node: Main, lots: dict[str, Lot]) -> None:
+    def __init__(self, world: World, random: Random, store_node: Main, batch_jobs: dict[str, BatchJob]) -> None:
         self.world = world
         self.random = random
         self.store_node = store_node
-        self.lots = lots
+        self.batch_jobs = batch_jobs
         self.stopping = False
         self.leaving: set[str] = set()  # machines that are to be emptied
         self.lost_disk_at = -1e9  # when a disk was last lost by a fault
@@ -122,9 +122,9 @@
         if not box.up:
             return  # it died meanwhile, and whoever comes back with its disk may still be needed
         self.world.lines.append(f"{self.world.now:9.3f} RETIRED {box.name}")
-        for lot in self.lots.values():
-            if lot.taken_at:
-                self.check_copies(lot.id, "retired before its copies are elsewhere", without=box)
+        for batch_job in self.batch_jobs.values():
+            if batch_job.accepted_at:
+                self.check_copies(batch_job.id, "retired before its copies are elsewhere", without=box)
         box.power_off(wipe=True)
         await asyncio.sleep(self.random.uniform(*EMPTY_S))
         box.power_on()
--- a/otterreach/simulation/job_proxy.py
+++ b/otterreach/simulation/job_proxy.py
@@ -27,10 +27,10 @@
     def begins(self, box: Box, key: tuple[str, str]) -> None:
         """It is about to send an item to a server."""
 
-    def given(self, job: str, item: str, body: bytes) -> None:
+    def item_assigned(self, job: str, item: str, body: bytes) -> None:
         """It got an item."""
 
-    def told(self, key: tuple[str, str], reply: Any) -> None:
+    def result_answered(self, key: tuple[str, str], reply: Any) -> None:
         """Its result was taken, or refused for good."""
 
 
@@ -97,7 +97,7 @@
         if assign.job in self.ended or hold and assign.epoch < hold.epoch:
             return
         for work in assign.items:
-            self.scenario.given(assign.job, work.item, work.body)
+            self.scenario.item_assigned(assign.job, work.item, work.body)
             self.queue.setdefault((assign.job, work.item), assign)
 
     async def _cancel(self, link: Link, cancel: CancelJob) -> None:
@@ -122,6 +122,6 @@
             reply = await self.directory.ask(key[0], finished, CALL_S * 2, CALL_S)
             final = (Code.JOB_ENDED, Code.UNKNOWN_ITEM, Code.UNKNOWN_JOB, Code.BAD_MESSAGE)
             if isinstance(reply, Done) or isinstance(reply, Failure) and reply.code in final:
-                self.scenario.told(key, reply)
+                self.scenario.result_answered(key, reply)
                 self.queue.pop(key, None)
         self.reporting.discard(key)
--- a/otterreach/simulation/job_trainers.py
+++ b/otterreach/simulation/job_trainers.py
@@ -17,18 +17,18 @@
 from otterreach.simulation.loop import Process
 from otterreach.simulation.world import Box, World
 
-SETTLE_S = 1.0
+VISIBLE_WITHIN_S = 1.0
 TRAINERS = 3
 
 
 @dataclass
-class Lot:
+class BatchJob:
     """A batch job as its trainer has seen it."""
 
     id: str
     items: dict[str, bytes]
     sent_at: float
-    taken_at: float = 0.0  # 202
+    accepted_at: float = 0.0  # 202
     refused: bool = False  # at every try
     unclear: bool = False
     ended_at: float = 0.0  # acknowledged
@@ -42,8 +42,8 @@
     def __init__(self, world: World, random: Random) -> None:
         self.world = world
         self.random = random
-        self.lots: dict[str, Lot] = {}
-        self.taken = 0  # batch jobs
+        self.batch_jobs: dict[str, BatchJob] = {}
+        self.accepted_count = 0
         self.stopping = False
 
     async def train(self, number: int, process: Process) -> None:
@@ -61,24 +61,24 @@
         count = 0
         while not self.stopping:
             count += 1
-            lot = self._draw_lot(f"job-{number}-{count}", quick=number == TRAINERS)
-            self.lots[lot.id] = lot
-            await self._submit(directory, lot)
+            batch_job = self._draw_batch_job(f"job-{number}-{count}", quick=number == TRAINERS)
+            self.batch_jobs[batch_job.id] = batch_job
+            await self._submit(directory, batch_job)
             if number == TRAINERS:  # shows that batch jobs are taken, whatever the others wait for
                 await asyncio.sleep(0.5)
                 continue
-            if lot.taken_at:
-                await self._follow(directory, lot)
+            if batch_job.accepted_at:
+                await self._follow(directory, batch_job)
             await self._look_back(directory, number)
-        for lot in [one for one in self.lots.values() if one.id.startswith(f"job-{number}-")]:
-            await self._read_whole(directory, lot)
+        for batch_job in [one for one in self.batch_jobs.values() if one.id.startswith(f"job-{number}-")]:
+            await self._read_all_results(directory, batch_job)
 
-    def _draw_lot(self, ident: str, quick: bool) -> Lot:
+    def _draw_batch_job(self, ident: str, quick: bool) -> BatchJob:
         count = 1 if quick else self.random.choice([1, 3, 6, 25])
         items = {f"{ident}.{n}": self.random.randbytes(self.random.choice([0, 5, 3000])) for n in range(count)}
-        return Lot(ident, items, self.world.now)
+        return BatchJob(ident, items, self.world.now)
 
-    async def _submit(self, directory: JobStoreDirectory, lot: Lot) -> None:
+    async def _submit(self, directory: JobStoreDirectory, batch_job: BatchJob) -> None:
         reqs = [
             {
                 "id": item,
@@ -89,102 +89,105 @@
                 "group": "g",
                 "scorer": {"id": f"s{item}", "host": "h", "path": "/s", "body": ""},
             }
-            for item, body in lot.items.items()
+            for item, body in batch_job.items.items()
         ]
         head = {"step": 0, "model": "m", "desired": 1, "minVersion": 1, "reqs": reqs}
-        ask = SubmitJob(lot.id, "h.example", "train", json.dumps(head).encode())
+        ask = SubmitJob(batch_job.id, "h.example", "train", json.dumps(head).encode())
         for _ in range(self.random.randint(1, 12)):
-            reply = await directory.ask(lot.id, ask, CALL_S, CALL_S)
+            reply = await directory.ask(batch_job.id, ask, CALL_S, CALL_S)
             if isinstance(reply, Done):
-                lot.taken_at = self.world.now
-                self.taken += 1
+                batch_job.accepted_at = self.world.now
+                self.accepted_count += 1
                 return
-            lot.unclear = lot.unclear or reply.maybe_done
+            batch_job.unclear = batch_job.unclear or reply.maybe_done
             self.world.expect(reply.code is not Code.BAD_JOB, "good batch job refused", str(reply))
             await asyncio.sleep(self.random.uniform(0.05, 0.3))
-        lot.refused = not lot.unclear
+        batch_job.refused = not batch_job.unclear
 
-    async def _follow(self, directory: JobStoreDirectory, lot: Lot) -> None:
+    async def _follow(self, directory: JobStoreDirectory, batch_job: BatchJob) -> None:
         """Read as results come; end it when enough is there, or for some reason sooner."""
         patience = self.world.now + self.random.choice([0.3, 2.0, 12.0])
-        while len(lot.results) < len(lot.items) and self.world.now < patience and not self.stopping:
-            past = len(lot.results) if self.random.random() < 0.8 else self.random.randint(0, len(lot.results))
-            await self._read(directory, lot, past, 500)
+        while len(batch_job.results) < len(batch_job.items) and self.world.now < patience and not self.stopping:
+            known = len(batch_job.results)
+            past = known if self.random.random() < 0.8 else self.random.randint(0, known)
+            await self._read(directory, batch_job, past, 500)
             if self.random.random() < 0.2:
-                await self._body(directory, lot)
+                await self._body(directory, batch_job)
         if self.random.random() < 0.8:
-            lot.end_sent = True
-            while not lot.ended_at:
-                reply = await directory.ask(lot.id, EndJob(lot.id), CALL_S, CALL_S)
+            batch_job.end_sent = True
+            while not batch_job.ended_at:
+                reply = await directory.ask(batch_job.id, EndJob(batch_job.id), CALL_S, CALL_S)
                 if isinstance(reply, Done) or reply.code is Code.JOB_ENDED:
-                    lot.ended_at = self.world.now
+                    batch_job.ended_at = self.world.now
                 else:
-                    self._not_unknown(lot, reply)
+                    self._not_unknown(batch_job, reply)
                     await asyncio.sleep(0.1)
 
-    def _not_unknown(self, lot: Lot, reply: Failure) -> None:
+    def _not_unknown(self, batch_job: BatchJob, reply: Failure) -> None:
         gone = reply.code is Code.UNKNOWN_JOB
-        settled = lot.taken_at and self.world.now > lot.taken_at + SETTLE_S
-        self.world.expect(not (gone and settled), "taken is gone", f"{lot.id}: {reply}")
+        is_visible = batch_job.accepted_at and self.world.now > batch_job.accepted_at + VISIBLE_WITHIN_S
+        self.world.expect(not (gone and is_visible), "taken is gone", f"{batch_job.id}: {reply}")
 
-    async def _read(self, directory: JobStoreDirectory, lot: Lot, past: int, wait_ms: int) -> bool:
-        known = list(lot.results)
+    async def _read(self, directory: JobStoreDirectory, batch_job: BatchJob, past: int, wait_ms: int) -> bool:
+        known = list(batch_job.results)
         within = CALL_S + wait_ms / 1000
-        reply = await directory.ask(lot.id, ReadJob(lot.id, past, wait_ms), within, within)
+        reply = await directory.ask(batch_job.id, ReadJob(batch_job.id, past, wait_ms), within, within)
         if isinstance(reply, Failure):
-            self._not_unknown(lot, reply)
+            self._not_unknown(batch_job, reply)
             return False
         assert isinstance(reply, JobResults)
-        self._take(lot, past, reply, known)
+        self._take(batch_job, past, reply, known)
         return True
 
-    def _take(self, lot: Lot, past: int, reply: JobResults, known: list[tuple[str, str, str]]) -> None:
+    def _take(self, batch_job: BatchJob, past: int, reply: JobResults, known: list[tuple[str, str, str]]) -> None:
         expect = self.world.expect
+        ident = batch_job.id
         rows = [(r["id"], r["state"], r.get("text", "")) for r in json.loads(b"[" + reply.body + b"]")]
-        expect(reply.total == len(lot.items), "total", f"{lot.id}: {reply.total} of {len(lot.items)}")
-        expect(reply.next_cursor == past + len(rows), "cursor", f"{lot.id}: {past} {reply.next_cursor} {len(rows)}")
-        expect(past + len(rows) >= len(known), "position is gone", f"{lot.id}: {past} {len(rows)} {len(known)}")
+        expect(reply.total == len(batch_job.items), "total", f"{ident}: {reply.total} of {len(batch_job.items)}")
+        expect(reply.next_cursor == past + len(rows), "cursor", f"{ident}: {past} {reply.next_cursor} {len(rows)}")
+        expect(past + len(rows) >= len(known), "position is gone", f"{ident}: {past} {len(rows)} {len(known)}")
         for position, row in enumerate(rows, past):
-            if position < len(lot.results):
-                expect(lot.results[position] == row, "position changes", f"{lot.id} {position}: {row}")
-            elif position == len(lot.results):
-                expect(row[0] not in {r[0] for r in lot.results}, "listed twice", f"{lot.id}: {row[0]}")
-                lot.results.append(row)
-            expect(row[0] in lot.items, "an item of another", f"{lot.id}: {row[0]}")
-            expect(row[1] != "done" or row[2] == text_of(lot.id, row[0]), "another text", f"{lot.id}: {row}")
-            expect(row[1] == "done" or lot.end_sent, "errored without reason", f"{lot.id}: {row}")
-
-    async def _body(self, directory: JobStoreDirectory, lot: Lot) -> bool:
+            if position < len(batch_job.results):
+                expect(batch_job.results[position] == row, "position changes", f"{ident} {position}: {row}")
+            elif position == len(batch_job.results):
+                expect(row[0] not in {r[0] for r in batch_job.results}, "listed twice", f"{ident}: {row[0]}")
+                batch_job.results.append(row)
+            expect(row[0] in batch_job.items, "an item of another", f"{ident}: {row[0]}")
+            expect(row[1] != "done" or row[2] == text_of(ident, row[0]), "another text", f"{ident}: {row}")
+            expect(row[1] == "done" or batch_job.end_sent, "errored without reason", f"{ident}: {row}")
+
+    async def _body(self, directory: JobStoreDirectory, batch_job: BatchJob) -> bool:
         """The body of an item that has not been seen listed."""
-        listed = {row[0] for row in lot.results}
-        waiting = [item for item in lot.items if item not in listed]
+        listed = {row[0] for row in batch_job.results}
+        waiting = [item for item in batch_job.items if item not in listed]
         if not waiting:
             return True
         item = self.random.choice(waiting)
-        reply = await directory.ask(lot.id, ReadItem(lot.id, item), CALL_S, CALL_S)
+        reply = await directory.ask(batch_job.id, ReadItem(batch_job.id, item), CALL_S, CALL_S)
         if isinstance(reply, ItemBody):
-            self.world.expect(reply.body == lot.items[item], "other bytes", f"{lot.id} {item}")
+            self.world.expect(reply.body == batch_job.items[item], "other bytes", f"{batch_job.id} {item}")
             return True
-        if reply.code is Code.UNKNOWN_ITEM and not lot.end_sent:  # listed meanwhile, then
-            await self._read(directory, lot, 0, 0)
-        self._not_unknown(lot, reply)
+        if reply.code is Code.UNKNOWN_ITEM and not batch_job.end_sent:  # listed meanwhile, then
+            await self._read(directory, batch_job, 0, 0)
+        self._not_unknown(batch_job, reply)
         return False
 
     async def _look_back(self, directory: JobStoreDirectory, number: int) -> None:
-        mine = [lot for lot in self.lots.values() if lot.taken_at and lot.id.startswith(f"job-{number}-")]
-        for lot in self.random.sample(mine, min(2, len(mine))):
-            await self._read(directory, lot, self.random.randint(0, len(lot.results)), 0)
+        prefix = f"job-{number}-"
+        mine = [one for one in self.batch_jobs.values() if one.accepted_at and one.id.startswith(prefix)]
+        for batch_job in self.random.sample(mine, min(2, len(mine))):
+            await self._read(directory, batch_job, self.random.randint(0, len(batch_job.results)), 0)
 
-    async def _read_whole(self, directory: JobStoreDirectory, lot: Lot) -> None:
+    async def _read_all_results(self, directory: JobStoreDirectory, batch_job: BatchJob) -> None:
         """After all is over: what was taken is there, from the start."""
-        if not lot.taken_at:
+        if not batch_job.accepted_at:
             return
         end = self.world.now + 10.0
         while self.world.now < end:
-            if await self._read(directory, lot, 0, 0):
+            if await self._read(directory, batch_job, 0, 0):
                 return
             await asyncio.sleep(0.2)
-        self.world.expect(False, "in time", f"{lot.id} can't be read at the end")
+        self.world.expect(False, "in time", f"{batch_job.id} can't be read at the end")
 
 
 async def _no_role(box: Box) -> None:
--- a/otterreach/simulation/jobs.py
+++ b/otterreach/simulation/jobs.py
@@ -9,6 +9,7 @@
 
 import asyncio
 from contextlib import suppress
+from functools import partial
 from random import Random
 from typing import Any
 
@@ -64,10 +65,10 @@
             Random(world.seed ^ 0xFA), names, [b.name for b in world.of_role("front")], world.survive
         )
         self.trainers = Trainers(world, self.random)
-        self.lots = self.trainers.lots
-        self.members = Members(world, Random(world.seed ^ 0x3E3), store_node, self.lots)
+        self.batch_jobs = self.trainers.batch_jobs
+        self.members = Members(world, Random(world.seed ^ 0x3E3), store_node, self.batch_jobs)
         self.primaries: dict[tuple[int, int], str] = {}
-        self.troubles: faults.Troubles
+        self.injector: faults.FaultInjector
         world.watch(self._summary, self._check_primaries, always=False)
 
     def _hook(self) -> None:
@@ -135,21 +136,22 @@
 
     def begins(self, box: Box, key: tuple[str, str]) -> None:
         """A proxy is about to send an item to a server."""
-        lot = self.lots.get(key[0])
-        self.world.expect(lot and key[1] in lot.items, "runs what was never sent", " ".join(key))
-        assert lot is not None
-        self.world.expect(not lot.refused, "runs what was refused", " ".join(key))
-        late = lot.ended_at and self.world.now > lot.ended_at + CANCEL_S
+        batch_job = self.batch_jobs.get(key[0])
+        self.world.expect(batch_job and key[1] in batch_job.items, "runs what was never sent", " ".join(key))
+        assert batch_job is not None
+        self.world.expect(not batch_job.refused, "runs what was refused", " ".join(key))
+        late = batch_job.ended_at and self.world.now > batch_job.ended_at + CANCEL_S
         self.world.expect(not late, "runs what was ended", f"{' '.join(key)} at {box.name}")
 
-    def given(self, job: str, item: str, body: bytes) -> None:
-        lot = self.lots.get(job)
-        self.world.expect(lot and lot.items.get(item) == body, "other bytes", f"{job} {item}")
+    def item_assigned(self, job: str, item: str, body: bytes) -> None:
+        batch_job = self.batch_jobs.get(job)
+        self.world.expect(batch_job and batch_job.items.get(item) == body, "other bytes", f"{job} {item}")
 
-    def told(self, key: tuple[str, str], reply: Any) -> None:
-        lot = self.lots[key[0]]
+    def result_answered(self, key: tuple[str, str], reply: Any) -> None:
+        batch_job = self.batch_jobs[key[0]]
         gone = isinstance(reply, Failure) and reply.code is Code.UNKNOWN_JOB
-        self.world.expect(not (gone and lot.taken_at and not lot.end_sent), "taken is gone", f"{key[0]} to a proxy")
+        in_force = batch_job.accepted_at and not batch_job.end_sent
+        self.world.expect(not (gone and in_force), "taken is gone", f"{key[0]} to a proxy")
         bad = isinstance(reply, Failure) and reply.code is Code.BAD_MESSAGE
         self.world.expect(not bad, "good result refused", f"{key}: {reply}")
 
@@ -162,14 +164,14 @@
         self._hook()
         trainers = [Process(f"trainer-{n}", f"10.9.0.{n + 1}") for n in range(TRAINERS + 1)]
         tasks = [person.start(world.loop, self.trainers.train(n, person)) for n, person in enumerate(trainers)]
-        await self._until(lambda: self.trainers.taken > 0, START_S, "first batch job")
-        self.troubles = faults.Troubles(world, self.plan)
+        await self._until(lambda: self.trainers.accepted_count > 0, START_S, "first batch job")
+        self.injector = faults.FaultInjector(world, self.plan)
         changes = Process("operator", "10.9.1.1").start(world.loop, self.members.run())
         start = world.now
         for begin, _ in self.plan.calm:
             await asyncio.sleep(max(0.0, start + begin + control.CONTACT_S + 1.5 - world.now))
-            before = self.trainers.taken
-            await self._until(lambda before=before: self.trainers.taken > before, CLEAR_S, "a batch job in calm times")
+            before = self.trainers.accepted_count
+            await self._until(partial(self._has_accepted_more_than, before), CLEAR_S, "a batch job in calm times")
         await asyncio.sleep(max(0.0, start + self.plan.end - world.now))
         self.trainers.stopping = True
         self.members.stopping = True
@@ -181,6 +183,9 @@
             if task.done():
                 task.result()
 
+    def _has_accepted_more_than(self, count: int) -> bool:
+        return self.trainers.accepted_count > count
+
     async def _until(self, holds: Any, within_s: float, what: str) -> None:
         end = self.world.now + within_s
         while not holds():
