--- a/otterreach/loadtest/connection.py
+++ b/otterreach/loadtest/connection.py
@@ -25,9 +25,11 @@
     dark: bool
     connections: set[Connection]
 
-    def on_request(self, connection: Connection, request: http1.Request) -> None: ...
+    def on_request(self, connection: Connection, request: http1.Request) -> None:
+        """A whole request has come."""
 
-    def load(self) -> Pairs: ...
+    def load(self) -> Pairs:
+        """The headers that tell the server's load."""
 
 
 class Connection(asyncio.Protocol):
@@ -42,6 +44,7 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the connection, or reset it if there are too many."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self.server.scene.counts["connections"] += 1
@@ -53,6 +56,7 @@
             transport.pause_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Drop the work for it."""
         self.server.connections.discard(self)
         self._parser.close()
         dropped = self.dropped
@@ -61,6 +65,7 @@
             dropped()
 
     def data_received(self, data: bytes) -> None:
+        """Parse what has come, and start the next request."""
         self._queue.extend(self._parser.feed(data))
         if self._parser.error:
             self.abort()
@@ -73,14 +78,17 @@
             self.server.on_request(self, self.request)
 
     def pause(self, on: bool) -> None:
+        """Read nothing more, or go on reading."""
         if self._transport and not self._transport.is_closing():
             (self._transport.pause_reading if on else self._transport.resume_reading)()
 
     def abort(self) -> None:
+        """Close with a reset."""
         if self._transport:
             self._transport.abort()
 
     def header(self, name: bytes) -> str:
+        """A header of the open request; empty if it has none."""
         assert self.request
         return self.request.headers.get(name, b"").decode("latin-1")
 
@@ -105,10 +113,12 @@
         self._write(self._head(HTTPStatus.OK, headers, "Transfer-Encoding: chunked"))
 
     def event(self, text: str) -> None:
+        """Write one event of a stream."""
         data = text.encode()
         self._write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def end(self) -> None:
+        """End the stream in order."""
         self._write(b"0\r\n\r\n")
         self._done()
 
--- a/otterreach/loadtest/engine.py
+++ b/otterreach/loadtest/engine.py
@@ -19,6 +19,8 @@
 
 
 class Stage(Enum):
+    """How far a run is."""
+
     WAITING = "waiting"
     READING = "reading"  # its prompt
     MAKING = "making"  # tokens
@@ -26,6 +28,8 @@
 
 
 class Why(Enum):
+    """Why a run ended without its last event."""
+
     TURNED_AWAY = "turned away"  # it has not run
     RESET = "reset"
 
@@ -62,6 +66,7 @@
 
     @property
     def urgency(self) -> tuple[int, int]:
+        """The sort key: the lowest goes first."""
         return self.ask.priority, self.number
 
 
@@ -78,12 +83,16 @@
 
 @dataclass(frozen=True, slots=True)
 class End:
+    """A run has ended early."""
+
     run: Run
     why: Why
 
 
 @dataclass(slots=True)
 class Order:
+    """A load of weights in progress."""
+
     model: str
     gen: int
     method: str
@@ -92,6 +101,8 @@
 
 @dataclass(slots=True)
 class CachedPart:
+    """A part of prompts in the memory, with the runs that use it."""
+
     tokens: int
     users: int = 0
     ready: bool = False  # read by somebody
@@ -112,6 +123,7 @@
 
     @property
     def used(self) -> float:
+        """All tokens in the memory."""
         return self.made + sum(p.tokens for p in self.parts.values())
 
     def unread(self, keys: list[tuple[Key, int]]) -> int:
@@ -148,12 +160,14 @@
         return over <= 0
 
     def grow(self, tokens: float) -> bool:
+        """Take room for tokens that a run makes. False: there is none."""
         if not self._make_room(tokens):
             return False
         self.made += tokens
         return True
 
     def let_go(self, keys: list[tuple[Key, int]], made: float) -> None:
+        """A run has ended: its prompt is unpinned, its tokens are freed."""
         self.made -= made
         for key, _ in keys:
             part = self.parts.get(key)
@@ -165,6 +179,7 @@
                 del self.parts[key]
 
     def ready(self, keys: list[tuple[Key, int]]) -> None:
+        """A prompt has been read: others may use its parts."""
         for key, _ in keys:
             self.parts[key].ready = True
 
@@ -196,6 +211,7 @@
 
     @property
     def idle(self) -> bool:
+        """Whether nothing waits and nothing runs."""
         return not (self.waiting or self.running or self.order)
 
     def submit(self, ask: Ask) -> Run | int:
@@ -352,6 +368,7 @@
             self._change(run, Stage.OVER)
 
     def report(self) -> dict[str, Any]:
+        """What `/report` answers."""
         return {
             "stage": "both",
             "models": [{"name": name, "gen": gen, "loras": []} for name, gen in self.versions.items()],
--- a/otterreach/loadtest/engine_server.py
+++ b/otterreach/loadtest/engine_server.py
@@ -24,6 +24,7 @@
     _versions: dict[str, int]
 
     def fresh(self) -> None:
+        """A new engine, with the versions of the former one or the newest."""
         # After a restart a server has the version it had; a new one has the newest.
         known = getattr(self, "engine", None)
         versions = known.versions if known else {m: self.scene.named(m) for m in self.spec.models}
@@ -37,13 +38,16 @@
         self.slow = self.engine.slow = x
 
     def figures(self) -> tuple[int, int]:
+        """Runs that are running and waiting."""
         return len(self.engine.running), len(self.engine.waiting)
 
     def more(self) -> dict[str, Any]:
+        """What a registration holds besides: stage and models."""
         report = self.engine.report()
         return {"stage": report["stage"], "models": report["models"]}
 
     def on_management(self, connection: Connection, request: http1.Request) -> None:
+        """`/report` and `/order`."""
         if request.target.startswith(b"/report"):
             connection.respond(HTTPStatus.OK, JSON, json.dumps(self.engine.report()).encode())
             return
@@ -59,6 +63,7 @@
         self._wake()
 
     def on_call(self, connection: Connection, request: http1.Request) -> None:
+        """A request for tokens."""
         ident = connection.header(b"request-id")
         if is_never(request):
             self.scene.ledger.never.add(ident)
--- a/otterreach/loadtest/latency.py
+++ b/otterreach/loadtest/latency.py
@@ -26,6 +26,7 @@
         self.count = 0
 
     def add(self, seconds: float) -> None:
+        """Count one time."""
         self.count += 1
         if self._recorder is not None:
             self._recorder.record_value(min(MOST_US, max(1, round(seconds * 1e6))))
--- a/otterreach/loadtest/ledger.py
+++ b/otterreach/loadtest/ledger.py
@@ -36,6 +36,7 @@
 
 
 def read_line(data: str) -> Line | None:
+    """The data of an event; None if it is of another form."""
     found = _DATA.fullmatch(data)
     return Line(int(found[1]), found[2], int(found[3]), found[4]) if found else None
 
@@ -81,6 +82,8 @@
 
 @dataclass(slots=True)
 class Ledger:
+    """What the stand-ins did, for the check of what the system said."""
+
     runs: dict[str, Made] = field(default_factory=dict)
     ran: list[Ran] = field(default_factory=list)
     seals: dict[str, Sealed] = field(default_factory=dict)
--- a/otterreach/loadtest/machines.py
+++ b/otterreach/loadtest/machines.py
@@ -59,18 +59,22 @@
 
     @property
     def ctl(self) -> str:
+        """The address of the operator's API."""
         return f"{self.ip}:{CTL_PORT}"
 
     @property
     def file(self) -> Path:
+        """Its settings file."""
         return self.folder / "settings" / f"{self.name}.yaml"
 
     @property
     def disk(self) -> Path:
+        """The folder that stands for its disk."""
         return self.folder / "disk" / self.name
 
     @property
     def running(self) -> bool:
+        """Whether its process is there."""
         return self._process is not None and self._process.returncode is None
 
     def settings(self, plan: Plan, seeds: list[str], bounds: dict[str, Any]) -> dict[str, Any]:
@@ -105,6 +109,7 @@
         }
 
     async def start(self, plan: Plan, seeds: list[str], bounds: dict[str, Any]) -> None:
+        """Write the settings and start the process."""
         self.file.parent.mkdir(parents=True, exist_ok=True)
         self.file.write_text(yaml.safe_dump(self.settings(plan, seeds, bounds), sort_keys=False))
         if self.kind != "front":
@@ -150,6 +155,7 @@
             self.used.peak_mb = max(self.used.peak_mb, int(peak.split()[1]) / 1024)
 
     async def kill(self) -> None:
+        """SIGKILL; it is not started again."""
         self.measure()
         self.wanted = False
         self._signal(signal.SIGKILL)
@@ -157,9 +163,11 @@
             await self._process.wait()
 
     def wipe(self) -> None:
+        """Lose the disk."""
         shutil.rmtree(self.disk, ignore_errors=True)
 
     async def freeze(self, for_s: float) -> None:
+        """SIGSTOP for a time."""
         self._signal(signal.SIGSTOP)
         await asyncio.sleep(for_s)
         self._signal(signal.SIGCONT)
@@ -196,15 +204,19 @@
         self.seeds = [m.ctl for m in self.of("core")][:SEEDS]
 
     def of(self, kind: str) -> list[Machine]:
+        """The machines of a class."""
         return [m for m in self.machines if m.kind == kind]
 
     def named(self, name: str) -> Machine | None:
+        """The machine of this name, if there is one."""
         return next((m for m in self.machines if m.name == name), None)
 
     async def start(self, machine: Machine) -> None:
+        """Start one machine."""
         await machine.start(self.plan, self.seeds, self.bounds)
 
     async def start_all(self) -> None:
+        """Start all machines at once."""
         await asyncio.gather(*(self.start(machine) for machine in self.machines))
 
     async def stop_all(self) -> None:
--- a/otterreach/loadtest/plain_server.py
+++ b/otterreach/loadtest/plain_server.py
@@ -30,13 +30,16 @@
     """So many requests at a time, each for about its work; a few wait."""
 
     def fresh(self) -> None:
+        """Nothing running, nothing waiting."""
         self.working: set[_Call] = set()
         self.queued: deque[_Call] = deque()
 
     def figures(self) -> tuple[int, int]:
+        """Calls that are running and waiting."""
         return len(self.working), len(self.queued)
 
     def on_call(self, connection: Connection, request: http1.Request) -> None:
+        """Run a call, let it wait, or refuse it."""
         now = self.scene.now()
         told = connection.header(b"deadline-ms")
         deadline = now + (int(told) / 1000 if told.isdigit() else NO_DEADLINE_S)
--- a/otterreach/loadtest/plan.py
+++ b/otterreach/loadtest/plan.py
@@ -24,6 +24,8 @@
 @dataclass
 class _Row(DataClassDictMixin):
     class Config(BaseConfig):
+        """mashumaro: an unknown key is an error."""
+
         forbid_extra_keys = True
 
 
@@ -135,9 +137,11 @@
     fault: list[Fault] = field(default_factory=list)
 
     def route_named(self, name: str) -> Route:
+        """The route of this name, which has to be there."""
         return next(route for route in self.route if route.name == name)
 
     def service_named(self, name: str) -> Service:
+        """The service of this name, which has to be there."""
         return next(service for service in self.service if service.name == name)
 
 
--- a/otterreach/loadtest/play.py
+++ b/otterreach/loadtest/play.py
@@ -81,6 +81,7 @@
         self._beside: set[asyncio.Task[None]] = set()
 
     def tell(self, line: str) -> None:
+        """Print a line of the play, if it is not quiet."""
         if not self.quiet:
             print(f"{self.loop.time() - self.begun:6.1f} s  {line}", flush=True)
 
--- a/otterreach/loadtest/report.py
+++ b/otterreach/loadtest/report.py
@@ -155,6 +155,7 @@
     y_most = max(p[1] for p in points) or 1.0
 
     def place(x: float, y: float) -> str:
+        """The position of a point in the drawing."""
         return f"{LEFT + x / x_most * (WIDTH - LEFT - 10):.1f},{(1 - y / y_most) * (HEIGHT - BOTTOM - 10) + 10:.1f}"
 
     parts = [f'<h3>{html.escape(title)}</h3><svg width="{WIDTH}" height="{HEIGHT}" font-size="11">']
@@ -218,6 +219,7 @@
 
 
 def write(folder: Path, number: int, result: dict[str, Any]) -> None:
+    """Write the result and the report of a play into a folder."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / f"result-{number:03}.json").write_text(json.dumps(result, indent=1))
     (folder / "report.html").write_text(page(result))
--- a/otterreach/loadtest/scene.py
+++ b/otterreach/loadtest/scene.py
@@ -37,6 +37,7 @@
         self.fronts = fronts
 
     async def watch(self) -> None:
+        """Probe the fronts; for ever."""
         while True:
             await asyncio.gather(*(self._probe(front) for front in self.fronts), asyncio.sleep(READY_S))
 
@@ -47,6 +48,7 @@
 
     @property
     def ready(self) -> int:
+        """How many fronts answer."""
         return sum(front.missed < MISSES for front in self.fronts)
 
     def pick(self, zone: str, key: str) -> str:
@@ -79,6 +81,7 @@
         return f"{prefix}{self.random.getrandbits(64):016x}"
 
     def named(self, model: str) -> int:
+        """The newest version of a model that a trainer has named."""
         return self.versions.get(model, 1)
 
     def seconds(self, key: str) -> float:
--- a/otterreach/loadtest/server.py
+++ b/otterreach/loadtest/server.py
@@ -44,10 +44,12 @@
 
     @property
     def name(self) -> str:
+        """Its service and its number in it."""
         return f"{self.spec.name}-{self.place}"
 
     @property
     def address(self) -> str:
+        """host:port of its listener."""
         return f"{self.ip}:{PORT}"
 
     def _change(self, state: str) -> None:
@@ -57,6 +59,7 @@
     # Start and end ----------------------------------------------------------------------------------------
 
     async def start(self) -> None:
+        """A new incarnation: listen, and register."""
         self.ident = self.scene.ident("i-")
         self.dark = False
         self.slow = 1.0
@@ -81,6 +84,7 @@
             connection.abort()
 
     async def crash(self, for_s: float) -> None:
+        """End at once, and start again after a time."""
         self.stop()
         await asyncio.sleep(for_s)
         await self.start()
@@ -97,6 +101,7 @@
             connection.pause(on)
 
     async def slow_down(self, x: float, for_s: float) -> None:
+        """Work at a share of the speed for a time."""
         self._set_speed(x)
         await asyncio.sleep(for_s)
         self._set_speed(1.0)
@@ -163,6 +168,7 @@
             self.on_call(connection, request)
 
     def on_management(self, connection: Connection, request: http1.Request) -> None:
+        """`/report` and `/order`, which only engines have."""
         connection.respond(HTTPStatus.NOT_FOUND)
 
     def on_call(self, connection: Connection, request: http1.Request) -> None:
@@ -174,27 +180,32 @@
         return 0, 0
 
     def load(self) -> Pairs:
+        """The `Server-Load` header, where the service has it."""
         if not self.spec.tells_load:
             return ()
         running, waiting = self.figures()
         return (("Server-Load", f"{running},{waiting},{self.spec.cap}"),)
 
     def began(self, request_id: str) -> None:
+        """Record that a request runs."""
         now = self.scene.now()
         self.scene.ledger.ran.append(Ran(request_id, self.spec.name, now))
         if now > self.left_at + SLACK_S:
             self.scene.ledger.after_leave.append(f"{request_id} reached {self.name} after it had left")
 
     def turn_away(self, connection: Connection, status: int) -> None:
+        """Refuse a request that has not run."""
         self.scene.ledger.turned_away += 1
         more = (("Server-Id", self.ident),) if status == HTTPStatus.MISDIRECTED_REQUEST else ()
         connection.respond(status, NOT_RUN + more)
 
     def seal(self, request_id: str, body: bytes, came_at: float) -> str:
+        """A new seal of an answer, recorded with what it seals."""
         self._sealed += 1
         stamp = f"{self._sealed:x}.{zlib.crc32(f'{self.ident} {request_id}'.encode()):08x}"
         self.scene.ledger.seals[stamp] = Sealed(request_id, body, came_at)
         return stamp
 
     def fails(self) -> bool:
+        """Whether this call is to fail, by the service's share of errors."""
         return self.scene.random.random() < self.spec.errors
--- a/otterreach/loadtest/trainer.py
+++ b/otterreach/loadtest/trainer.py
@@ -81,6 +81,7 @@
 
     @property
     def groups(self) -> dict[str, list[str]]:
+        """The ids of the items of each group."""
         groups: dict[str, list[str]] = {}
         for item in self.items.values():
             groups.setdefault(item.group, []).append(item.id)
--- a/otterreach/loadtest/verify.py
+++ b/otterreach/loadtest/verify.py
@@ -39,6 +39,7 @@
 
 
 def check_versions(job: BatchJob, row: dict[str, Any], lines: list[Line]) -> str:
+    """What is wrong with the versions of a result."""
     told = sorted(row.get("versions") or [])
     made = sorted({line.version for line in lines})
     if told != made:
@@ -49,6 +50,7 @@
 
 
 def check_score(item: Item, row: dict[str, Any], lines: list[Line], ledger: Ledger) -> str:
+    """What is wrong with the score of a result."""
     sealed = ledger.seals.get(str(row.get("score") or ""))
     if sealed is None or sealed.request != item.scorer:
         return f"score {row.get('score')!r} is no stamp of its reward call"
--- a/otterreach/scaletest/__main__.py
+++ b/otterreach/scaletest/__main__.py
@@ -56,6 +56,7 @@
     place.mkdir(parents=True, exist_ok=True)
 
     async def whole() -> None:
+        """The run, ended in order by a signal."""
         task = asyncio.current_task()
         assert task is not None
         # Danger: ended at once, it would leave its processes behind.
--- a/otterreach/scaletest/hollow.py
+++ b/otterreach/scaletest/hollow.py
@@ -92,6 +92,7 @@
             self._stores[item.key] = record.address
 
     async def run(self) -> None:
+        """Start the node and ping the job store nodes."""
         await self.node.start("front")
         self.node.endpoint.spawn(self._pings())
 
@@ -102,6 +103,7 @@
         waiting: set[str] = set()
 
         async def ping(address: str) -> None:
+            """Ping one job store node."""
             ask = ProxyPing(settings.node, settings.address, int(loop.time() * 1000), 0, 0, [], 1)
             await endpoint.call(address, ask, PING_TIMEOUT_S)
             waiting.discard(address)
@@ -131,6 +133,7 @@
         self.soon = asyncio.Event()
 
     async def run(self) -> None:
+        """Send heartbeats; for ever."""
         await asyncio.sleep(self.n * self.gap_s + self.random.random() * self.beat_s)
         while True:
             self.soon.clear()
--- a/otterreach/scaletest/meter.py
+++ b/otterreach/scaletest/meter.py
@@ -27,6 +27,7 @@
     """A connection that counts both ways: messages by name, and bytes."""
 
     def data_received(self, data: bytes) -> None:
+        """Count the bytes that come in."""
         counts["in bytes"] += len(data)
         super().data_received(data)
 
@@ -47,6 +48,7 @@
     """A connection of a caller over HTTP."""
 
     def data_received(self, data: bytes) -> None:
+        """Count the bytes that come in."""
         counts["in http"] += 1
         counts["in http bytes"] += len(data)
         super().data_received(data)
@@ -61,6 +63,7 @@
 
 
 def line(now: float, values: Counter[str]) -> str:
+    """The counts as a line of JSON."""
     return json.dumps({"t": round(now, 3), "counts": values})
 
 
--- a/otterreach/scaletest/processes.py
+++ b/otterreach/scaletest/processes.py
@@ -52,9 +52,11 @@
 
     @property
     def meter(self) -> Path:
+        """The file that its counts go to."""
         return self.folder / f"{self.name}.meter"
 
     async def start(self, arguments: list[str], settings: Path | None, hear: Hear | None) -> None:
+        """Start the process; `hear` gets the events that it prints."""
         paths = os.pathsep.join(path or str(Path.cwd()) for path in sys.path)
         environment = {**os.environ, "PYTHONPATH": paths, meter.VARIABLE: str(self.meter)}
         if settings:
@@ -82,16 +84,19 @@
                 hear(json.loads(row))
 
     def order(self, order: dict[str, Any]) -> None:
+        """Send it an order, as a line of JSON."""
         if self.process and self.process.stdin:
             self.process.stdin.write(json.dumps(order).encode() + b"\n")
 
     def used(self) -> Used:
+        """What it has used so far; zeros if it is gone."""
         with suppress(OSError, ValueError, IndexError):
             if self.process:
                 return used(self.process.pid)
         return Used(0.0, 0.0, 0)
 
     async def stop(self) -> None:
+        """SIGTERM, and SIGKILL if that does not help."""
         process = self.process
         if process is None or process.returncode is not None:
             return
--- a/otterreach/scaletest/run.py
+++ b/otterreach/scaletest/run.py
@@ -34,6 +34,7 @@
 
 
 def draw_net() -> str:
+    """The first two parts of the addresses of a run: another one for each process."""
     return f"127.{16 + os.getpid() % 200}"
 
 
@@ -67,6 +68,7 @@
             self.events[key].setdefault(event["node"], event["t"])
 
     async def run(self) -> dict[str, Any]:
+        """Play it and return what was measured."""
         try:
             await self._start()
             self.found["filled s"] = await self._fill()
@@ -174,6 +176,7 @@
 
     async def _changes(self) -> None:
         async def work() -> list[dict[str, Any]]:
+            """Change the configuration a few times."""
             return [await self._change() for _ in range(CHANGES)]
 
         await self._measure("configurations", work())
@@ -206,6 +209,7 @@
 
     async def _drains(self) -> None:
         async def work() -> list[dict[str, Any]]:
+            """Drain a few servers."""
             found = []
             for n in range(DRAINS):
                 begun = time.monotonic()
@@ -220,6 +224,7 @@
         """All servers come to a new version within VERSION_OVER_S, and say so; nobody orders them here."""
 
         async def work() -> dict[str, Any]:
+            """Bring all servers to a new version."""
             begun = time.monotonic()
             spare = self.seconds * (1 - REST_SHARE - CHANGE_SHARE - DRAIN_SHARE)
             self._order({"order": "version", "over_s": VERSION_OVER_S, "count": self.size.servers})
--- a/otterreach/scaletest/size.py
+++ b/otterreach/scaletest/size.py
@@ -40,14 +40,17 @@
 
     @property
     def joining_s(self) -> float:
+        """Seconds until all have joined."""
         return max(self.servers / self.joins_per_s, 4 * self.fronts / self.joins_per_s)
 
     @property
     def processes(self) -> int:
+        """Processes on this machine."""
         return self.controllers + self.store_nodes + self.proxies + self.hollow + self.server_hosts + 1
 
     @property
     def members(self) -> int:
+        """Members of the system, hollow ones included."""
         return self.fronts + self.controllers + self.store_nodes + self.proxies
 
 
@@ -75,10 +78,12 @@
 
 
 def bounds() -> dict[str, Any]:
+    """The bounds of the settings files."""
     return dict(BOUNDS)
 
 
 def seeds(cores: list[Machine]) -> list[str]:
+    """The addresses that a process asks first."""
     return [core.ctl for core in cores[:SEEDS]]
 
 
@@ -127,6 +132,7 @@
 
 
 def server_id(n: int) -> str:
+    """The id of the server with this number."""
     return f"i-{zlib.crc32(f'server {n}'.encode()):08x}"
 
 
--- a/otterreach/scaletest/table.py
+++ b/otterreach/scaletest/table.py
@@ -24,6 +24,7 @@
 
 
 def rate(count: float, seconds: float) -> float:
+    """Counts per second."""
     return round(count / seconds, 1) if seconds > 0 else 0.0
 
 
--- a/otterreach/simulation/__main__.py
+++ b/otterreach/simulation/__main__.py
@@ -36,6 +36,7 @@
 
 
 def play(scenario: str, seed: int) -> Outcome:
+    """Play one seed of a scenario."""
     world, _ = SCENARIOS[scenario](seed)
     failure, rule = (str(world.failure), world.failure.rule) if world.failure else ("", "")
     return Outcome(scenario, seed, failure, rule, frozenset(world.states), world.depth, world.loop.steps)
@@ -102,6 +103,7 @@
 
 
 def search(name: str, within_s: float, seed: int) -> tuple[str, Found]:
+    """Search one scenario of the small model."""
     return name, explore.explore(name, within_s, seed=seed)
 
 
@@ -129,6 +131,7 @@
 
 
 def look_for(name: str, first: int, seeds: int) -> tuple[planted.Planted, planted.Find, bool]:
+    """Play a planted fault until it is found; whether the code without it passes."""
     fault = next(f for f in planted_table.TABLE if f.name == name)
     found = planted.find(fault, fault.seed if first < 0 else first, seeds)
     return fault, found, bool(found.rule) and planted.passes(fault, found.seed)
--- a/otterreach/simulation/client.py
+++ b/otterreach/simulation/client.py
@@ -14,15 +14,18 @@
         self._parser = http1.ResponseParser()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the request."""
         assert isinstance(transport, asyncio.Transport)
         transport.write(self.data)
 
     def data_received(self, data: bytes) -> None:
+        """Parse what has come of the answer."""
         response = self._parser.feed(data)
         if response is not None and not self.done.done():
             self.done.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the call."""
         if not self.done.done():
             self.done.set_result(None)
 
--- a/otterreach/simulation/control.py
+++ b/otterreach/simulation/control.py
@@ -50,6 +50,7 @@
 
     @classmethod
     def draw(cls, random: Random) -> Setup:
+        """A setup drawn from the seed."""
         controllers = random.choice([3, 5, 5, 7])
         return cls(
             controllers=controllers,
@@ -90,6 +91,7 @@
     # The run -------------------------------------------------------------------------------------
 
     async def play(self) -> None:
+        """Start the world, carry the plan out, and check what is left at the end."""
         world = self.world
         for box in world.boxes.values():
             world.plainly(self.random.uniform(0.0, 0.3), box.start)
--- a/otterreach/simulation/disk.py
+++ b/otterreach/simulation/disk.py
@@ -44,6 +44,7 @@
         self.former = None
 
     def wipe(self) -> None:
+        """Lose everything."""
         self.data = b""
         self.synced = 0
 
@@ -73,6 +74,7 @@
         self._given_up = False  # the log needed the room
 
     def read(self) -> list[Record]:
+        """The records on the disk."""
         disk = self.disk
         records, end = scan(disk.data)
         disk.data = disk.data[:end]
@@ -82,6 +84,7 @@
         return records
 
     def append(self, kind: int, payload: bytes) -> None:
+        """Take a record; it is lost with the power until it is synced."""
         record = pack(kind, payload, self._synced)
         self._pending.append(record)
         self.size += len(record)
@@ -89,6 +92,7 @@
             self._copied.append(pack(kind, payload, 0))
 
     async def sync(self) -> bool:
+        """Whether everything that was appended so far got onto the disk."""
         if self.failed is not None:
             return False
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
@@ -139,6 +143,7 @@
                 future.set_result(self.failed is None)
 
     async def rewrite(self, live: LiveSlices) -> bool:
+        """As Journal.rewrite."""
         if self._copied is not None or self.failed is not None:
             return False
         self._copied = []
@@ -150,6 +155,7 @@
             self.disk.second = 0
 
     def abandon_rewrite(self) -> None:
+        """As Journal.abandon_rewrite."""
         self._given_up = True
 
     async def _fill(self, slices: Iterable[Slice]) -> bool:
--- a/otterreach/simulation/explore.py
+++ b/otterreach/simulation/explore.py
@@ -53,6 +53,7 @@
     trace: list[Event] = field(default_factory=list)
 
     def summary(self) -> str:
+        """The result as key=value pairs."""
         return (
             f"complete={self.complete} states={self.states} depth={self.depth} at_depth_bound={self.cut} "
             f"runs={self.runs} events={self.events} seconds={self.seconds:.1f} broken={int(bool(self.failure))}"
--- a/otterreach/simulation/faults.py
+++ b/otterreach/simulation/faults.py
@@ -59,11 +59,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
+    """What goes wrong in a run, and when."""
+
     faults: tuple[Fault, ...]
     calm: tuple[tuple[float, float], ...]  # spans without any fault, from the start
     end: float
 
     def without(self, index: int) -> Plan:
+        """The plan without one of its faults."""
         return replace(self, faults=self.faults[:index] + self.faults[index + 1 :])
 
 
@@ -251,7 +254,10 @@
         injector = self
 
         def calling(plain: Any) -> Any:
+            """The wrapped `Endpoint.call`."""
+
             def call(endpoint: Endpoint, address: str, value: Any, timeout_s: float) -> Any:
+                """Record the message, then send it."""
                 owner = OWNER.get()
                 if injector.armed and owner is not None and owner.name in injector.world.boxes:
                     injector.sent(owner.name, type(value).__name__)
--- a/otterreach/simulation/history.py
+++ b/otterreach/simulation/history.py
@@ -84,6 +84,7 @@
         return int(raw["gen"])
 
     def read_nothing(self, called: float, now: float) -> None:
+        """There was no configuration yet."""
         self.reads.append(Read(0, (), called, now))
 
     def check(self) -> None:
--- a/otterreach/simulation/invariants.py
+++ b/otterreach/simulation/invariants.py
@@ -50,6 +50,7 @@
 
     def _noting(self, plain: Any) -> Any:
         def noted(*args: Any) -> Any:
+            """Set the mark that the checks are due."""
             self.world.changed = True
             return plain(*args)
 
@@ -60,7 +61,10 @@
         invariants = self
 
         def proposing(plain: Any) -> Any:
+            """The wrapped `propose`."""
+
             def propose(control: ControlReplication, changes: Any) -> Any:
+                """Propose, and record what is acknowledged."""
                 changes = list(changes)
                 future = plain(control, changes)
                 items = control.state.items
@@ -72,7 +76,10 @@
             return propose
 
         def becoming(plain: Any) -> Any:
+            """The wrapped `become_primary`."""
+
             def become_primary(control: ControlReplication, installed: Any) -> None:
+                """Become primary, and check that nothing acknowledged is missing."""
                 plain(control, installed)
                 if control.is_primary:
                     invariants.check_acknowledged(control)
@@ -88,6 +95,7 @@
                 self.acked_items[key] = max(self.acked_items.get(key, 0), revision)
 
     def controls(self) -> list[tuple[Box, ControlReplication]]:
+        """The living controllers."""
         return [(box, box.object.control) for box in self.world.of_role("core") if box.up and box.object]
 
     def leader(self) -> str:
@@ -182,6 +190,7 @@
         self._servers: dict[str, tuple[int, int]] = {}  # rev, rank
 
     def check(self, store: Any, history: History) -> None:
+        """The state has not gone back since the last look."""
         if store.revision == self._rev:
             return
         self._rev = store.revision
--- a/otterreach/simulation/job_proxy.py
+++ b/otterreach/simulation/job_proxy.py
@@ -35,6 +35,8 @@
 
 
 class Draw:
+    """What JobStoreDirectory uses of a proxy's draw."""
+
     def __init__(self, random: Random) -> None:
         self.random = random
 
@@ -49,6 +51,7 @@
 
 
 def text_of(job: str, item: str) -> str:
+    """The text that an item always gets."""
     return f"text of {job} {item}"
 
 
@@ -78,6 +81,7 @@
         node.endpoint.on(CancelJob, self._cancel)
 
     async def run(self) -> None:
+        """Run what is assigned; for ever."""
         spawn = self.node.endpoint.spawn
         spawn(self.directory.run())
         while True:
--- a/otterreach/simulation/jobs.py
+++ b/otterreach/simulation/jobs.py
@@ -34,6 +34,7 @@
 
 
 async def store_node(box: Box) -> None:
+    """Run a job store node."""
     node = box.new_node()
     journal = box.journal()
     records = journal.read()
@@ -75,7 +76,10 @@
         """The summary is dear: it is looked at when a copy may have changed."""
 
         def noting(plain: Any) -> Any:
+            """The wrapped method."""
+
             def noted(*args: Any) -> Any:
+                """Set the mark that the checks are due."""
                 self.world.changed = True
                 return plain(*args)
 
@@ -90,6 +94,7 @@
         """A submission that is acknowledged is on enough disks at that moment."""
 
         async def answered(requests: JobRequests, link: Any, ask: SubmitJob) -> Any:
+            """Answer, and check the disks if it is an acknowledgement."""
             reply = await plain(requests, link, ask)
             if isinstance(reply, Done):
                 self.members.check_copies(ask.job, "acknowledged with too few copies")
@@ -99,6 +104,7 @@
 
     def _lost(self, plain: Any) -> Any:
         def lost(box: Box, wipe: bool = False) -> None:
+            """Record when a disk was last lost."""
             if wipe and box.role == "store" and box.name not in self.members.leaving:
                 self.members.lost_disk_at = self.world.now
             plain(box, wipe)
@@ -144,10 +150,12 @@
         self.world.expect(not late, "runs what was ended", f"{' '.join(key)} at {box.name}")
 
     def item_assigned(self, job: str, item: str, body: bytes) -> None:
+        """A proxy got an item."""
         batch_job = self.batch_jobs.get(job)
         self.world.expect(batch_job and batch_job.items.get(item) == body, "other bytes", f"{job} {item}")
 
     def result_answered(self, key: tuple[str, str], reply: Any) -> None:
+        """A result of a proxy was acknowledged, or rejected for good."""
         batch_job = self.batch_jobs[key[0]]
         gone = isinstance(reply, Failure) and reply.code is Code.UNKNOWN_JOB
         in_force = batch_job.accepted_at and not batch_job.end_sent
@@ -158,6 +166,7 @@
     # The run -------------------------------------------------------------------------------------
 
     async def play(self) -> None:
+        """Start the world, carry the plan out, and check what is left at the end."""
         world = self.world
         for box in world.boxes.values():
             world.plainly(self.random.uniform(0.0, 0.3), box.start)
--- a/otterreach/simulation/linearizability.py
+++ b/otterreach/simulation/linearizability.py
@@ -18,6 +18,8 @@
 
 
 class Outcome(Enum):
+    """What a caller knows of its change."""
+
     UNCLEAR = "unclear"  # no answer, or one that tells nothing: may take effect at any later time, or never
     ACKNOWLEDGED = "acknowledged"
     REFUSED = "refused"  # another version was current: it never takes effect
@@ -123,6 +125,7 @@
     latest: list[float] = field(init=False)
 
     def fault(self) -> str:
+        """What does not fit into this order of changes; empty if all fits."""
         self.index = {0: 0} | {change.gen: n + 1 for n, change in enumerate(self.chain)}
         self.earliest = [-inf, *(change.called for change in self.chain)]
         self.latest = [inf, *(change.answered for change in self.chain)]
--- a/otterreach/simulation/loop.py
+++ b/otterreach/simulation/loop.py
@@ -36,9 +36,11 @@
         self.context.run(OWNER.set, self)
 
     def start(self, loop: VirtualLoop, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
+        """Start a task of this process."""
         return loop.create_task(work, context=self.context)
 
     def forget(self, task: asyncio.Task[Any]) -> None:
+        """A task is done."""
         self.tasks.pop(task, None)
 
     def kill(self) -> None:
@@ -47,6 +49,7 @@
         self.held.clear()
 
     def freeze(self) -> None:
+        """What becomes due waits."""
         self.frozen = True
 
     def thaw(self, loop: VirtualLoop, due: list[asyncio.Handle] | None = None) -> None:
@@ -85,9 +88,11 @@
         self._at_this_instant = 0
 
     def time(self) -> float:
+        """Virtual seconds."""
         return self.now
 
     def ready(self, handle: asyncio.Handle) -> None:
+        """Run a handle in the next turn."""
         self._ready.append(handle)  # type: ignore[attr-defined]
 
     def call_as(self, process: Process, callback: Callable[..., Any], *args: Any) -> None:
@@ -96,11 +101,13 @@
             self.call_soon(callback, *args, context=process.context)
 
     def call_soon(self, callback: Any, *args: Any, context: Context | None = None) -> asyncio.Handle:  # type: ignore[override]
+        """As asyncio's; after the end of the run nothing is scheduled."""
         if self.over:  # leftovers of dead processes are being collected
             return asyncio.Handle(callback, args, self, context)
         return super().call_soon(callback, *args, context=context)
 
     def call_at(self, when: float, callback: Any, *args: Any, context: Context | None = None) -> asyncio.TimerHandle:  # type: ignore[override]
+        """As asyncio's; after the end of the run nothing is scheduled."""
         if self.over:
             return asyncio.TimerHandle(when, callback, args, self, context)
         return super().call_at(when, callback, *args, context=context)
@@ -175,10 +182,13 @@
         pass
 
     async def create_connection(self, protocol_factory: Any, host: Any = None, port: Any = None, **_: Any) -> Any:
+        """Connect over the virtual network."""
         return await self.network.connect(OWNER.get(), protocol_factory, host, port)
 
     async def create_server(self, protocol_factory: Any, host: Any = None, port: Any = None, **_: Any) -> Any:
+        """Listen on the virtual network."""
         return self.network.listen(OWNER.get(), protocol_factory, host, port)
 
     def run_in_executor(self, executor: Any, func: Any, *args: Any) -> Any:  # type: ignore[override]
+        """There are no threads on virtual time."""
         raise NotImplementedError("threads have no place on virtual time")
--- a/otterreach/simulation/model_server.py
+++ b/otterreach/simulation/model_server.py
@@ -31,6 +31,7 @@
         self.last = (0, "", -1e9)  # fence, owner, when
 
     async def handle(self, request: http1.Request) -> Reply:
+        """Answer `/report` and `/order`, and check the fencing tokens."""
         now = self.world.now
         if request.headers.get(b"expect-server", self.ident.encode()) != self.ident.encode():
             return Reply(421)
--- a/otterreach/simulation/net.py
+++ b/otterreach/simulation/net.py
@@ -57,12 +57,15 @@
         self.open = True
 
     def close(self) -> None:
+        """Accept no more connections."""
         self.open = False
 
     def is_serving(self) -> bool:
+        """Whether it accepts connections."""
         return self.open
 
     async def wait_closed(self) -> None:
+        """It is closed at once."""
         pass
 
 
@@ -83,12 +86,15 @@
         self._context = Context()  # nobody's: kernels go on while processes stand still
 
     def later(self, seconds: float, callback: Callable[..., Any], *args: Any) -> None:
+        """Call back after a time, on behalf of the network itself."""
         self.loop.call_later(max(0.0, seconds), callback, *args, context=self._context)
 
     def machine(self, ip: str) -> Machine:
+        """The machine at an address, made if it is new."""
         return self.machines.setdefault(ip, Machine(ip))
 
     def delay(self, source: Machine, target: Machine) -> float:
+        """Draw how long a packet takes, in seconds."""
         more = self.slow.get(source.ip, 0.0) + self.slow.get(target.ip, 0.0)
         return self.random.uniform(*self.delay_s) + more
 
@@ -99,6 +105,7 @@
     # Faults --------------------------------------------------------------------------------------
 
     def cut(self, sources: list[str], targets: list[str], both_ways: bool = True) -> None:
+        """Drop all packets from some addresses to others."""
         for a in sources:
             for b in targets:
                 if a != b:
@@ -112,6 +119,7 @@
         self.again()
 
     def again(self) -> None:
+        """Send again what was held up."""
         stuck = self.stuck
         self.stuck = []
         for flow, chunk in stuck:
@@ -124,6 +132,7 @@
         machine.life += 1
 
     def power_on(self, ip: str) -> None:
+        """The machine can be reached again."""
         self.machine(ip).powered = True
         self.again()
 
@@ -135,6 +144,7 @@
                 transport.out.hold()
 
     def thaw(self, process: Process) -> None:
+        """The process runs again, with what has come meanwhile."""
         process.thaw(self.loop, in_any_order(process.held, self.random))
         self.again()
 
@@ -160,6 +170,7 @@
         """A reset travels from one end to the other, if it gets there."""
 
         def arrive() -> None:
+            """The reset is there."""
             if self.path(source.machine, target.machine) and not target.gone:
                 target.reset = True
                 target.lose(ConnectionResetError("reset by peer"))
@@ -170,6 +181,7 @@
     # Calls of the loop ---------------------------------------------------------------------------
 
     def listen(self, process: Process, factory: Callable[[], Any], host: str, port: int) -> Server:
+        """A process listens at an address."""
         address = (host, port or 30_000 + len(self.servers))
         old = self.servers.get(address)
         if old and old.open and not old.process.dead:
@@ -179,6 +191,7 @@
         return server
 
     async def connect(self, process: Process, factory: Callable[[], Any], host: str, port: int) -> Any:
+        """Connect a process to an address, as TCP would."""
         source = self.machine(process.address)
         target = self.machine(host)
         while True:
--- a/otterreach/simulation/operators.py
+++ b/otterreach/simulation/operators.py
@@ -64,6 +64,7 @@
         self.bases = [0]
 
     async def run(self) -> None:
+        """Send changes and reads until the run ends."""
         while not self.stopping():
             sent = self._draw()
             await self._send(sent)
--- a/otterreach/simulation/registration.py
+++ b/otterreach/simulation/registration.py
@@ -54,6 +54,7 @@
         self.stopping = stopping
 
     async def run(self) -> None:
+        """Register one server after the other at this address."""
         count = 0
         while not self.stopping():
             count += 1
--- a/otterreach/simulation/small_checks.py
+++ b/otterreach/simulation/small_checks.py
@@ -35,6 +35,7 @@
         self.failure: InvariantViolationError | None = None
 
     def expect(self, holds: Any, rule: str, what: str) -> None:
+        """Record the first invariant that does not hold."""
         if not holds and self.failure is None:
             self.failure = InvariantViolationError(rule, what)
 
--- a/otterreach/simulation/small_model.py
+++ b/otterreach/simulation/small_model.py
@@ -57,6 +57,7 @@
 
     @property
     def failure(self) -> InvariantViolationError | None:
+        """The invariant that was violated, if one was."""
         return self.checks.failure
 
     def end(self) -> None:
@@ -71,6 +72,7 @@
             self.checks.expect(False, "unhandled", f"{context.get('message')}: {context.get('exception')!r}")
 
     def at(self, address: str) -> Member:
+        """The member that listens at this address."""
         return next(m for m in self.members if m.settings.address == address)
 
     # Messages ------------------------------------------------------------------------------------
@@ -82,6 +84,7 @@
         self.order.append(("deliver", message.ident))
 
     def request(self, call: Call, value: Any) -> None:
+        """Put a request into the network."""
         caller = call.caller
         target = call.target
         caller.note("calls", target.name, target.life)
@@ -175,6 +178,7 @@
         return events
 
     def step(self, event: Event) -> None:
+        """Let one event happen, then check all invariants."""
         kind = event[0]
         name = event[1]
         if kind in ("deliver", "sync"):
--- a/otterreach/simulation/small_parts.py
+++ b/otterreach/simulation/small_parts.py
@@ -49,10 +49,12 @@
     """Runs only what is ready; timers belong to members, and fire when the search says so."""
 
     def time(self) -> float:
+        """The clock of the member that runs."""
         owner = OWNER.get()
         return owner.clock if isinstance(owner, Member) else 0.0
 
     def call_at(self, when: float, callback: Any, *args: Any, context: Any = None) -> asyncio.TimerHandle:  # type: ignore[override]
+        """A timer of the member that runs; it fires when the model says so."""
         timer = asyncio.TimerHandle(when, callback, args, self, context or copy_context())
         owner = OWNER.get()
         if isinstance(owner, Member) and not self.over:
@@ -104,9 +106,11 @@
         self._waiting: list[asyncio.Future[bool]] = []
 
     def append(self, kind: int, payload: bytes) -> None:
+        """Take a record."""
         self.pending.append((kind, payload))
 
     async def sync(self) -> bool:
+        """Wait for the event that puts it on the disk."""
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._waiting.append(future)
         if not self.syncing:
@@ -137,6 +141,7 @@
         """None is ever under way."""
 
     async def rewrite(self, live: Callable[[], Iterable[Entry]]) -> bool:
+        """Never called here."""
         raise NotImplementedError("a small model's journal never gets long")
 
 
@@ -149,15 +154,19 @@
         self.links: set[Any] = set()
 
     def on(self, kind: type, handler: Any) -> None:
+        """Register a handler."""
         self.handlers[kind] = handler
 
     def spawn(self, work: Any) -> asyncio.Task[Any]:
+        """Run work of this member."""
         return asyncio.ensure_future(work)
 
     def linked(self, address: str) -> None:
-        return None
+        """There are no connections here."""
+        return
 
     async def call(self, address: str, value: Any, timeout_s: float) -> Any:
+        """Put a request into the model, and wait for its reply or the time-out."""
         member = self.member
         model = self.member.model
         target = model.at(address)
@@ -191,6 +200,7 @@
 
 @cache
 def settings_of(name: str, number: int, survive: int) -> Settings:
+    """The settings of a member."""
     ip = f"10.{number % 3 + 1}.0.{number + 1}"
     raw = {
         "node": name,
@@ -258,6 +268,7 @@
         self.journal: ModelJournal
 
     def note(self, *what: Any) -> None:
+        """Add an event to the history, by which states are told apart."""
         self.history = hash((self.history, what))
 
     def run(self, work: Callable[..., Any], *args: Any) -> None:
@@ -288,10 +299,12 @@
             self.journal.pending = []
 
     def due(self) -> asyncio.TimerHandle | None:
+        """The timer that fires next."""
         self.timers = [t for t in self.timers if not t.cancelled()]
         return min(self.timers, key=lambda t: t.when(), default=None)
 
     def fire(self, timer: asyncio.TimerHandle) -> None:
+        """Let a timer fire."""
         self.timers.remove(timer)
         self.clock = max(self.clock, timer.when())
         self.model.loop.ready(timer)
--- a/otterreach/simulation/transport.py
+++ b/otterreach/simulation/transport.py
@@ -19,6 +19,8 @@
 
 @dataclass(slots=True, eq=False)
 class Chunk:
+    """Bytes on their way."""
+
     data: bytes | None  # None: the end of what is sent
     sent_at: float
     delivered: bool = False
@@ -67,6 +69,7 @@
         self._watching = False
 
     def send(self, data: bytes | None) -> None:
+        """Bytes leave this end."""
         net = self.network
         chunk = Chunk(data, net.loop.time())
         self.chunks.append(chunk)
@@ -111,6 +114,7 @@
             chunk.held = chunk.held or not chunk.delivered and self.network.loop.time() - chunk.sent_at < HOLD_S
 
     def again(self, chunk: Chunk) -> None:
+        """Send a chunk again that was held up."""
         if chunk.held and not self.source.process.frozen:
             chunk.held, chunk.sent_at = False, self.network.loop.time()
         self._schedule(chunk, self.network.random.uniform(0.0, RETRANSMIT_S))
@@ -131,6 +135,7 @@
 
     @property
     def size(self) -> int:
+        """Bytes that have not arrived yet."""
         return sum(len(c.data) for c in self.chunks if c.data is not None and not c.delivered)
 
 
@@ -145,19 +150,24 @@
         self.transport = transport
 
     def setsockopt(self, *_: Any) -> None:
+        """Options change nothing here."""
         pass
 
     def fileno(self) -> int:
+        """A descriptor that is never readable."""
         return QUIET
 
     def shutdown(self, _: int) -> None:
+        """End this side."""
         if self.transport is not None:
             self.transport.write_eof()
 
     def getsockname(self) -> tuple[str, int]:
+        """The own address."""
         return self.address
 
     def getpeername(self) -> tuple[str, int]:
+        """The other address."""
         return self.address
 
 
@@ -195,6 +205,7 @@
         self.protocol.connection_made(self)
 
     def arrived(self, data: bytes | None) -> None:
+        """Bytes have come, or the end (None)."""
         self.network.loop.call_as(self.process, self._take, data)
 
     def _take(self, data: bytes | None) -> None:
@@ -221,26 +232,32 @@
             self.protocol.connection_lost(error)
 
     def write(self, data: Any) -> None:
+        """Send bytes."""
         if data and not self.closing and not self.process.dead:
             self.out.send(bytes(data))
 
     def writelines(self, list_of_data: Any) -> None:
+        """Send bytes."""
         self.write(b"".join(list_of_data))
 
     def write_eof(self) -> None:
+        """End this side."""
         if not self.closing:
             self.out.send(None)
 
     def can_write_eof(self) -> bool:
+        """Always, as with TCP."""
         return True
 
     def close(self) -> None:
+        """Close after what was written has been sent."""
         if not self.closing:
             self.out.send(None)
             self.closing = True
             self.lose(None)
 
     def abort(self) -> None:
+        """Close with a reset."""
         if not self.lost or not self.reset:
             self.reset = True
             self.closing = True
@@ -248,24 +265,30 @@
             self.lose(None)
 
     def is_closing(self) -> bool:
+        """Whether it is closed or closing."""
         return self.closing
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
+        """The socket and both addresses."""
         own = (self.machine.ip, 40_000)
         other = (self.out.target.machine.ip, 40_001)
         known = {"socket": Socket(own, self), "sockname": own, "peername": other}
         return known.get(name, default)
 
     def get_write_buffer_size(self) -> int:
+        """Bytes that have not arrived yet."""
         return self.out.size
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
+        """Buffers have no limit here."""
         pass
 
     def pause_reading(self) -> None:
+        """Keep what comes."""
         self._paused = True
 
     def resume_reading(self) -> None:
+        """Hand over what came meanwhile."""
         self._paused = False
         unread = self._unread
         self._unread = []
@@ -273,10 +296,13 @@
             self.network.loop.call_as(self.process, self._take, data)
 
     def is_reading(self) -> bool:
+        """Whether reading is not paused."""
         return not self._paused
 
     def get_protocol(self) -> Any:
+        """The protocol of this end."""
         return self.protocol
 
     def set_protocol(self, protocol: Any) -> None:
+        """Replace the protocol of this end."""
         self.protocol = protocol
--- a/otterreach/simulation/world.py
+++ b/otterreach/simulation/world.py
@@ -57,13 +57,16 @@
 
     @property
     def up(self) -> bool:
+        """Whether its process is there, frozen or not."""
         return self.process is not None and not self.process.dead
 
     @property
     def runs(self) -> bool:
+        """Whether its process is there and not frozen."""
         return self.up and self.process is not None and not self.process.frozen
 
     def settings(self) -> Settings:
+        """The settings of its process."""
         raw = {
             "node": self.name,
             "machine": self.role,
@@ -86,14 +89,17 @@
         return settings.read(raw)
 
     def journal(self) -> VirtualJournal:
+        """A journal on its disk."""
         return VirtualJournal(self.disk)
 
     def new_node(self) -> Node:
+        """The node of a new incarnation."""
         random = Random(zlib.crc32(f"{self.world.seed} {self.name} {self.lives}".encode()))
         self.node = Node(self.settings(), Endpoint(), random)
         return self.node
 
     def start(self) -> None:
+        """Start the process, unless it runs or the power is off."""
         if self.up or not self.world.net.machine(self.ip).powered:
             return
         self.lives += 1
@@ -133,6 +139,7 @@
             self.world.loop.call_as(self.process, self.node.stopping.set)
 
     def power_off(self, wipe: bool = False) -> None:
+        """Lose the power, and the disk as well if `wipe`."""
         self.world.net.power_off(self.ip)
         self.kill()
         self.disk.power_lost()
@@ -140,15 +147,18 @@
             self.disk.wipe()
 
     def power_on(self) -> None:
+        """Power comes back, and the process is started."""
         self.world.net.power_on(self.ip)
         self.start()
 
     def freeze(self, late: bool = False) -> None:
+        """The process stands still; `late`: right before what it just sent leaves."""
         if self.process and not self.process.dead:
             self.world.changed = True
             self.world.net.freeze(self.process, late)
 
     def thaw(self) -> None:
+        """The process runs again."""
         if self.process and self.process.frozen:
             self.world.changed = True
             self.world.net.thaw(self.process)
@@ -193,10 +203,12 @@
         return box
 
     def of_role(self, role: str) -> list[Box]:
+        """The machines of a role."""
         return [box for box in self.boxes.values() if box.role == role]
 
     @property
     def now(self) -> float:
+        """Virtual seconds since the start."""
         return self.loop.time()
 
     def plainly(self, seconds: float, callback: Callable[..., Any], *args: Any) -> None:
@@ -204,11 +216,13 @@
         self.net.later(seconds, callback, *args)
 
     def broken(self, failure: InvariantViolationError) -> None:
+        """Record the first failure; it ends the run."""
         if self.failure is None:
             self.failure = failure
             self.lines.append(f"{self.now:9.3f} BROKEN {failure}")
 
     def expect(self, holds: Any, rule: str, what: str) -> None:
+        """Fail the run if this does not hold."""
         if not holds:
             self.broken(InvariantViolationError(rule, what))
 
@@ -237,6 +251,7 @@
         """Play it. `failure` has what went wrong, if anything did."""
 
         async def guarded() -> None:
+            """The work, until it is done or something fails."""
             task = Process("judge", "10.9.9.9").start(self.loop, work())
             while not task.done() and self.failure is None:
                 await asyncio.wait([task], timeout=0.25)
@@ -315,6 +330,7 @@
         self.world = world
 
     def log(self, level: str, _: str, line: str) -> None:
+        """A line of the log; some end the run."""
         owner = OWNER.get()
         text = line.partition(" ")[2]
         name = owner.name if owner else "-"
