--- a/otterreach/controller/config_patch.py
+++ b/otterreach/controller/config_patch.py
@@ -1,4 +1,7 @@
-"""Applies a PATCH of the configuration: items are removed, added or replaced by name."""
+"""Applies a PATCH of the configuration: items are removed, added or replaced by name.
+
+It works on the JSON as it came, for fields that are not known here have to be kept.
+"""
 
 from __future__ import annotations
 
--- a/otterreach/runtime/settings.py
+++ b/otterreach/runtime/settings.py
@@ -78,6 +78,7 @@
 
 def _bounds(row: Reader) -> Bounds:
     def ms(key: str, default: float) -> float:
+        """A bound in seconds, which the file has in milliseconds."""
         return row.number(key, default) / 1000
 
     return Bounds(
--- a/otterreach/runtime/store.py
+++ b/otterreach/runtime/store.py
@@ -65,7 +65,10 @@
 
 
 class ReplicatedStore:
-    """Items in; each change is passed to the watchers of its kind."""
+    """Items in; each change is passed to the watchers of its kind.
+
+    More than 20 methods: items, digests and tombstones change together, so that none can be changed without the others.
+    """
 
     def __init__(self) -> None:
         self.items: dict[str, Item] = {}
