--- a/otterreach/loadtest/callers.py
+++ b/otterreach/loadtest/callers.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from otterreach.cli.caller import ask
+from otterreach.loadtest.ground_truth import body_of
 from otterreach.loadtest.latency import Latencies
-from otterreach.loadtest.ledger import body_of
 from otterreach.loadtest.plan import HOST, Clients, configuration
 from otterreach.loadtest.scene import Scene
 from otterreach.runtime.codes import Failure
@@ -115,7 +115,7 @@
             return answer.code.name.lower()
         if not 200 <= answer.status < 300:
             return str(answer.status)
-        sealed = self.scene.ledger.seals.get(answer.headers.get(b"reply-seal", b"").decode("latin-1"))
+        sealed = self.scene.ground_truth.seals.get(answer.headers.get(b"reply-seal", b"").decode("latin-1"))
         if sealed is None or sealed.request != ident or answer.body != body_of(ident, body):
             self.faults.append(f"{self.row.route}: {ident} was answered with what is not its server's answer")
             return "wrong"
--- a/otterreach/loadtest/engine.py
+++ b/otterreach/loadtest/engine.py
@@ -30,7 +30,7 @@
 class Why(Enum):
     """Why a run ended without its last event."""
 
-    TURNED_AWAY = "turned away"  # it has not run
+    REFUSED = "turned away"  # it has not run
     RESET = "reset"
 
 
@@ -289,7 +289,7 @@
             return
         for run in self._of(order):
             if not run.begun:
-                self._end(run, Why.TURNED_AWAY, outcomes)
+                self._end(run, Why.REFUSED, outcomes)
             elif order.method == "trim":
                 self._end(run, Why.RESET, outcomes)
             elif order.method == "retain" and run.stage is not Stage.WAITING:
--- a/otterreach/loadtest/engine_server.py
+++ b/otterreach/loadtest/engine_server.py
@@ -10,7 +10,7 @@
 
 from otterreach.loadtest.connection import Connection
 from otterreach.loadtest.engine import Ask, End, Engine, Event, Run, Why
-from otterreach.loadtest.ledger import Made, Ordered, event_data
+from otterreach.loadtest.ground_truth import Made, Ordered, event_data
 from otterreach.loadtest.server import Server
 from otterreach.sidecar import http1
 
@@ -58,7 +58,7 @@
             order = {}
             status = HTTPStatus.BAD_REQUEST
         ordered = Ordered(self.ident, str(order.get("owner")), order.get("fence") or 0, status, self.scene.now())
-        self.scene.ledger.orders.append(ordered)
+        self.scene.ground_truth.orders.append(ordered)
         connection.respond(status)
         self._wake()
 
@@ -66,19 +66,19 @@
         """A request for tokens."""
         ident = connection.header(b"request-id")
         if is_never(request):
-            self.scene.ledger.never.add(ident)
+            self.scene.ground_truth.never.add(ident)
             self.began(ident)
             connection.respond(HTTPStatus.UNPROCESSABLE_ENTITY)
             return
         if self.fails():
-            self.scene.ledger.failures[ident] += 1
+            self.scene.ground_truth.failures[ident] += 1
             self.began(ident)
             connection.respond(HTTPStatus.INTERNAL_SERVER_ERROR)
             return
         ask = read_ask(ident, connection.header)
         run = self.engine.submit(ask) if ask else HTTPStatus.BAD_REQUEST
         if isinstance(run, int):
-            self.turn_away(connection, run)
+            self.refuse(connection, run)
             return
         self._runs += 1
         self.streams[run] = (connection, f"{self.ident}.{self._runs}")
@@ -115,16 +115,16 @@
             return
         connection, name = self.streams[event.run]
         ask = event.run.ask
-        ledger = self.scene.ledger
+        ground_truth = self.scene.ground_truth
         now = self.scene.now()
-        if name not in ledger.runs:
-            ledger.runs[name] = Made(ask.id, ask.after, self.spec.name)
+        if name not in ground_truth.runs:
+            ground_truth.runs[name] = Made(ask.id, ask.after, self.spec.name)
             self.began(ask.id)
             stamp = self.seal(ask.id, b"", now)
             connection.begin(
                 (("Content-Type", "text/event-stream"), ("Reply-Seal", stamp), ("Weight-Versions", str(event.version)))
             )
-        ledger.runs[name].last_at = now
+        ground_truth.runs[name].last_at = now
         first = f"weight-versions: {event.version}\n" if event.changed else ""
         connection.event(f"{first}id: {event.ident}\ndata: {event_data(ask.id, event.ident, event.version, name)}\n\n")
         if event.last:
@@ -135,8 +135,8 @@
         found = self.streams.pop(end.run, None)
         if found is None:
             return
-        if end.why is Why.TURNED_AWAY:
-            self.turn_away(found[0], HTTPStatus.SERVICE_UNAVAILABLE)
+        if end.why is Why.REFUSED:
+            self.refuse(found[0], HTTPStatus.SERVICE_UNAVAILABLE)
         else:
             found[0].abort()
 
--- a/otterreach/loadtest/ledger.py
+++ b/otterreach/loadtest/ground_truth.py
@@ -81,7 +81,7 @@
 
 
 @dataclass(slots=True)
-class Ledger:
+class GroundTruth:
     """What the stand-ins did, for the check of what the system said."""
 
     runs: dict[str, Made] = field(default_factory=dict)
@@ -89,6 +89,6 @@
     seals: dict[str, Sealed] = field(default_factory=dict)
     failures: Counter[str] = field(default_factory=Counter)  # answers of 500, by request
     never: set[str] = field(default_factory=set)  # answered 422
-    turned_away: int = 0
+    refused_count: int = 0
     after_leave: list[str] = field(default_factory=list)  # requests at a server that had left the list
     orders: list[Ordered] = field(default_factory=list)
--- a/otterreach/loadtest/plain_server.py
+++ b/otterreach/loadtest/plain_server.py
@@ -7,7 +7,7 @@
 from http import HTTPStatus
 
 from otterreach.loadtest.connection import Connection
-from otterreach.loadtest.ledger import body_of
+from otterreach.loadtest.ground_truth import body_of
 from otterreach.loadtest.server import Server
 from otterreach.sidecar import http1
 
@@ -50,7 +50,7 @@
         elif len(self.queued) < self.spec.queue:
             self.queued.append(call)
         else:
-            self.turn_away(connection, HTTPStatus.SERVICE_UNAVAILABLE)
+            self.refuse(connection, HTTPStatus.SERVICE_UNAVAILABLE)
 
     def _start(self, call: _Call) -> None:
         self.working.add(call)
@@ -70,7 +70,7 @@
         if late:
             call.connection.respond(HTTPStatus.GATEWAY_TIMEOUT)
         elif self.fails():
-            self.scene.ledger.failures[call.ident] += 1
+            self.scene.ground_truth.failures[call.ident] += 1
             call.connection.respond(HTTPStatus.INTERNAL_SERVER_ERROR)
         else:
             body = body_of(call.ident, call.body)
@@ -80,7 +80,7 @@
         while self.queued and len(self.working) < self.spec.cap:
             call = self.queued.popleft()
             if self.scene.now() > call.deadline:
-                self.turn_away(call.connection, HTTPStatus.SERVICE_UNAVAILABLE)
+                self.refuse(call.connection, HTTPStatus.SERVICE_UNAVAILABLE)
             else:
                 self._start(call)
 
--- a/otterreach/loadtest/play.py
+++ b/otterreach/loadtest/play.py
@@ -69,7 +69,7 @@
             Caller([m.ctl for m in self.system.of("core")], random),
             self.loop.time,
             random,
-            tell=self.tell,
+            print_line=self.print_line,
         )
         self.servers = [
             make_server(self.scene, spec, n, f"{net}.{SERVERS_NET + kind}.{n + 1}", plan.zones[n % len(plan.zones)])
@@ -80,7 +80,7 @@
         self.played = Played(plan, seconds=seconds, machines=self.system.machines)
         self._beside: set[asyncio.Task[None]] = set()
 
-    def tell(self, line: str) -> None:
+    def print_line(self, line: str) -> None:
         """Print a line of the play, if it is not quiet."""
         if not self.quiet:
             print(f"{self.loop.time() - self.begun:6.1f} s  {line}", flush=True)
@@ -108,17 +108,17 @@
 
     async def _open(self) -> bool:
         names = ", ".join(f"{len(self.system.of(kind))} {kind}" for kind in ("core", "store", "front"))
-        self.tell(f"starting {len(self.system.machines)} machines ({names}) and {len(self.servers)} servers")
+        self.print_line(f"starting {len(self.system.machines)} machines ({names}) and {len(self.servers)} servers")
         await self.system.start_all()
         settings = self.system.machines[0].file
-        self.tell(f"to inspect it meanwhile: python3 -m otterreach.cli owners --settings {settings}")
+        self.print_line(f"to inspect it meanwhile: python3 -m otterreach.cli owners --settings {settings}")
         for server in self.servers:
             await server.start()
         self._spawn(self.scene.entry.watch())
         if not await self.operator.put(START_S):
             self.played.faults.append("the first configuration is never taken")
             return False
-        self.tell(f"configuration {self.operator.sent['gen']} taken")
+        self.print_line(f"configuration {self.operator.sent['gen']} taken")
         end = self.loop.time() + START_S
         while self.scene.entry.ready < len(self.scene.entry.fronts):
             if self.loop.time() > end:
@@ -126,7 +126,7 @@
                 return False
             await asyncio.sleep(POLL_S)
         self.played.started_s = self.loop.time() - self.begun
-        self.tell("all fronts are ready: traffic begins")
+        self.print_line("all fronts are ready: traffic begins")
         return True
 
     async def _traffic(self) -> None:
@@ -138,7 +138,7 @@
         troubles = [self._spawn(self._fault(fault)) for fault in self.plan.fault if fault.at < self.seconds]
         await asyncio.sleep(self.seconds)
         self.scene.stopping = True
-        self.tell("traffic ends: what is open is brought to its end")
+        self.print_line("traffic ends: what is open is brought to its end")
         if parts or troubles:
             await asyncio.wait([*parts, *troubles])
 
@@ -146,7 +146,7 @@
 
     async def _fault(self, fault: Fault) -> None:
         await asyncio.sleep(fault.at)
-        self.tell(f"trouble: {fault.kind} {fault.target}")
+        self.print_line(f"trouble: {fault.kind} {fault.target}")
         machine = self.system.named(fault.target)
         server = next((s for s in self.servers if s.name == fault.target), None)
         if machine:
@@ -154,7 +154,7 @@
         elif server:
             await self._server_fault(server, fault)
         else:
-            self.tell(f"nobody is called {fault.target}")
+            self.print_line(f"nobody is called {fault.target}")
 
     async def _machine_fault(self, machine: Machine, fault: Fault) -> None:
         if fault.kind == "freeze":
@@ -191,22 +191,22 @@
         for trainer in self.played.trainers:
             await asyncio.gather(*(trainer.read_all(job, KEPT_S) for job in trainer.jobs if job.accepted_at))
         for job in jobs:
-            faults += check_job(job, self.plan, scene.ledger)
+            faults += check_job(job, self.plan, scene.ground_truth)
         engines = {s.name for s in self.plan.service if s.kind == "engine"}
-        faults += check_runs(jobs, engines, scene.ledger, scene.seconds("cancelMs"))
+        faults += check_runs(jobs, engines, scene.ground_truth, scene.seconds("cancelMs"))
         for part in self.played.callers:
-            faults += check_mutating(part.sent, scene.ledger)
-        faults += [*scene.ledger.after_leave, *check_orders(scene.ledger, scene.seconds("leaseMs"))]
+            faults += check_mutating(part.sent, scene.ground_truth)
+        faults += [*scene.ground_truth.after_leave, *check_orders(scene.ground_truth, scene.seconds("leaseMs"))]
         faults += [f"{m.name} ended by itself" for m in self.system.machines if m.ends]
-        ledger = scene.ledger
+        ground_truth = scene.ground_truth
         self.played.counts = {
             **scene.counts,
-            "runs at servers": len(ledger.ran),
-            "turned away": ledger.turned_away,
-            "orders taken": sum(order.status == 202 for order in ledger.orders),
+            "runs at servers": len(ground_truth.ran),
+            "turned away": ground_truth.refused_count,
+            "orders taken": sum(order.status == 202 for order in ground_truth.orders),
             "batch jobs": len(jobs),
         }
-        self.tell(
+        self.print_line(
             f"checked {len(jobs)} batch jobs, {sum(len(job.rows) for job in jobs)} results: "
             f"{len(faults) or 'no'} faults"
         )
@@ -221,4 +221,4 @@
         await self.system.stop_all()
         left = [m.name for m in self.system.machines if m.running]
         still = f"; still there: {left}" if left else ""
-        self.tell(f"stopped everything in {time.monotonic() - began:.1f} s{still}")
+        self.print_line(f"stopped everything in {time.monotonic() - began:.1f} s{still}")
--- a/otterreach/loadtest/scene.py
+++ b/otterreach/loadtest/scene.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from otterreach.cli.caller import Caller, ask
-from otterreach.loadtest.ledger import Ledger
+from otterreach.loadtest.ground_truth import GroundTruth
 from otterreach.loadtest.plan import Plan
 from otterreach.runtime.codes import Failure
 
@@ -70,11 +70,11 @@
     ctl: Caller
     now: Callable[[], float]
     random: Random
-    ledger: Ledger = field(default_factory=Ledger)
+    ground_truth: GroundTruth = field(default_factory=GroundTruth)
     versions: dict[str, int] = field(default_factory=dict)  # the newest that a trainer has named, by model
     counts: Counter[str] = field(default_factory=Counter)
     stopping: bool = False
-    tell: Callable[[str], None] = lambda _: None
+    print_line: Callable[[str], None] = lambda _: None
 
     def ident(self, prefix: str = "") -> str:
         """A new id, 16 hex digits."""
--- a/otterreach/loadtest/server.py
+++ b/otterreach/loadtest/server.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from otterreach.loadtest.connection import Connection, Pairs
-from otterreach.loadtest.ledger import Ran, Sealed
+from otterreach.loadtest.ground_truth import Ran, Sealed
 from otterreach.loadtest.plan import Service
 from otterreach.loadtest.scene import Scene
 from otterreach.runtime.codes import Failure
@@ -68,7 +68,7 @@
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(lambda: Connection(self), self.ip, PORT, reuse_address=True)
         self._change("up")
-        self._heart = asyncio.ensure_future(self._beat())
+        self._heart = asyncio.ensure_future(self._send_heartbeat())
 
     def fresh(self) -> None:
         """State of a new incarnation."""
@@ -120,7 +120,7 @@
         await self.scene.ctl.call("DELETE", f"/servers/{self.ident}", within_s=2.0)
         self.stop()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeat(self) -> None:
         while True:
             if not self.dark:
                 await self._register(HEARTBEAT_WITHIN_S)
@@ -189,13 +189,13 @@
     def began(self, request_id: str) -> None:
         """Record that a request runs."""
         now = self.scene.now()
-        self.scene.ledger.ran.append(Ran(request_id, self.spec.name, now))
+        self.scene.ground_truth.ran.append(Ran(request_id, self.spec.name, now))
         if now > self.left_at + SLACK_S:
-            self.scene.ledger.after_leave.append(f"{request_id} reached {self.name} after it had left")
+            self.scene.ground_truth.after_leave.append(f"{request_id} reached {self.name} after it had left")
 
-    def turn_away(self, connection: Connection, status: int) -> None:
+    def refuse(self, connection: Connection, status: int) -> None:
         """Refuse a request that has not run."""
-        self.scene.ledger.turned_away += 1
+        self.scene.ground_truth.refused_count += 1
         more = (("Server-Id", self.ident),) if status == HTTPStatus.MISDIRECTED_REQUEST else ()
         connection.respond(status, NOT_RUN + more)
 
@@ -203,7 +203,7 @@
         """A new seal of an answer, recorded with what it seals."""
         self._sealed += 1
         stamp = f"{self._sealed:x}.{zlib.crc32(f'{self.ident} {request_id}'.encode()):08x}"
-        self.scene.ledger.seals[stamp] = Sealed(request_id, body, came_at)
+        self.scene.ground_truth.seals[stamp] = Sealed(request_id, body, came_at)
         return stamp
 
     def fails(self) -> bool:
--- a/otterreach/loadtest/trainer.py
+++ b/otterreach/loadtest/trainer.py
@@ -203,11 +203,11 @@
     async def _step(self, job: BatchJob) -> None:
         scene = self.scene
         if not await self._submit(job):
-            scene.tell(f"batch job {job.id}: not taken")
+            scene.print_line(f"batch job {job.id}: not taken")
             return
         took = job.accepted_at - job.sent_at
         self.accepts.add(took)
-        scene.tell(
+        scene.print_line(
             f"batch job {job.id} (step {job.step}): {len(job.items)} items in {len(job.groups)} groups, "
             f"taken after {took * 1000:.0f} ms"
         )
@@ -215,7 +215,7 @@
         await self._end(job)
         for took in job.group_times.values():
             self.groups.add(took)
-        scene.tell(
+        scene.print_line(
             f"batch job {job.id} (step {job.step}): {job.whole()} groups whole, {len(job.rows)} of "
             f"{len(job.items)} results read after {scene.now() - job.sent_at:.2f} s"
         )
@@ -311,7 +311,7 @@
         answer = await self.scene.ctl.call("POST", "/version-put", body, headers, 10.0)
         taken = not isinstance(answer, Failure) and 200 <= answer.status < 300
         self.scene.counts["versions" if taken else "versions not recorded"] += 1
-        self.scene.tell(f"version {gen} of {self.row.model} named")
+        self.scene.print_line(f"version {gen} of {self.row.model} named")
 
     async def read_all(self, job: BatchJob, within_s: float) -> None:
         """After traffic: from the start, page by page, as far as results were ever listed."""
--- a/otterreach/loadtest/verify.py
+++ b/otterreach/loadtest/verify.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-from otterreach.loadtest.ledger import Ledger, Line, Ordered, mark, read_line
+from otterreach.loadtest.ground_truth import GroundTruth, Line, Ordered, mark, read_line
 from otterreach.loadtest.plan import Plan
 from otterreach.loadtest.trainer import BatchJob, Item
 
@@ -27,10 +27,10 @@
     return found
 
 
-def check_joins(item: Item, lines: list[Line], ledger: Ledger) -> str:
+def check_joins(item: Item, lines: list[Line], ground_truth: GroundTruth) -> str:
     """A text is one run, or goes on after event n with a run that was asked to."""
     for before, line in zip([None, *lines], lines, strict=False):
-        made = ledger.runs.get(line.run)
+        made = ground_truth.runs.get(line.run)
         if made is None or made.request != item.id:
             return f"event {line.ident} is of no run of this item"
         if (before is None or before.run != line.run) and made.after != line.ident - 1:
@@ -49,48 +49,52 @@
     return f"versions {made} in one text" if job.route.single and len(made) > 1 else ""
 
 
-def check_score(item: Item, row: dict[str, Any], lines: list[Line], ledger: Ledger) -> str:
+def check_score(item: Item, row: dict[str, Any], lines: list[Line], ground_truth: GroundTruth) -> str:
     """What is wrong with the score of a result."""
-    sealed = ledger.seals.get(str(row.get("score") or ""))
+    sealed = ground_truth.seals.get(str(row.get("score") or ""))
     if sealed is None or sealed.request != item.scorer:
         return f"score {row.get('score')!r} is no stamp of its reward call"
-    last_at = max(ledger.runs[line.run].last_at for line in lines[-1:])
+    last_at = max(ground_truth.runs[line.run].last_at for line in lines[-1:])
     return "its reward call came before its text was whole" if sealed.came_at < last_at - SLACK_S else ""
 
 
-def check_done(job: BatchJob, item: Item, row: dict[str, Any], stride: int, ledger: Ledger) -> str:
+def check_done(job: BatchJob, item: Item, row: dict[str, Any], stride: int, ground_truth: GroundTruth) -> str:
     """What is wrong with a result that is `done`; nothing if all is right."""
     lines = check_text(item, str(row.get("text", "")), stride)
     if isinstance(lines, str):
         return lines
-    return check_joins(item, lines, ledger) or check_versions(job, row, lines) or check_score(item, row, lines, ledger)
+    return (
+        check_joins(item, lines, ground_truth)
+        or check_versions(job, row, lines)
+        or check_score(item, row, lines, ground_truth)
+    )
 
 
-def check_errored(job: BatchJob, item: Item, ledger: Ledger) -> str:
+def check_errored(job: BatchJob, item: Item, ground_truth: GroundTruth) -> str:
     """Whether there is one of the reasons that allow it."""
-    failures = max(ledger.failures[item.id], ledger.failures[item.scorer])
-    reason = item.id in ledger.never or failures >= job.route.tries or job.end_sent_at > 0
+    failures = max(ground_truth.failures[item.id], ground_truth.failures[item.scorer])
+    reason = item.id in ground_truth.never or failures >= job.route.tries or job.end_sent_at > 0
     return "" if reason else f"errored after {failures} failures"
 
 
-def check_job(job: BatchJob, plan: Plan, ledger: Ledger) -> list[str]:
+def check_job(job: BatchJob, plan: Plan, ground_truth: GroundTruth) -> list[str]:
     """All that is wrong with a batch job."""
     stride = plan.service_named(job.route.service).stride
     faults = list(job.faults)
     for row in job.rows:
         item = job.items[row["id"]]
         if row.get("state") == "done":
-            fault = check_done(job, item, row, stride, ledger)
+            fault = check_done(job, item, row, stride, ground_truth)
         else:
-            fault = check_errored(job, item, ledger)
+            fault = check_errored(job, item, ground_truth)
         if fault:
             faults.append(f"{item.id}: {fault}")
     return [f"batch job {job.id}: {fault}" for fault in faults]
 
 
-def check_mutating(sent: dict[str, bool], ledger: Ledger) -> Iterator[str]:
+def check_mutating(sent: dict[str, bool], ground_truth: GroundTruth) -> Iterator[str]:
     """What may run once has not run twice, nor after a refusal. `sent`: by id, whether it was refused."""
-    counts = Counter(ran.request for ran in ledger.ran)
+    counts = Counter(ran.request for ran in ground_truth.ran)
     for ident, refused in sent.items():
         if counts[ident] > 1:
             yield f"{ident} ran {counts[ident]} times"
@@ -98,10 +102,10 @@
             yield f"{ident} was refused, and ran"
 
 
-def check_orders(ledger: Ledger, lease_s: float) -> Iterator[str]:
+def check_orders(ground_truth: GroundTruth, lease_s: float) -> Iterator[str]:
     """Orders to one server have one holder at a time, under a fence that never falls."""
     last: dict[str, Ordered] = {}
-    for order in ledger.orders:
+    for order in ground_truth.orders:
         before = last.get(order.server)
         last[order.server] = order
         if before is None:
@@ -125,10 +129,10 @@
     return spans
 
 
-def check_runs(jobs: list[BatchJob], rollout: set[str], ledger: Ledger, cancel_s: float) -> Iterator[str]:
+def check_runs(jobs: list[BatchJob], rollout: set[str], ground_truth: GroundTruth, cancel_s: float) -> Iterator[str]:
     """Nothing runs that nobody sent, that was refused, or long after its end. `rollout`: services of batch jobs."""
     spans = _spans(jobs, cancel_s)
-    for ran in ledger.ran:
+    for ran in ground_truth.ran:
         allowed = spans.get(ran.request)
         if allowed is None:
             if ran.service in rollout:
--- a/otterreach/scaletest/hollow.py
+++ b/otterreach/scaletest/hollow.py
@@ -1,7 +1,7 @@
 """Hollow processes: many sidecars, or many servers, in one process.
 
 A hollow front has the real node (relay, store, announcements, heartbeats) and pings job store nodes as a proxy does; it
-takes no requests. A hollow server only sends its heartbeats over HTTP. What they see they tell as JSON lines on
+takes no requests. A hollow server only sends its heartbeats over HTTP. They print what they observe as JSON lines on
 standard output; orders come as lines on standard input.
 """
 
@@ -27,13 +27,13 @@
 from otterreach.runtime.store import Item, ReplicatedStore
 from otterreach.scaletest.size import registration, server_id
 
-Tell = Callable[[dict[str, Any]], None]
-BEAT_TIMEOUT_S = 1.0
+Emit = Callable[[dict[str, Any]], None]
+HEARTBEAT_TIMEOUT_S = 1.0
 NEW_VERSION = b'"gen": 2'
 DRAINING = b'"state": "draining"'
 
 
-def tell(event: dict[str, Any]) -> None:
+def emit(event: dict[str, Any]) -> None:
     """One line; the steady clock is the same in all processes of a machine."""
     sys.stdout.write(json.dumps(event | {"t": time.monotonic()}) + "\n")
     sys.stdout.flush()
@@ -42,10 +42,10 @@
 class FollowerView:
     """What a follower has in force, told as it changes."""
 
-    def __init__(self, name: str, store: ReplicatedStore, servers: int, members: int, tell: Tell) -> None:
+    def __init__(self, name: str, store: ReplicatedStore, servers: int, members: int, emit: Emit) -> None:
         self.name = name
         self.store = store
-        self.tell = tell
+        self.emit = emit
         self._want = {"server": servers, "member": members}
         self._have: dict[str, set[str]] = {"server": set(), "member": set()}
         self._new: set[str] = set()
@@ -56,25 +56,25 @@
 
     def _config(self, item: Item) -> None:
         record = self.store.record(ConfigurationRecord)
-        self.tell({"event": "config", "node": self.name, "gen": record.version if record else 0})
+        self.emit({"event": "config", "node": self.name, "gen": record.version if record else 0})
 
     def _server(self, item: Item) -> None:
         self._count("server", item)
         if DRAINING in item.value:
-            self.tell({"event": "drain", "node": self.name, "server": item.key.partition("/")[2]})
+            self.emit({"event": "drain", "node": self.name, "server": item.key.partition("/")[2]})
         if NEW_VERSION in item.value and item.key not in self._new:
             self._new.add(item.key)
             if len(self._new) == self._want["server"]:
-                self.tell({"event": "version", "node": self.name})
+                self.emit({"event": "version", "node": self.name})
 
     def _member(self, item: Item) -> None:
         self._count("member", item)
 
     def _count(self, kind: str, item: Item) -> None:
         self._have[kind].add(item.key)
-        if not self._full and all(len(self._have[k]) >= n for k, n in self._want.items()):
+        if not self._full and all(len(self._have[k]) >= number for k, number in self._want.items()):
             self._full = True
-            self.tell({"event": "full", "node": self.name})
+            self.emit({"event": "full", "node": self.name})
 
 
 class Front:
@@ -82,7 +82,7 @@
 
     def __init__(self, settings: Settings, servers: int, members: int, random: Random) -> None:
         self.node = Node(settings, Endpoint(), random)
-        self.sight = FollowerView(settings.node, self.node.store, servers, members, tell)
+        self.view = FollowerView(settings.node, self.node.store, servers, members, emit)
         self._stores: dict[str, str] = {}
         self.node.store.watch(MemberRecord, self._member)
 
@@ -119,10 +119,10 @@
 class Server:
     """A hollow server: heartbeats at a controller, the next one after a failure."""
 
-    def __init__(self, n: int, controllers: list[str], beat_s: float, gap_s: float, random: Random) -> None:
-        self.n = n
+    def __init__(self, number: int, controllers: list[str], heartbeat_s: float, gap_s: float, random: Random) -> None:
+        self.number = number
         self.controllers = controllers
-        self.beat_s = beat_s
+        self.heartbeat_s = heartbeat_s
         self.gap_s = gap_s
         self.random = random
         self.client = JsonClient()
@@ -134,39 +134,39 @@
 
     async def run(self) -> None:
         """Send heartbeats; for ever."""
-        await asyncio.sleep(self.n * self.gap_s + self.random.random() * self.beat_s)
+        await asyncio.sleep(self.number * self.gap_s + self.random.random() * self.heartbeat_s)
         while True:
             self.soon.clear()
-            await self._beat()
+            await self._send_heartbeat()
             try:
-                async with asyncio.timeout(self.beat_s * (0.9 + 0.2 * self.random.random())):
+                async with asyncio.timeout(self.heartbeat_s * (0.9 + 0.2 * self.random.random())):
                     await self.soon.wait()
             except TimeoutError:
                 pass
 
-    async def _beat(self) -> None:
+    async def _send_heartbeat(self) -> None:
         self.calls += 1
-        body = json.dumps(registration(self.n, self.calls, self.state, self.gen)).encode()
+        body = json.dumps(registration(self.number, self.calls, self.state, self.gen)).encode()
         for _ in self.controllers:
             address = self.controllers[self.place % len(self.controllers)]
-            path = f"/servers/{server_id(self.n)}"
-            reply = await self.client.call(address, "PUT", path, body, BEAT_TIMEOUT_S)
+            path = f"/servers/{server_id(self.number)}"
+            reply = await self.client.call(address, "PUT", path, body, HEARTBEAT_TIMEOUT_S)
             status = getattr(reply, "status", 0)
             if status == 200:
                 return
-            tell({"event": "beat_failed", "server": self.n, "status": status})
+            emit({"event": "beat_failed", "server": self.number, "status": status})
             self.place += 1
 
 
 def obey(servers: dict[int, Server], order: dict[str, Any], later: Callable[[float, Callable[[], None]], Any]) -> None:
     """An order of the run: drain some servers now, or bring all to version 2 over some seconds."""
     if order["order"] == "drain":
-        for n in set(order["servers"]) & set(servers):
-            servers[n].state = "draining"
-            servers[n].soon.set()
+        for number in set(order["servers"]) & set(servers):
+            servers[number].state = "draining"
+            servers[number].soon.set()
     elif order["order"] == "version":
-        for n, server in servers.items():
-            later(order["over_s"] * n / order["count"], partial(_raise, server))
+        for number, server in servers.items():
+            later(order["over_s"] * number / order["count"], partial(_raise, server))
 
 
 def _raise(server: Server) -> None:
@@ -189,15 +189,15 @@
     for front in keep:
         await front.run()
         await asyncio.sleep(gap_s)
-    tell({"event": "started", "count": len(keep)})
+    emit({"event": "started", "count": len(keep)})
     async for _ in lines():
         pass
 
 
-async def servers(numbers: range, controllers: list[str], beat_s: float, gap_s: float) -> None:
+async def servers(numbers: range, controllers: list[str], heartbeat_s: float, gap_s: float) -> None:
     """Until standard input ends. `gap_s`: between the starts of two servers of the run."""
     loop = asyncio.get_running_loop()
-    all_servers = {n: Server(n, controllers, beat_s, gap_s, Random(n)) for n in numbers}
+    all_servers = {number: Server(number, controllers, heartbeat_s, gap_s, Random(number)) for number in numbers}
     tasks = [asyncio.ensure_future(server.run()) for server in all_servers.values()]
     async for order in lines():
         obey(all_servers, order, loop.call_later)
--- a/tests/loadtest/test_checks.py
+++ b/tests/loadtest/test_checks.py
@@ -17,8 +17,8 @@
 from otterreach.loadtest import report, verify
 from otterreach.loadtest.callers import Tally
 from otterreach.loadtest.engine_server import EngineServer, read_ask
+from otterreach.loadtest.ground_truth import GroundTruth, Made, Ordered, Ran, Sealed, event_data, read_line
 from otterreach.loadtest.latency import Latencies
-from otterreach.loadtest.ledger import Ledger, Made, Ordered, Ran, Sealed, event_data, read_line
 from otterreach.loadtest.machines import System
 from otterreach.loadtest.plain_server import PlainServer
 from otterreach.loadtest.plan import PLANS, Plan, configuration, load, read
@@ -57,15 +57,15 @@
         part = TrainerPart(self.scene, self.plan.trainer[0], 0.0)
         self.job = part._draw()
         self.job.accepted_at = 1.0
-        self.ledger = Ledger()
+        self.ground_truth = GroundTruth()
         for n, ident in enumerate(self.job.items):
             self.serve(ident, f"s.{n}")
 
     def serve(self, ident: str, run: str, version: int = 1) -> None:
         item = self.job.items[ident]
-        self.ledger.runs[run] = Made(ident, 0, "reader", 2.0)
-        self.ledger.ran += [Ran(ident, "reader", 1.5), Ran(item.scorer, "marker", 2.1)]
-        self.ledger.seals[f"seal {ident}"] = Sealed(item.scorer, b"", 2.1)
+        self.ground_truth.runs[run] = Made(ident, 0, "reader", 2.0)
+        self.ground_truth.ran += [Ran(ident, "reader", 1.5), Ran(item.scorer, "marker", 2.1)]
+        self.ground_truth.seals[f"seal {ident}"] = Sealed(item.scorer, b"", 2.1)
         text = "\n".join(event_data(ident, n, version, run) for n in range(1, 11))
         row = {"id": ident, "state": "done", "text": text, "versions": [version], "score": f"seal {ident}"}
         self.give(len(self.job.rows), [row])
@@ -75,7 +75,7 @@
         self.job.take(past, json.dumps(answer).encode(), 3.0)
 
     def faults(self) -> list[str]:
-        return verify.check_job(self.job, self.plan, self.ledger)
+        return verify.check_job(self.job, self.plan, self.ground_truth)
 
     def assert_fault(self, text: str) -> None:
         self.assertTrue(any(text in fault for fault in self.faults()), f"{text!r} not in {self.faults()}")
@@ -85,7 +85,7 @@
     def test_right(self) -> None:
         self.assertEqual(self.faults(), [])
         self.assertEqual(self.job.whole(), len(self.job.groups))
-        self.assertEqual(list(verify.check_runs([self.job], {"reader"}, self.ledger, 3.0)), [])
+        self.assertEqual(list(verify.check_runs([self.job], {"reader"}, self.ground_truth, 3.0)), [])
 
     def test_read_again_from_the_start(self) -> None:
         self.give(0, list(self.job.rows))
@@ -103,11 +103,11 @@
     def test_pieces_of_two_runs(self) -> None:
         row = self.job.rows[0]
         lines = row["text"].split("\n")
-        self.ledger.runs["other"] = Made(row["id"], 3, "reader", 2.0)
+        self.ground_truth.runs["other"] = Made(row["id"], 3, "reader", 2.0)
         lines[5:] = [event_data(row["id"], n, 1, "other") for n in range(6, 11)]
         row["text"] = "\n".join(lines)
         self.assert_fault("joins on a run that was asked to go on after 3")
-        self.ledger.runs["other"].after = 5
+        self.ground_truth.runs["other"].after = 5
         self.assertEqual(self.faults(), [])
 
     def test_versions(self) -> None:
@@ -124,14 +124,14 @@
 
     def test_score_before_the_text(self) -> None:
         ident = self.job.rows[0]["id"]
-        self.ledger.seals[f"seal {ident}"] = Sealed(self.job.items[ident].scorer, b"", 1.0)
+        self.ground_truth.seals[f"seal {ident}"] = Sealed(self.job.items[ident].scorer, b"", 1.0)
         self.assert_fault("before its text was whole")
 
     def test_errored_without_a_reason(self) -> None:
         ident = self.job.rows[0]["id"]
         self.job.rows[0] = {"id": ident, "state": "errored", "text": ""}
         self.assert_fault("errored after 0 failures")
-        self.ledger.failures[ident] = 3
+        self.ground_truth.failures[ident] = 3
         self.assertEqual(self.faults(), [])
 
     def test_a_position_changes(self) -> None:
@@ -154,11 +154,11 @@
 
     def test_runs_late_refused_or_unasked(self) -> None:
         def found() -> list[str]:
-            return list(verify.check_runs([self.job], {"reader"}, self.ledger, 3.0))
+            return list(verify.check_runs([self.job], {"reader"}, self.ground_truth, 3.0))
 
-        self.ledger.ran.append(Ran("nobody", "reader", 5.0))
+        self.ground_truth.ran.append(Ran("nobody", "reader", 5.0))
         self.assertIn("nobody sent it", found()[0])
-        self.ledger.ran[-1] = Ran(self.job.rows[0]["id"], "reader", 9.0)
+        self.ground_truth.ran[-1] = Ran(self.job.rows[0]["id"], "reader", 9.0)
         self.job.ended_at = 5.0
         self.assertIn("refused or ended", found()[0])
         self.job.ended_at, self.job.accepted_at = 0.0, 0.0
@@ -166,8 +166,8 @@
 
     def test_orders_have_one_holder_and_a_fence_that_never_falls(self) -> None:
         def found(*rows: tuple[str, int, float]) -> list[str]:
-            self.ledger.orders = [Ordered("i-1", owner, fence, 202, at) for owner, fence, at in rows]
-            return list(verify.check_orders(self.ledger, 3.0))
+            self.ground_truth.orders = [Ordered("i-1", owner, fence, 202, at) for owner, fence, at in rows]
+            return list(verify.check_orders(self.ground_truth, 3.0))
 
         self.assertEqual(found(("a", 1, 1.0), ("a", 1, 1.1), ("b", 2, 5.0), ("b", 3, 5.1)), [])
         self.assertIn("under fence 1 after 2", found(("a", 2, 1.0), ("a", 1, 2.0))[0])
@@ -175,10 +175,10 @@
         self.assertIn("within 1.0 s", found(("a", 2, 1.0), ("b", 3, 2.0))[0])
 
     def test_mutating_requests_run_once_and_not_after_a_refusal(self) -> None:
-        self.ledger.ran += [Ran("a", "marker", 1.0), Ran("b", "marker", 1.0), Ran("b", "marker", 2.0)]
-        found = list(verify.check_mutating({"a": False, "b": False, "c": True}, self.ledger))
+        self.ground_truth.ran += [Ran("a", "marker", 1.0), Ran("b", "marker", 1.0), Ran("b", "marker", 2.0)]
+        found = list(verify.check_mutating({"a": False, "b": False, "c": True}, self.ground_truth))
         self.assertEqual(found, ["b ran 2 times"])
-        self.assertEqual(list(verify.check_mutating({"a": True}, self.ledger)), ["a was refused, and ran"])
+        self.assertEqual(list(verify.check_mutating({"a": True}, self.ground_truth)), ["a was refused, and ran"])
 
     def test_groups_that_were_not_whole_come_first_again(self) -> None:
         part = TrainerPart(self.scene, self.plan.trainer[0], 0.0)
@@ -190,7 +190,7 @@
         self.assertEqual(len({first.items[i].group for i in shared}), first.wanted // 2)
 
 
-class LedgerTest(unittest.TestCase):
+class GroundTruthTest(unittest.TestCase):
     def test_lines(self) -> None:
         line = read_line(event_data("item", 3, 7, "i-1.2"))
         assert line
@@ -314,7 +314,7 @@
                 texts = [row[6:] for row in answer.body.decode().split("\n") if row.startswith("data: ")]
                 self.assertEqual([read_line(t).ident for t in texts], [1, 2])  # type: ignore[union-attr]
                 self.assertEqual(answer.headers[b"weight-versions"], b"1")
-                self.assertIn(answer.headers[b"reply-seal"].decode(), place.ledger.seals)
+                self.assertIn(answer.headers[b"reply-seal"].decode(), place.ground_truth.seals)
                 await self.refusals(server, headers)
             finally:
                 server.stop()
--- a/tests/loadtest/test_engine.py
+++ b/tests/loadtest/test_engine.py
@@ -211,7 +211,7 @@
         one.take_order(order())
         self.assertEqual(one.submit(ask("r")), 503)
         outcomes = one.tick(TICK_S)
-        self.assertEqual(outcomes, [End(queued, Why.TURNED_AWAY)])  # type: ignore[arg-type]
+        self.assertEqual(outcomes, [End(queued, Why.REFUSED)])  # type: ignore[arg-type]
 
     def test_it_drops_what_was_kept(self) -> None:
         one = engine(read_per_ms=1.0)
