--- a/otterreach/scaletest/meter.py
+++ b/otterreach/scaletest/meter.py
@@ -16,7 +16,7 @@
 from otterreach.runtime import http, rpc
 from otterreach.runtime.codec import REGISTRY, encode
 
-TELL_S = 0.5
+WRITE_INTERVAL_S = 0.5
 VARIABLE = "OTTERREACH_METER"  # the file to write; a process without it is not counted
 
 counts: Counter[str] = Counter()
@@ -78,14 +78,14 @@
         (http, "_CallerConnection", CountedCaller),
     ):
         setattr(module, attribute, counted)
-    threading.Thread(target=_tell, args=(Path(name),), daemon=True).start()
+    threading.Thread(target=_write_counts, args=(Path(name),), daemon=True).start()
 
 
-def _tell(path: Path) -> None:
+def _write_counts(path: Path) -> None:
     with path.open("a", encoding="utf-8") as file:
         while True:
             print(line(time.monotonic(), Counter(counts)), file=file, flush=True)
-            time.sleep(TELL_S)
+            time.sleep(WRITE_INTERVAL_S)
 
 
 def _nearest(rows: list[dict[str, Any]], at: float) -> dict[str, Any]:
--- a/otterreach/simulation/invariants.py
+++ b/otterreach/simulation/invariants.py
@@ -120,7 +120,7 @@
     def _check_copies(self) -> None:
         for box in self.world.boxes.values():
             if box.up and box.node is not None:
-                seen = self._copies.setdefault((box.name, box.lives), _ObservedReplica(box.name, self.world))
+                seen = self._copies.setdefault((box.name, box.incarnations), _ObservedReplica(box.name, self.world))
                 seen.check(box.node.store, self.history)
 
     def check_acknowledged(self, control: ControlReplication) -> None:
--- a/otterreach/simulation/loop.py
+++ b/otterreach/simulation/loop.py
@@ -28,7 +28,7 @@
         self.address = address
         self.frozen = False
         self.dead = False
-        self.held: list[asyncio.Handle] = []
+        self.deferred: list[asyncio.Handle] = []
         # All tasks that are not done. A dead process' are kept to the end of the run: collected, they would run their
         # `finally` blocks on somebody else's time.
         self.tasks: dict[asyncio.Task[Any], None] = {}
@@ -46,7 +46,7 @@
     def kill(self) -> None:
         """It stops between two callbacks and never runs again."""
         self.dead = True
-        self.held.clear()
+        self.deferred.clear()
 
     def freeze(self) -> None:
         """What becomes due waits."""
@@ -55,9 +55,9 @@
     def thaw(self, loop: VirtualLoop, due: list[asyncio.Handle] | None = None) -> None:
         """What has become due meanwhile runs now: `due`, or all in the order in which it became due."""
         self.frozen = False
-        held = self.held
-        self.held = []
-        for handle in held if due is None else due:
+        deferred = self.deferred
+        self.deferred = []
+        for handle in deferred if due is None else due:
             loop.ready(handle)
 
 
@@ -145,7 +145,7 @@
         if owner is not None and owner.dead:
             return
         if owner is not None and owner.frozen:
-            owner.held.append(handle)
+            owner.deferred.append(handle)
             return
         self.steps += 1
         self._at_this_instant += 1
--- a/otterreach/simulation/net.py
+++ b/otterreach/simulation/net.py
@@ -19,7 +19,7 @@
 SYN_AGAIN_S = 1.0
 
 
-def in_any_order(held: list[asyncio.Handle], random: Random) -> list[asyncio.Handle]:
+def in_any_order(deferred: list[asyncio.Handle], random: Random) -> list[asyncio.Handle]:
     """What a process that stood still does first.
 
     What had become ready before, then what came on its connections, in order on each but not among them, then its
@@ -28,7 +28,7 @@
     ready: list[asyncio.Handle] = []
     timers: list[asyncio.Handle] = []
     arrived: dict[Transport, deque[asyncio.Handle]] = {}
-    for handle in held:
+    for handle in deferred:
         transport = getattr(handle._callback, "__self__", None)  # type: ignore[attr-defined]
         if isinstance(handle, asyncio.TimerHandle):
             timers.append(handle)
@@ -129,7 +129,7 @@
         """The machine goes dark: its kernel forgets all connections, nobody is told."""
         machine = self.machine(ip)
         machine.powered = False
-        machine.life += 1
+        machine.incarnation += 1
 
     def power_on(self, ip: str) -> None:
         """The machine can be reached again."""
@@ -145,7 +145,7 @@
 
     def thaw(self, process: Process) -> None:
         """The process runs again, with what has come meanwhile."""
-        process.thaw(self.loop, in_any_order(process.held, self.random))
+        process.thaw(self.loop, in_any_order(process.deferred, self.random))
         self.again()
 
     def process_ended(self, process: Process) -> None:
@@ -208,8 +208,8 @@
     def _join(self, process: Process, factory: Callable[[], Any], server: Server) -> Any:
         source = self.machine(process.address)
         target = self.machine(server.process.address)
-        near = Transport(self, source, process, source.life)
-        far = Transport(self, target, server.process, target.life)
+        near = Transport(self, source, process, source.incarnation)
+        far = Transport(self, target, server.process, target.incarnation)
         near.out = Flow(self, near, far)
         far.out = Flow(self, far, near)
         self.transports = [t for t in self.transports if not t.lost]
--- a/otterreach/simulation/small_checks.py
+++ b/otterreach/simulation/small_checks.py
@@ -39,7 +39,7 @@
         if not holds and self.failure is None:
             self.failure = InvariantViolationError(rule, what)
 
-    def life_begins(self, member: Member) -> None:
+    def incarnation_begins(self, member: Member) -> None:
         """A member that comes back goes on from what it has said."""
         control = member.control
         said = self.seen.promised.get(control.id, 0)
@@ -71,10 +71,10 @@
         highest = None
         for member in members:
             control = member.control
-            life = (control.id, member.life)
-            last = self.seen.number.get(life, 0)
+            incarnation = (control.id, member.incarnation)
+            last = self.seen.number.get(incarnation, 0)
             self.expect(control.number >= last, "epoch falls", f"{control.id}: {control.number} after {last}")
-            self.seen.number[life] = control.number
+            self.seen.number[incarnation] = control.number
             if control.mode is Mode.CANDIDATE:
                 self._stands(control)
             if control.is_primary:
--- a/otterreach/simulation/small_model.py
+++ b/otterreach/simulation/small_model.py
@@ -87,10 +87,10 @@
         """Put a request into the network."""
         caller = call.caller
         target = call.target
-        caller.note("calls", target.name, target.life)
+        caller.note("calls", target.name, target.incarnation)
         self.calls.append(call)
         number = str(caller.connection.get(target.name, 0))
-        channel = (caller.name, str(call.caller_life), target.name, str(call.target_life), number)
+        channel = (caller.name, str(call.caller_incarnation), target.name, str(call.target_incarnation), number)
         self._put(call, caller, ("to", *channel), lambda: target.run(self._serve, call, value, channel))
 
     def _serve(self, call: Call, value: Any, channel: tuple[str, ...]) -> None:
--- a/otterreach/simulation/small_parts.py
+++ b/otterreach/simulation/small_parts.py
@@ -87,9 +87,9 @@
     """A request without its answer yet."""
 
     caller: Member
-    caller_life: int
+    caller_incarnation: int
     target: Member
-    target_life: int
+    target_incarnation: int
     future: asyncio.Future[Any]
 
 
@@ -172,7 +172,7 @@
         target = model.at(address)
         loop = asyncio.get_running_loop()
         future: asyncio.Future[Any] = loop.create_future()
-        call = Call(member, member.life, target, target.life, future)
+        call = Call(member, member.incarnation, target, target.incarnation, future)
         model.request(call, value)
         timer = loop.call_later(timeout_s, member.expire, call)
         try:
@@ -224,10 +224,10 @@
     return settings.read(raw)
 
 
-class LifeChecks(Protocol):
+class IncarnationChecks(Protocol):
     """The invariants that are told when a member begins a life."""
 
-    def life_begins(self, member: Member) -> None:
+    def incarnation_begins(self, member: Member) -> None:
         """Take what the member loaded as the state that it has to keep."""
 
 
@@ -239,7 +239,7 @@
     order: list[Event]
 
     @property
-    def checks(self) -> LifeChecks:
+    def checks(self) -> IncarnationChecks:
         """The invariants of this run."""
 
     def at(self, address: str) -> Member:
@@ -260,7 +260,7 @@
         self.clock = 0.0
         self.timers: list[asyncio.TimerHandle] = []
         self.disk: list[Entry] = []
-        self.life = 0
+        self.incarnation = 0
         self.history = 0  # a hash over all its events
         self.sent = 0
         self.connection: dict[str, int] = {}  # by target: rises after a time-out, which opens another one
@@ -281,7 +281,7 @@
         self.dead = False
         self.timers = []
         self.clock = self.clock + 10.0
-        self.life += 1
+        self.incarnation += 1
         self.context = copy_context()
         self.context.run(OWNER.set, self)
         self.run(self._load)
@@ -293,7 +293,7 @@
         journal: Any = self.journal
         self.control = ControlReplication(self.settings, endpoint, journal, follower, Random(self.number))
         self.control.load(list(self.disk))
-        self.model.checks.life_begins(self)
+        self.model.checks.incarnation_begins(self)
         if self.journal.pending:  # a new id lasts before anything is answered
             self.disk += self.journal.pending
             self.journal.pending = []
--- a/otterreach/simulation/transport.py
+++ b/otterreach/simulation/transport.py
@@ -34,7 +34,7 @@
         self.ip = ip
         self.zone = zone
         self.powered = True
-        self.life = 0
+        self.incarnation = 0
 
 
 class Medium(Protocol):
@@ -174,12 +174,12 @@
 class Transport(asyncio.Transport):
     """One end of a connection."""
 
-    def __init__(self, network: Medium, machine: Machine, process: Process, life: int) -> None:
+    def __init__(self, network: Medium, machine: Machine, process: Process, incarnation: int) -> None:
         super().__init__()
         self.network = network
         self.machine = machine
         self.process = process
-        self.life = life
+        self.incarnation = incarnation
         self.protocol: Any = None
         self.out: Flow
         self.lost = False  # connection_lost has been called or is on its way
@@ -192,12 +192,12 @@
     @property
     def gone(self) -> bool:
         """Whether nobody is there any more to take bytes."""
-        return self.lost or self.process.dead or self.life != self.machine.life
+        return self.lost or self.process.dead or self.incarnation != self.machine.incarnation
 
     @property
     def can_send(self) -> bool:
         """Whether the kernel of this end still has what it was to send."""
-        return self.life == self.machine.life and self.machine.powered
+        return self.incarnation == self.machine.incarnation and self.machine.powered
 
     def accept(self, factory: Callable[[], Any]) -> None:
         """Begin to serve: make the protocol of this end and tell it so."""
--- a/otterreach/simulation/world.py
+++ b/otterreach/simulation/world.py
@@ -49,7 +49,7 @@
         self.main = main
         self.disk = Disk(world.random)
         self.process: Process | None = None
-        self.lives = 0
+        self.incarnations = 0
         self.first = True
         self.node: Node | None = None
         self.object: Any = None  # what the role put together
@@ -94,7 +94,7 @@
 
     def new_node(self) -> Node:
         """The node of a new incarnation."""
-        random = Random(zlib.crc32(f"{self.world.seed} {self.name} {self.lives}".encode()))
+        random = Random(zlib.crc32(f"{self.world.seed} {self.name} {self.incarnations}".encode()))
         self.node = Node(self.settings(), Endpoint(), random)
         return self.node
 
@@ -102,7 +102,7 @@
         """Start the process, unless it runs or the power is off."""
         if self.up or not self.world.net.machine(self.ip).powered:
             return
-        self.lives += 1
+        self.incarnations += 1
         self.world.changed = True
         process = self.process = Process(self.name, self.ip)
         self.world.processes.append(process)
--- a/tests/controller/controller_world.py
+++ b/tests/controller/controller_world.py
@@ -38,7 +38,7 @@
 
     async def _controller(self, box: Box) -> None:
         settings = replace(box.settings(), **self.survive)  # type: ignore[arg-type]
-        random = Random(zlib.crc32(f"{self.world.seed} {box.name} {box.lives}".encode()))
+        random = Random(zlib.crc32(f"{self.world.seed} {box.name} {box.incarnations}".encode()))
         box.node = Node(settings, Endpoint(), random)
         journal = box.journal()
         records = journal.read()
