--- a/otterreach/balancer/interface.py
+++ b/otterreach/balancer/interface.py
@@ -35,6 +35,7 @@
     MOOT = 7
 
 
+MAX_FACTOR = 1e9  # of a settings' number without a unit: its product with a time stays a time
 MAX_OBSERVATIONS = 36  # in one message between sidecars, on the wire 7 bytes each of 256
 NEVER_RAN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.MOOT))
 
@@ -123,31 +124,31 @@
             classes=classes,
             zone=root.integer("zone", 0),
             attempts_cap=allowed.positive("attempts-cap"),
-            drain_grace_ns=rules.integer("drain-grace-ns"),
+            drain_grace_ns=rules.duration("drain-grace-ns"),
             cold_ns=rules.positive("cold-ns"),
-            start_capacity=rules.number("start-capacity"),
-            fall_multiple=rules.number("fall-multiple"),
+            start_capacity=rules.factor("start-capacity", most=1.0),
+            fall_multiple=rules.factor("fall-multiple"),
             fall_ns=rules.positive("fall-ns"),
             fleet_size=max(1, root.integer("fleet-size", 1)),
             self_index=root.integer("self-index", 0),
-            answer_slack_ns=rules.integer("answer-slack-ns", 0),
-            order_settle_ns=rules.integer("order-settle-ns", 0),
-            ask_within_ns=rules.integer("ask-within-ns", 10_000_000_000),
-            resolution_ns=root.integer("resolution-ns", 1_000_000),
+            answer_slack_ns=rules.duration("answer-slack-ns", 0),
+            order_settle_ns=rules.duration("order-settle-ns", 0),
+            ask_within_ns=rules.duration("ask-within-ns", 10_000_000_000),
+            resolution_ns=root.duration("resolution-ns", 1_000_000),
             may_duplicate=allowed.flag("may-duplicate"),
             may_cancel=allowed.flag("cancel"),
             may_probe=allowed.flag("probes"),
             may_message=allowed.flag("peers"),
-            connect_timeout_ns=allowed.integer("connect-timeout-ns", 0),
+            connect_timeout_ns=allowed.duration("connect-timeout-ns", 0),
             discovery=root.text("discovery", "push"),
             report_how=report.text("how", "silent"),
             report_columns=tuple(str(c) for c in report.items("columns")),
             warm_keys=family.flag("warm-keys"),
             tenants=tuple(
-                Tenant(t.number("share", 1.0), t.number("quota-per-s", 0.0))
+                Tenant(t.factor("share", 1.0), t.factor("quota-per-s", 0.0))
                 for t in root.children("tenants", required=False)
             ),
-            price_cross_zone=prices.number("cross-zone", 0.0),
+            price_cross_zone=prices.factor("cross-zone", 0.0),
         )
 
 
@@ -183,10 +184,24 @@
             raise SettingsError(f"setting {self._path}{key}: {value} is not above 0")
         return value
 
+    def duration(self, key: str, default: int | None = None) -> int:
+        """A time of 0 or more."""
+        value = self.integer(key, default)
+        if value < 0:
+            raise SettingsError(f"setting {self._path}{key}: {value} is below 0")
+        return value
+
     def number(self, key: str, default: float | None = None) -> float:
         """A finite number."""
         return float(self._get(key, (int, float), default))
 
+    def factor(self, key: str, default: float | None = None, most: float = MAX_FACTOR) -> float:
+        """A number from 0 to `most`."""
+        value = self.number(key, default)
+        if not 0 <= value <= most:
+            raise SettingsError(f"setting {self._path}{key}: {value} is not between 0 and {most:g}")
+        return value
+
     def text(self, key: str, default: str | None = None) -> str:
         """A string."""
         return str(self._get(key, (str,), default))
@@ -217,12 +232,12 @@
         target_ns=row.positive("target-ns"),
         deadline_ns=row.positive("deadline-ns"),
         effect=Effect(effect),
-        worth=row.number("worth", 1.0),
-        late_worth=row.number("late-worth", 0.0),
+        worth=row.factor("worth", 1.0),
+        late_worth=row.factor("late-worth", 0.0),
         dedup_scope=row.text("dedup-scope", "all"),
-        dedup_window_ns=row.integer("dedup-window-ns", 0),
+        dedup_window_ns=row.duration("dedup-window-ns", 0),
         stream=row.flag("stream"),
-        aim_stretch=row.number("aim-stretch", 0.0),
+        aim_stretch=row.factor("aim-stretch", 0.0),
         in_order=row.flag("in-order"),
     )
 
--- a/otterreach/balancer/routing.py
+++ b/otterreach/balancer/routing.py
@@ -21,6 +21,7 @@
 CLASS_MEMORY = 8  # an endpoint's answers in one class are rarer, and remembered that much longer
 PRICE_WAIT = 20.0  # a price of a whole request's worth weighs like waiting this many targets
 KEY_AFFINITY = 0.6  # odds of the endpoint likely to have met a key, against those of all others together
+MIN_WARM_SHARE = 1e-6  # an endpoint that starts this moment may have no capacity at all, and is divided by
 COLD_SHARE = 0.6  # part of the cold allowance planned for: traffic is uneven, estimates are rough
 
 
@@ -104,7 +105,7 @@
         guaranteed = settings.start_capacity + (1 - settings.start_capacity) * age / settings.cold_ns
         # Proof opens the whole allowance in place of the part planned for, and never more.
         shown = min(1.0, 1 / endpoint.proven_slowdown, guaranteed / COLD_SHARE)
-        endpoint.warm_share = max(guaranteed, shown)
+        endpoint.warm_share = max(guaranteed, shown, MIN_WARM_SHARE)
 
     def _endpoint_of_key(self, key: int, candidates: list[Endpoint]) -> Endpoint | None:
         """The endpoint at which all sidecars of a zone gather a key, by highest-random-weight hashing."""
