--- a/otterreach/proxy/draw.py
+++ b/otterreach/proxy/draw.py
@@ -14,6 +14,7 @@
 from random import Random
 
 from otterreach.balancer.draw import draw
+from otterreach.proxy.policy import IN_SERVICE, Policy
 
 ALPHA = 0.3  # weight of a new response time: the source finds one sample enough, so a short memory
 FAIL_ALPHA = 0.5
@@ -79,8 +80,9 @@
 class Draw:
     """The estimates' arithmetic and the draw. `proxies`: how many there are, this one included."""
 
-    def __init__(self, random: Random) -> None:
+    def __init__(self, random: Random, policy: Policy = IN_SERVICE) -> None:
         self.random = random
+        self.policy = policy
         self.proxies = 1
         self._typical_s: dict[str, float] = {}  # route -> seconds
 
@@ -114,13 +116,17 @@
 
         `proxies`: that send there, if not all.
         """
-        is_known = [e.slowness for e in estimates if e.is_known]
-        mean = sum(is_known) / len(is_known) if is_known else 1.0
+        known = [e.slowness for e in estimates if e.is_known]
+        mean = sum(known) / len(known) if known else 1.0
         proxies = proxies or self.proxies
-        return [(e.load_now(now, proxies) + 1) * self._slowness_now(e, mean, now) for e in estimates]
+        return [self._load(e, now, proxies) * self._slowness_now(e, mean, now) for e in estimates]
+
+    def _load(self, estimate: Estimate, now: float, proxies: int) -> float:
+        """L_i + 1."""
+        return estimate.load_now(now, proxies) + 1 if self.policy.load_in_draw else 1.0
 
     def _slowness_now(self, estimate: Estimate, mean: float, now: float) -> float:
-        if not estimate.is_known:
+        if not estimate.is_known or not self.policy.response_time_in_draw:
             return mean
         return mean + (estimate.slowness - mean) * exp2((estimate.updated_at - now) / estimate.half_life_s)
 
@@ -129,7 +135,7 @@
     ) -> int:
         """The place of the one drawn; there must be one. `without_idle`: those with no idle connection at hand."""
         odds = [1 / w for w in self.expected(estimates, now, proxies)]
-        if any(without_idle) and not all(without_idle):
+        if self.policy.prefer_idle_connections and any(without_idle) and not all(without_idle):
             new = sum(without_idle)
             dear = max(NEW_CONNECTION_FACTOR, new / (NEW_CONNECTION_SHARE * (len(odds) - new)))
             odds = [share / dear if without else share for share, without in zip(odds, without_idle, strict=True)]
--- a/otterreach/proxy/item_placement.py
+++ b/otterreach/proxy/item_placement.py
@@ -75,6 +75,8 @@
         Danger: after a change of version one server may be the only one that fits, and all proxies would fill its
         queue.
         """
+        if not self.fleet.draw.policy.share_slots:
+            return server.cap
         share = ceil(server.cap * OVERCOMMIT / self.fleet.runners)
         return min(server.cap, max(MIN_PER_SERVER, share))
 
--- a/otterreach/proxy/text_generation.py
+++ b/otterreach/proxy/text_generation.py
@@ -89,7 +89,7 @@
             return ""
         if run.events:
             run.retries = 0
-        run.avoided = {server.id}
+        run.avoided = {server.id} if self.fleet.draw.policy.avoid_failed_server else set()
         if outcome.reason == StopReason.VERSION:
             if route.single and run.transcript.versions:
                 run.restart()
@@ -120,7 +120,7 @@
             now = self.loop.time()
             late = now - self._checked_at > 3 * STALL_CHECK_S
             self._checked_at = now
-            if late:
+            if late or not self.fleet.draw.policy.end_silent_attempts:
                 continue
             for run in list(self.queue.runs.values()):
                 if run.exchange and run.server and run.exchange.sent_at:
