--- a/otterreach/controller/config_schema.py
+++ b/otterreach/controller/config_schema.py
@@ -14,6 +14,7 @@
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.configuration import ROLLOUT
 
+MAX_INTEGER = 2**63 - 1  # what a message holds, and what can be divided as a float
 Document = dict[str, Any]  # a configuration as it came, unknown fields included
 
 
@@ -80,6 +81,8 @@
 def _integer(value: Any) -> int:
     if type(value) is not int:
         raise ValueError("a whole number is needed")
+    if abs(value) > MAX_INTEGER:
+        raise ValueError("a number of 64 bits is needed")
     return value
 
 
--- a/otterreach/runtime/configuration.py
+++ b/otterreach/runtime/configuration.py
@@ -7,6 +7,7 @@
 
 import json
 from dataclasses import dataclass, field
+from math import isfinite
 from typing import Any, ClassVar, Self
 
 # Kinds of routes.
@@ -15,6 +16,8 @@
 STREAM = "stream"
 ROLLOUT = "rollout"
 
+MS_PER_S = 1000.0
+MAX_TIME_S = 1e7  # four months: longer times of a configuration mean the same, and overflow what they are added to
 DEFAULT_TIMEOUT_MS = 30_000
 
 
@@ -105,6 +108,8 @@
 def _split(raw: dict[str, Any]) -> tuple[tuple[str, float], ...]:
     if raw.get("split"):
         rows = [(str(row["backend"]), float(row.get("weight", 0))) for row in raw["split"]]
+        if not isfinite(sum(weight for _, weight in rows)):  # each is finite, and no draw can be made by their sum
+            rows = [(name, weight / len(rows)) for name, weight in rows]
         return tuple((name, weight) for name, weight in rows if weight > 0)
     return ((str(raw["backend"]), 1.0),) if raw.get("backend") else ()
 
@@ -115,6 +120,12 @@
     return (name if colon and port.isdigit() else host.strip()).lower()
 
 
+def _time_s(value: float | None, units_per_s: float, default_s: float) -> float:
+    """A time of the document in seconds. Absent, 0 or less: the default; a huge one is cut to MAX_TIME_S."""
+    seconds = float(value or 0) / units_per_s
+    return min(seconds, MAX_TIME_S) if seconds > 0 else default_s
+
+
 def read_route(raw: dict[str, Any]) -> Route:
     """A route from the document."""
     return Route(
@@ -123,13 +134,13 @@
         prefix=str(raw.get("prefix", "")),
         kind=str(raw.get("kind", MUTATING)),
         tries=max(1, int(raw.get("tries") or 1)),
-        timeout_s=float(raw.get("timeoutMs") or DEFAULT_TIMEOUT_MS) / 1000,
-        target_s=float(raw.get("targetMs") or 0) / 1000,
+        timeout_s=_time_s(raw.get("timeoutMs"), MS_PER_S, DEFAULT_TIMEOUT_MS / MS_PER_S),
+        target_s=_time_s(raw.get("targetMs"), MS_PER_S, 0.0),
         priority=int(raw.get("prio") or 0),
         resume=bool(raw.get("resume")),
         single=bool(raw.get("single")),
-        due_s=float(raw.get("dueMs") or 0) / 1000,
-        max_wait_s=float(raw.get("maxWaitS") or 0),
+        due_s=_time_s(raw.get("dueMs"), MS_PER_S, 0.0),
+        max_wait_s=_time_s(raw.get("maxWaitS"), 1.0, 0.0),
         split=_split(raw),
         services=_services(raw),
     )
@@ -141,8 +152,8 @@
     return Caps(
         header_bytes=int(raw.get("headerBytes") or plain.header_bytes),
         body_bytes=int(raw.get("bodyBytes") or plain.body_bytes),
-        header_s=float(raw.get("headerMs") or plain.header_s * 1000) / 1000,
-        idle_s=float(raw.get("idleMs") or plain.idle_s * 1000) / 1000,
+        header_s=_time_s(raw.get("headerMs"), MS_PER_S, plain.header_s),
+        idle_s=_time_s(raw.get("idleMs"), MS_PER_S, plain.idle_s),
     )
 
 
