--- a/otterreach/proxy/draw.py
+++ b/otterreach/proxy/draw.py
@@ -17,18 +17,16 @@
 from otterreach.proxy.policy import IN_SERVICE, Policy
 
 ALPHA = 0.3  # weight of a new response time: the source finds one sample enough, so a short memory
-FAIL_ALPHA = 0.5
-TYPICAL_TIME_ALPHA = 0.05  # a route's usual time moves over some 20 answers
-MAX_SAMPLE = 50.0  # bound on one sample, in usual times: one stall must not starve for ever
-REJECTION_SAMPLE = 15.0  # a refusal, in usual times
-REJECTION_HALF_LIFE_S = 0.7  # the same as below, of a refusal: the server is there, and has room again soon
-HALF_LIFE_S = 2.0  # an estimate of which nothing is is_known has come half the way back to the mean
-MAX_LOAD_AGE_S = 1.5  # a told load is of no more use
-NEW_CONNECTION_FACTOR = 3.0  # one that has to be opened first is dear: at least that much counts as response time,
-NEW_CONNECTION_SHARE = (
-    0.1  # and as much as leaves all servers without one so much of the odds, while those with one are well
-)
-MIN_SAMPLE = 0.02  # bound from below: nobody is that much faster
+FAIL_ALPHA = 0.5  # the same of a failure or a rejection
+TYPICAL_TIME_ALPHA = 0.05  # a route's typical time moves over some 20 answers
+MAX_SAMPLE = 50.0  # upper bound of one sample, in typical times: one stall must not starve a server for good
+MIN_SAMPLE = 0.02  # lower bound: no server is that much faster than the others
+REJECTION_SAMPLE = 15.0  # what a rejection counts as, in typical times
+HALF_LIFE_S = 2.0  # an estimate without new samples has come half the way back to the mean by then
+REJECTION_HALF_LIFE_S = 0.7  # the same after a rejection: the server is there, and has room again soon
+MAX_LOAD_AGE_S = 1.5  # a reported load is of no use when it is older
+NEW_CONNECTION_FACTOR = 3.0  # a new connection counts as response time, at least by this factor ...
+NEW_CONNECTION_SHARE = 0.1  # ... and by as much as leaves servers without an idle one so much of the odds together
 
 
 class Estimate:
@@ -37,7 +35,7 @@
     __slots__ = ("half_life_s", "in_flight", "load", "load_at", "sent_since", "slowness", "updated_at")
 
     def __init__(self) -> None:
-        self.slowness = 0.0  # response time over the usual; 0: nothing is_known yet
+        self.slowness = 0.0  # response time over the route's typical time; 0: none is known yet
         self.updated_at = 0.0
         self.half_life_s = HALF_LIFE_S  # half of what is learned is gone after it
         self.in_flight = 0  # own
@@ -112,7 +110,7 @@
         estimate.half_life_s = HALF_LIFE_S
 
     def expected(self, estimates: Sequence[Estimate], now: float, proxies: int = 0) -> list[float]:
-        """w_i of each; one not yet is_known from takes the mean x of the others, and its own load.
+        """w_i of each; one that nothing is known of takes the mean x of the others, and its own load.
 
         `proxies`: that send there, if not all.
         """
