--- a/otterreach/controller/api/servers.py
+++ b/otterreach/controller/api/servers.py
@@ -19,6 +19,7 @@
     when_committed,
     write,
 )
+from otterreach.controller.config_schema import MAX_INTEGER
 from otterreach.controller.messages import ApiCall, ApiResponse
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.log import log
@@ -33,6 +34,14 @@
 )
 
 
+def _integer(value: str | float) -> int:
+    """A whole number that messages hold and that can be divided as a float; ValueError for any other."""
+    number = int(value)
+    if abs(number) > MAX_INTEGER:
+        raise ValueError("a number is out of range")
+    return number
+
+
 def read_heartbeat(body: bytes) -> ServerRecord | Failure:
     """What is kept of a heartbeat; CONFIG_FIELD if it can't be read."""
     try:
@@ -41,13 +50,13 @@
             service=str(raw["backend"]),
             address=str(raw["addr"]),
             zone=str(raw.get("az", "")),
-            capacity=int(raw.get("cap", 1)),
+            capacity=_integer(raw.get("cap", 1)),
             state=ServerState.UP if raw["state"] == ServerState.UP else ServerState.DRAINING,
-            models=tuple(ModelVersion(str(model["name"]), int(model["gen"])) for model in raw.get("models") or []),
-            warmup_left_ms=int(raw.get("warmLeftMs", 0)),
-            calls=int(raw.get("calls", 0)),
+            models=tuple(ModelVersion(str(model["name"]), _integer(model["gen"])) for model in raw.get("models") or []),
+            warmup_left_ms=_integer(raw.get("warmLeftMs", 0)),
+            calls=_integer(raw.get("calls", 0)),
         )
-    except (ValueError, KeyError, TypeError, AttributeError) as error:
+    except (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError) as error:
         return Failure(Code.CONFIG_FIELD, f"registration: {error!r}")
 
 
