--- a/otterreach/controller/api/servers.py
+++ b/otterreach/controller/api/servers.py
@@ -19,9 +19,9 @@
     when_committed,
     write,
 )
-from otterreach.controller.config_schema import MAX_INTEGER
 from otterreach.controller.messages import ApiCall, ApiResponse
 from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.integers import bounded_integer
 from otterreach.runtime.log import log
 from otterreach.runtime.records import (
     ItemChange,
@@ -34,14 +34,6 @@
 )
 
 
-def _integer(value: str | float) -> int:
-    """A whole number that messages hold and that can be divided as a float; ValueError for any other."""
-    number = int(value)
-    if abs(number) > MAX_INTEGER:
-        raise ValueError("a number is out of range")
-    return number
-
-
 def read_heartbeat(body: bytes) -> ServerRecord | Failure:
     """What is kept of a heartbeat; CONFIG_FIELD if it can't be read."""
     try:
@@ -50,13 +42,15 @@
             service=str(raw["backend"]),
             address=str(raw["addr"]),
             zone=str(raw.get("az", "")),
-            capacity=_integer(raw.get("cap", 1)),
+            capacity=bounded_integer(raw.get("cap", 1)),
             state=ServerState.UP if raw["state"] == ServerState.UP else ServerState.DRAINING,
-            models=tuple(ModelVersion(str(model["name"]), _integer(model["gen"])) for model in raw.get("models") or []),
-            warmup_left_ms=_integer(raw.get("warmLeftMs", 0)),
-            calls=_integer(raw.get("calls", 0)),
+            models=tuple(
+                ModelVersion(str(model["name"]), bounded_integer(model["gen"])) for model in raw.get("models") or []
+            ),
+            warmup_left_ms=bounded_integer(raw.get("warmLeftMs", 0)),
+            calls=bounded_integer(raw.get("calls", 0)),
         )
-    except (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError) as error:
+    except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
         return Failure(Code.CONFIG_FIELD, f"registration: {error!r}")
 
 
--- a/otterreach/controller/api/versions.py
+++ b/otterreach/controller/api/versions.py
@@ -16,6 +16,7 @@
 )
 from otterreach.controller.messages import ApiCall, ApiResponse
 from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.integers import bounded_integer
 from otterreach.runtime.log import log
 from otterreach.runtime.records import VersionRecord, put
 
@@ -32,8 +33,8 @@
     """The body of the call; CONFIG_FIELD if it can't be read."""
     try:
         raw = json.loads(body)
-        return NamedVersion(str(raw["model"]), int(raw["gen"]))
-    except (ValueError, KeyError, TypeError):
+        return NamedVersion(str(raw["model"]), bounded_integer(raw["gen"]))
+    except (ValueError, KeyError, TypeError, RecursionError):
         return Failure(Code.CONFIG_FIELD, "model, gen")
 
 
--- a/otterreach/controller/config_schema.py
+++ b/otterreach/controller/config_schema.py
@@ -13,8 +13,8 @@
 
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.configuration import ROLLOUT
+from otterreach.runtime.integers import bounded_integer
 
-MAX_INTEGER = 2**63 - 1  # what a message holds, and what can be divided as a float
 Document = dict[str, Any]  # a configuration as it came, unknown fields included
 
 
@@ -81,9 +81,7 @@
 def _integer(value: Any) -> int:
     if type(value) is not int:
         raise ValueError("a whole number is needed")
-    if abs(value) > MAX_INTEGER:
-        raise ValueError("a number of 64 bits is needed")
-    return value
+    return bounded_integer(value)
 
 
 def _number(value: Any) -> float:
--- a/otterreach/jobstore/job_json.py
+++ b/otterreach/jobstore/job_json.py
@@ -9,6 +9,7 @@
 from otterreach.jobstore.job import Job, JobItem
 from otterreach.jobstore.messages import ItemFinished
 from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.integers import bounded_integer
 
 MAX_REASON_LENGTH = 200
 
@@ -21,7 +22,7 @@
         if not items:
             raise ValueError("no items")
         result = Job(job, host, route, raw, items, received_at)
-        int(result.min_version)
+        bounded_integer(result.head.get("minVersion") or 0)
     except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as error:
         return Failure(Code.BAD_JOB, f"{type(error).__name__}: {error}"[:MAX_REASON_LENGTH])
     return result
@@ -41,7 +42,8 @@
 
 
 def _read_item(row: dict[str, Any]) -> JobItem:
-    item = JobItem(row["id"], row.get("path", ""), group=row.get("group") or "", tokens=int(row.get("tokens") or 0))
+    tokens = bounded_integer(row.get("tokens") or 0)
+    item = JobItem(row["id"], row.get("path", ""), group=row.get("group") or "", tokens=tokens)
     item.headers = json.dumps(row.get("headers") or {}, ensure_ascii=False, separators=(",", ":"))
     item.body = _from_base64(row.get("body"))
     scorer = row.get("scorer")
--- a/tests/controller/test_heartbeat_ends.py
+++ b/tests/controller/test_heartbeat_ends.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from otterreach.controller.api.servers import read_heartbeat
-from otterreach.controller.config_schema import MAX_INTEGER
 from otterreach.controller.messages import ApiCall
 from otterreach.runtime.codec import encode
 from otterreach.runtime.codes import Code, Failure
+from otterreach.runtime.integers import MAX_INTEGER
 from otterreach.runtime.records import ServerRecord
 
 HEARTBEAT = {"backend": "b", "addr": "127.0.0.1:1", "az": "z", "cap": 4, "state": "up", "warmLeftMs": 0, "calls": 1}
--- a/tests/runtime/test_configuration_ends.py
+++ b/tests/runtime/test_configuration_ends.py
@@ -11,13 +11,14 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from otterreach.controller.config_schema import MAX_INTEGER, read_body, validate
+from otterreach.controller.config_schema import read_body, validate
 from otterreach.jobstore.messages import AssignItems
 from otterreach.proxy.draw import Draw
 from otterreach.proxy.fleet import Fleet
 from otterreach.runtime.codec import encode
 from otterreach.runtime.codes import Failure
 from otterreach.runtime.configuration import MAX_TIME_S, ConfigurationRecord, read
+from otterreach.runtime.integers import MAX_INTEGER
 from otterreach.runtime.store import ReplicatedStore
 
 NUMBERS: list[Any] = [-1e308, -1, 0, 5e-324, 0.5, 1, 1e9, 1e308, 2**63, 10**400]
