--- a/otterreach/cli/day_report.py
+++ b/otterreach/cli/day_report.py
@@ -27,11 +27,11 @@
 
     name: str
     count: int = field(metadata=field_options(alias="n"))
-    in_aim: int  # answered within their latency target
+    in_target: int = field(metadata=field_options(alias="in_aim"))  # answered within their latency target
     late: int
     refused: int
     failed: int
-    worth: float  # earned, as a share of what was owed
+    earned: float = field(metadata=field_options(alias="worth"))  # as a share of what was owed
 
 
 @dataclass(frozen=True, slots=True)
--- a/otterreach/cli/losses.py
+++ b/otterreach/cli/losses.py
@@ -52,10 +52,10 @@
 def _unserved(title: str, rows: Sequence[Outcomes]) -> list[str]:
     """The rows that did not earn all."""
     return [
-        f"  {title} {row.name}: earned {row.worth:.3f}; of {row.count} late {row.late}, rejected {row.refused}, "
+        f"  {title} {row.name}: earned {row.earned:.3f}; of {row.count} late {row.late}, rejected {row.refused}, "
         f"failed {row.failed}"
         for row in rows
-        if row.worth < 1 - MIN_SHARE
+        if row.earned < 1 - MIN_SHARE
     ]
 
 
--- a/otterreach/proxy/policy.py
+++ b/otterreach/proxy/policy.py
@@ -17,7 +17,7 @@
     prefer_idle_connections: bool = True  # servers that can be reached without a new connection have better odds
     share_slots: bool = True  # no proxy fills a server's queue with items by itself
     avoid_failed_server: bool = True  # the next attempt of an item goes elsewhere
-    end_silent_attempts: bool = True  # an item's attempt ends when its server says nothing for long
+    end_stalled_attempts: bool = True  # an item's attempt ends when its server says nothing for long
 
 
 IN_SERVICE = Policy()
--- a/otterreach/proxy/text_generation.py
+++ b/otterreach/proxy/text_generation.py
@@ -120,7 +120,7 @@
             now = self.loop.time()
             late = now - self._checked_at > 3 * STALL_CHECK_S
             self._checked_at = now
-            if late or not self.fleet.draw.policy.end_silent_attempts:
+            if late or not self.fleet.draw.policy.end_stalled_attempts:
                 continue
             for run in list(self.queue.runs.values()):
                 if run.exchange and run.server and run.exchange.sent_at:
