--- a/otterreach/jobstore/job_json.py
+++ b/otterreach/jobstore/job_json.py
@@ -22,12 +22,25 @@
         if not items:
             raise ValueError("no items")
         result = Job(job, host, route, raw, items, received_at)
-        bounded_integer(result.head.get("minVersion") or 0)
-    except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as error:
+        int(result.min_version)
+    except (ValueError, TypeError, KeyError, AttributeError, OverflowError, RecursionError) as error:
         return Failure(Code.BAD_JOB, f"{type(error).__name__}: {error}"[:MAX_REASON_LENGTH])
     return result
 
 
+def check_numbers(job: Job) -> Failure | None:
+    """BAD_JOB if a number doesn't fit into the messages about the job's items.
+
+    Not part of read_job: a journal may hold jobs that an earlier version accepted.
+    """
+    try:
+        for number in (job.min_version, *(item.tokens for item in job.items.values())):
+            bounded_integer(number)
+    except ValueError as error:
+        return Failure(Code.BAD_JOB, str(error))
+    return None
+
+
 def _items_in_order(rows: list[dict[str, Any]]) -> dict[str, JobItem]:
     items: dict[str, JobItem] = {}
     first_of_group: dict[str, int] = {}
@@ -42,7 +55,7 @@
 
 
 def _read_item(row: dict[str, Any]) -> JobItem:
-    tokens = bounded_integer(row.get("tokens") or 0)
+    tokens = int(row.get("tokens") or 0)
     item = JobItem(row["id"], row.get("path", ""), group=row.get("group") or "", tokens=tokens)
     item.headers = json.dumps(row.get("headers") or {}, ensure_ascii=False, separators=(",", ":"))
     item.body = _from_base64(row.get("body"))
--- a/otterreach/jobstore/job_requests.py
+++ b/otterreach/jobstore/job_requests.py
@@ -6,7 +6,7 @@
 
 from otterreach.jobstore.job import ItemState, Job, JobState
 from otterreach.jobstore.job_entries import end_entry, submit_entry
-from otterreach.jobstore.job_json import read_job
+from otterreach.jobstore.job_json import check_numbers, read_job
 from otterreach.jobstore.leadership import PartitionLeader, finish
 from otterreach.jobstore.messages import EndJob, ItemBody, JobResults, ReadItem, ReadJob, SubmitJob
 from otterreach.jobstore.partition_replica import PartitionReplica
@@ -52,6 +52,8 @@
         job = read_job(request.job, request.host, request.route, request.body, self.loop.time())
         if isinstance(job, Failure):
             return job
+        if (failure := check_numbers(job)) is not None:
+            return failure
         entry = submit_entry(request.job, request.host, request.route, request.body)
         return await self.done_when_committed(leader.replica, leader.append(entry, job))
 
--- a/tests/jobstore/test_job_ends.py
+++ b/tests/jobstore/test_job_ends.py
@@ -8,7 +8,7 @@
 
 from otterreach.controller.api.versions import read_version
 from otterreach.jobstore.job import Job
-from otterreach.jobstore.job_json import read_job
+from otterreach.jobstore.job_json import check_numbers, read_job
 from otterreach.jobstore.messages import AssignItems, WorkItem
 from otterreach.runtime.codec import encode
 from otterreach.runtime.codes import Code, Failure
@@ -21,7 +21,11 @@
 def job(head: dict[str, Any], item: dict[str, Any]) -> Job | Failure:
     row = {"id": "i", "path": "/p", "headers": {}, "body": ""} | item
     body = json.dumps({"step": 1, "model": "m", "minVersion": 1, "desired": 1, "reqs": [row]} | head).encode()
-    return read_job("j", "h", "r", body, 0.0)
+    read = read_job("j", "h", "r", body, 0.0)
+    if isinstance(read, Failure):
+        return read
+    failure = check_numbers(read)
+    return read if failure is None else failure
 
 
 class JobEnds(unittest.TestCase):
@@ -45,6 +49,10 @@
                 named = json.dumps({"model": "m", "gen": number}).encode()
                 self.assertIsInstance(read_version(named), Failure)
 
+    def test_a_journal_may_hold_numbers_that_are_not_accepted_any_more(self) -> None:
+        body = json.dumps({"minVersion": 10**400, "reqs": [{"id": "i", "tokens": 10**400}]}).encode()
+        self.assertIsInstance(read_job("j", "h", "r", body, 0.0), Job)
+
     def test_bounded_integers(self) -> None:
         self.assertEqual([bounded_integer(value) for value in (3, "4", 5.9, -MAX_INTEGER)], [3, 4, 5, -MAX_INTEGER])
         for value in [*BEYOND, "x", float("nan")]:
