--- a/otterreach/proxy/messages.py
+++ b/otterreach/proxy/messages.py
@@ -1,4 +1,4 @@
-"""The RPC messages of proxies to the primary controller, about the servers whose order leases they hold."""
+"""RPC messages from proxies to the primary controller about the servers whose order leases they hold."""
 
 from __future__ import annotations
 
--- a/otterreach/proxy/model_server.py
+++ b/otterreach/proxy/model_server.py
@@ -1,7 +1,7 @@
-"""What a proxy asks of a model server besides requests: its report, and an order to load weights.
+"""Client for the control calls of a model server: its report, and orders to load weights.
 
-Both name the server that is meant, so that another one at its address does neither. An order also names how many
-orders the server has taken by its last report: of two copies of one order a server takes at most one.
+Both calls name the intended server, so that another server at its address executes neither. An order also names the
+number of orders that the server has accepted so far, so that a server accepts at most one of two copies of an order.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.http import Reply
 
-CALL_S = 1.0
+CALL_TIMEOUT_S = 1.0
 
 
 class Client(Protocol):
-    """What is used of otterreach.runtime.http_client.JsonClient."""
+    """The subset of otterreach.runtime.http_client.JsonClient that is used here."""
 
     async def call(
         self,
@@ -38,38 +38,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """Bring a model to a version of its weights."""
+    """An order to load a version of a model's weights."""
 
     model: str
     gen: int
     owner: str
     fence: int
-    expect: int | None  # orders that the server has taken so far; None: not known
+    expect: int | None  # orders that the server has accepted so far; None: unknown
     op: str = "gen"
     method: str = "wait"
 
     def encode(self) -> bytes:
-        """The body of `POST /order`."""
+        """Return the body of `POST /order`."""
         return json.dumps({name: value for name, value in asdict(self).items() if value is not None}).encode()
 
 
 class OrderResult(Enum):
-    """What became of an order."""
+    """The result of an order."""
 
-    TAKEN = auto()  # the server is doing it
-    HOLDS = auto()  # the server had that version already
-    CONFLICT = auto()  # not taken: another one is under way, or it has taken others than was expected
-    FENCED = auto()  # not taken: the server has seen a higher fence
-    WRONG_SERVER = auto()  # not taken: the address belongs to another server
-    REJECTION_SAMPLE = auto()  # not taken: no such order
-    NOT_SENT = auto()  # never written whole
-    UNCLEAR = auto()  # it may have been taken: the report tells
+    ACCEPTED = auto()  # the server is executing it
+    ALREADY_LOADED = auto()  # the server has that version already
+    CONFLICT = auto()  # rejected: another order is in progress, or `expect` does not match
+    FENCED = auto()  # rejected: the server has seen a higher fencing token
+    WRONG_SERVER = auto()  # rejected: the address belongs to another server
+    REJECTED = auto()  # rejected: the server does not know such an order
+    NOT_SENT = auto()  # never completely written
+    UNCLEAR = auto()  # possibly accepted: the server's report shows the outcome
 
 
 BY_STATUS: dict[int, OrderResult] = {
-    HTTPStatus.OK: OrderResult.HOLDS,
-    HTTPStatus.ACCEPTED: OrderResult.TAKEN,
-    HTTPStatus.BAD_REQUEST: OrderResult.REJECTION_SAMPLE,
+    HTTPStatus.OK: OrderResult.ALREADY_LOADED,
+    HTTPStatus.ACCEPTED: OrderResult.ACCEPTED,
+    HTTPStatus.BAD_REQUEST: OrderResult.REJECTED,
     HTTPStatus.CONFLICT: OrderResult.CONFLICT,
     HTTPStatus.PRECONDITION_FAILED: OrderResult.FENCED,
     HTTPStatus.MISDIRECTED_REQUEST: OrderResult.WRONG_SERVER,
@@ -78,15 +78,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """A server's state, as it was some hundred ms ago."""
+    """A server's state, possibly several hundred ms old."""
 
-    busy: bool  # an order is under way
-    calls: int | None  # orders taken since its start; None where it doesn't tell
+    busy: bool  # an order is in progress
+    calls: int | None  # orders accepted since the server's start; None if not reported
     versions: Mapping[str, int]  # by model
 
 
 def read_report(body: bytes) -> Report | None:
-    """None if it can't be read."""
+    """Parse a report; return None if it is malformed."""
     try:
         raw = json.loads(body)
         versions = {str(model["name"]): int(model["gen"]) for model in raw["models"]}
@@ -106,19 +106,23 @@
         self._headers = {"Expect-Server": ident}
 
     async def report(self) -> Report | None:
-        """None if this server gives none that can be read."""
-        # An earlier report does as well: each is some hundred ms old, and an order guards itself by `expect`.
+        """Return the server's report, or None if there is no valid answer."""
+        # The answer to an identical earlier call will do: any report may be several hundred ms old, and `expect`
+        # protects an order against outdated ones.
         reply = await self._client.call(
-            self.address, "GET", "/report", b"", CALL_S, headers=self._headers, interchangeable=True
+            self.address, "GET", "/report", b"", CALL_TIMEOUT_S, headers=self._headers, interchangeable=True
         )
         if isinstance(reply, Failure) or reply.status != HTTPStatus.OK:
             return None
         return read_report(reply.body)
 
     async def order(self, order: Order, may_write: Callable[[], bool]) -> tuple[OrderResult, int]:
-        """What became of it, and the status; 0 without an answer. `may_write` is asked right before it is written."""
+        """Send an order and return its result and the status, which is 0 without an answer.
+
+        `may_write` is called right before the order is written.
+        """
         reply = await self._client.call(
-            self.address, "POST", "/order", order.encode(), CALL_S, may_write, self._headers
+            self.address, "POST", "/order", order.encode(), CALL_TIMEOUT_S, may_write, self._headers
         )
         if isinstance(reply, Failure):
             not_sent = reply.code in (Code.UNREACHABLE, Code.STALE_EPOCH)
--- a/otterreach/proxy/orders.py
+++ b/otterreach/proxy/orders.py
@@ -1,9 +1,9 @@
-"""Brings model servers to named versions of their weights, under order leases with rising fencing tokens.
+"""Weight orders: bring model servers to the named versions of their weights, under leases with fencing tokens.
 
-The primary controller gives each server's lease to a live proxy (an item `duty/SERVER`, whose revision is the fencing
-token). The holder sends orders only while its replica of the control state is surely newer than LEASE_S; the next
-holder waits until that and the settings' leaseMs are over. Which server goes first is the same order everywhere, so
-that no more servers load at once than the deployment bears.
+The primary controller assigns each server's order lease to a live proxy (an item `duty/SERVER`, whose revision is the
+fencing token). The holder sends orders only while its replica of the control state is certainly younger than LEASE_S;
+the next holder waits until that time and the settings' leaseMs have passed. All holders load servers in the same order,
+which limits the number of servers that load at once across the deployment.
 """
 
 from __future__ import annotations
@@ -23,31 +23,32 @@
 from otterreach.runtime.repeated_work import RepeatedWork
 from otterreach.runtime.store import Item
 
-STEP_INTERVAL_S = 0.1  # between two looks while loads are due here
-SETTLE_S = 0.05  # after a change of the control state: more changes follow within this
-IDLE_STEP_S = 1.0  # between two looks while nothing is due here and nothing changes
-LEASE_S = 1.5  # how old the holder's replica may be when it sends an order
+STEP_INTERVAL_S = 0.1  # between steps while loads are due for servers leased by this proxy
+SETTLE_S = 0.05  # delay after a change of the control state, to cover further changes with one step
+IDLE_STEP_S = 1.0  # between steps while no load is due here and nothing changes
+LEASE_S = 1.5  # maximum age of the holder's replica of the control state when it sends an order
 MARGIN_S = 0.3
-REPORT_INTERVAL_S = 0.2  # between two looks at a server that loads
-REPORT_AGE_S = 0.8  # a report is surely from after what was done before that
-LOAD_TIMEOUT_S = 6.0  # a load that takes longer is ordered anew
-STUCK_S = 2.5  # a server that is due and doesn't get there delays no other for longer
+REPORT_INTERVAL_S = 0.2  # between polls of the report of a server that is loading
+MAX_REPORT_AGE_S = 0.8  # maximum age of a report's contents
+LOAD_TIMEOUT_S = 6.0  # a load that takes longer is ordered again
+STALLED_LOAD_S = 2.5  # time after which a load that is due but not completed no longer delays others
 BACKOFF_S = 0.4
-WRONG_SERVER_S = 2.0  # until the control state shows who is at the address
-NOTED_S = 5.0  # within this what was done is to be seen in the control state
+WRONG_SERVER_BACKOFF_S = 2.0  # backoff until the control state shows which server has the address
+COMPLETION_VISIBLE_S = 5.0  # time within which a completed load shows in the control state
 REPORT_ATTEMPTS = 3
-MIN_LOADS_AT_ONCE = 3  # servers that load at once: the larger of this ...
-LOADS_AT_ONCE_SHARE = 1 / 3  # ... and this share of them
+MIN_LOADS_AT_ONCE = 3  # the limit of servers loading at once is the larger of this number ...
+LOADS_AT_ONCE_SHARE = 1 / 3  # ... and this share of all servers with models
 NO_ORDER_MS = 10**9
 NO_FENCE = 0
-LOOK_AGAIN = (OrderResult.TAKEN, OrderResult.CONFLICT, OrderResult.UNCLEAR)  # the report tells how it goes on
+# Results after which the server's report shows the outcome.
+CHECK_REPORT = (OrderResult.ACCEPTED, OrderResult.CONFLICT, OrderResult.UNCLEAR)
 
 
 def takeover_wait_s(lease_s: float, since_last_order_s: float | None) -> float:
-    """How long the next holder waits before its first order.
+    """Return the time that the next holder waits before its first order.
 
     :param lease_s: the settings' leaseMs, in seconds
-    :param since_last_order_s: of a holder that gave the lease back; None for one that died
+    :param since_last_order_s: time since the last order of a holder that released the lease; None for one that died
     """
     if since_last_order_s is None:
         return LEASE_S + lease_s + MARGIN_S
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class DueLoad:
-    """A server that is still to be brought to a version of a model."""
+    """A load that is due: the server has an older version of the model than the named one."""
 
     server: str
     model: str
@@ -64,7 +65,7 @@
 
 
 def due_loads(servers: Mapping[str, ServerRecord], versions: Mapping[str, VersionRecord]) -> list[DueLoad]:
-    """All loads that are due, in the order that is the same at every lease holder."""
+    """Return all loads that are due, in an order that is the same at every lease holder."""
     loads = [
         DueLoad(ident, model, named.version)
         for model, named in versions.items()
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedLease:
-    """A lease of this proxy, from when it was first seen here."""
+    """A lease held by this proxy; its takeover wait counts from when this proxy first saw it."""
 
     fence: int
     usable_from: float  # on the monotonic clock
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletedLoad:
-    """What this proxy has brought a server to."""
+    """A load that this proxy has completed."""
 
     version: int
     at: float
@@ -92,7 +93,7 @@
 
 @dataclass(slots=True)
 class KnownState:
-    """What the control state said when last looked at."""
+    """Data derived from the control state at one revision."""
 
     revision: int = -1
     leased: set[str] = field(default_factory=set)  # the servers whose leases this proxy holds
@@ -101,7 +102,7 @@
 
 
 class WeightOrders:
-    """The orders to the servers whose leases this proxy holds."""
+    """Sends orders to the servers whose leases this proxy holds."""
 
     def __init__(self, node: Node, client: Client) -> None:
         self.node = node
@@ -115,8 +116,8 @@
         self._due_since: dict[DueLoad, float] = {}
         self._retry_at: dict[str, float] = {}  # by server
         self._completed: dict[tuple[str, str], CompletedLoad] = {}  # by server and model
-        self._orders_accepted: dict[str, int | None] = {}  # by server, as it last reported them
-        self._rejected_fences: dict[str, int] = {}  # by server: a fence of ours that it refused as too low
+        self._orders_accepted: dict[str, int | None] = {}  # by server, as last reported
+        self._rejected_fences: dict[str, int] = {}  # by server: a fencing token that it rejected as too low
         self.repeated = RepeatedWork("order_weights")
         self._known = KnownState()
         self._changed = asyncio.Event()
@@ -124,12 +125,12 @@
     # Leases --------------------------------------------------------------------------------------
 
     def leased_servers(self) -> set[str]:
-        """The servers whose leases this proxy holds."""
+        """Return the ids of the servers whose leases this proxy holds."""
         own_node = self.node.settings.node
         return {ident for ident, lease in self.store.records(OrderLeaseRecord).items() if lease.holder == own_node}
 
     def fence(self, ident: str) -> int:
-        """The fencing token under which an order to this server may be sent right now; NO_FENCE: none may."""
+        """Return the fencing token for an order to this server, or NO_FENCE if no order may be sent now."""
         lease = self.store.record(OrderLeaseRecord, ident)
         now = self.loop.time()
         if self.shutting_down or lease is None or lease.holder != self.node.settings.node:
@@ -141,13 +142,13 @@
             self._observed[ident] = observed
         return revision if now >= observed.usable_from and self.node.follower.age_s() < LEASE_S else NO_FENCE
 
-    # Which loads ---------------------------------------------------------------------------------
+    # Scheduling of loads -------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Start what is due; for ever."""
+        """Start the loads that are due, until cancelled."""
         for kind in (ServerRecord, VersionRecord, OrderLeaseRecord):
             self.store.watch(kind, self._on_change)
-        self._changed.set()  # for what is there already
+        self._changed.set()  # process the existing state
         while True:
             if self._known.leased and self._known.due:
                 await asyncio.sleep(STEP_INTERVAL_S)
@@ -160,7 +161,10 @@
         self._changed.set()
 
     async def _wait_for_change(self) -> None:
-        """Most proxies have no lease most of the time: a look ten times a second would cost them a wake-up each."""
+        """Wait for a change of the control state, at most IDLE_STEP_S.
+
+        Most proxies hold no lease most of the time; polling ten times a second would cost each of them the wake-ups.
+        """
         with suppress(TimeoutError):
             async with asyncio.timeout(IDLE_STEP_S):
                 await self._changed.wait()
@@ -168,7 +172,7 @@
         self._changed.clear()
 
     def step(self) -> None:
-        """Start the loads whose turn it is here."""
+        """Start the loads that are next in order and whose leases this proxy holds."""
         if self._known.revision != self.store.revision:
             self._read_state()
         known = self._known
@@ -183,25 +187,28 @@
         servers = self.store.records(ServerRecord)
         leased = self.leased_servers()
         for ident in leased:
-            self.fence(ident)  # the wait counts from when the lease is first seen
+            self.fence(ident)  # records when the lease was first seen, from which its wait counts
         due = due_loads(servers, self.store.records(VersionRecord))
         self._due_since = {load: self._due_since[load] for load in due if load in self._due_since}
         self._completed = {key: done for key, done in self._completed.items() if key[0] in servers}
-        self._orders_accepted = {ident: taken for ident, taken in self._orders_accepted.items() if ident in leased}
+        self._orders_accepted = {ident: count for ident, count in self._orders_accepted.items() if ident in leased}
         self._rejected_fences = {ident: fence for ident, fence in self._rejected_fences.items() if ident in leased}
         with_models = sum(bool(server.models) for server in servers.values())
         self._known = KnownState(self.store.revision, leased, due, with_models)
 
     def _is_wanted(self, load: DueLoad) -> bool:
-        """Danger: until the control state shows what was done it would be ordered again and again."""
+        """Return True unless the server is in backoff or the load was completed recently.
+
+        The control state shows a completed load only after a delay; until then the load must not be ordered again.
+        """
         now = self.loop.time()
         if self._retry_at.get(load.server, 0.0) > now:
             return False
         completed = self._completed.get((load.server, load.model))
-        return completed is None or completed.version < load.version or now - completed.at > NOTED_S
+        return completed is None or completed.version < load.version or now - completed.at > COMPLETION_VISIBLE_S
 
     def _loads_to_start(self, known: KnownState) -> list[DueLoad]:
-        """Whose turn it is, at this proxy or another: a server takes one order at a time."""
+        """Return the loads that are next in order, at this proxy or another: at most one per server."""
         now = self.loop.time()
         free = max(MIN_LOADS_AT_ONCE, round(known.servers_with_models * LOADS_AT_ONCE_SHARE))
         loads: list[DueLoad] = []
@@ -214,7 +221,7 @@
             busy.add(load.server)
             since = self._due_since.setdefault(load, now)
             loads.append(load)
-            free -= now - since < STUCK_S
+            free -= now - since < STALLED_LOAD_S
         return loads
 
     # One load ------------------------------------------------------------------------------------
@@ -226,37 +233,39 @@
             self.loading.pop(load.server, None)
 
     async def _update_server(self, load: DueLoad, address: str) -> None:
-        """Order one server to a version and wait until it has it."""
+        """Order a server to load a version and wait until it has it."""
         ident = load.server
         fence = self.fence(ident)
         if not fence or self._rejected_fences.get(ident) == fence:
             return
         server = ModelServer(self.client, ident, address)
         result = await self._order(server, load, fence)
-        if result is OrderResult.HOLDS or (result in LOOK_AGAIN and await self._wait_until_loaded(server, load)):
+        if result is OrderResult.ALREADY_LOADED or (
+            result in CHECK_REPORT and await self._wait_until_loaded(server, load)
+        ):
             self._completed[ident, load.model] = CompletedLoad(load.version, self.loop.time())
             await self._report_loaded(load)
         elif result is OrderResult.WRONG_SERVER:
-            self._retry_at[ident] = self.loop.time() + WRONG_SERVER_S
+            self._retry_at[ident] = self.loop.time() + WRONG_SERVER_BACKOFF_S
         else:
             self._retry_at[ident] = self.loop.time() + BACKOFF_S
 
     async def _order(self, server: ModelServer, load: DueLoad, fence: int) -> OrderResult:
-        """Send the order, unless the server's report makes it needless or impossible."""
+        """Send the order, unless the server's report shows that it is unnecessary or not possible now."""
         ident = server.ident
         if ident not in self._orders_accepted:
             report = await server.report()
             if report is None:
                 return OrderResult.NOT_SENT
             if report.versions.get(load.model, 0) >= load.version:
-                return OrderResult.HOLDS
+                return OrderResult.ALREADY_LOADED
             if report.busy:
                 return OrderResult.CONFLICT
             self._orders_accepted[ident] = report.calls
         order = Order(load.model, load.version, self.node.settings.node, fence, self._orders_accepted[ident])
 
         def may_write() -> bool:
-            """Danger: while a connection was opened the lease may have run out."""
+            """Return True if the lease is still valid; it may have expired while the connection was opened."""
             self._last_order_at[ident] = self.loop.time()
             return self.fence(ident) == fence
 
@@ -267,8 +276,8 @@
         return result
 
     def _learn_from(self, ident: str, order: Order, result: OrderResult) -> None:
-        """What is known now of the orders that the server has taken."""
-        if result is OrderResult.TAKEN and order.expect is not None:
+        """Update the known number of orders that the server has accepted, and the rejected fencing tokens."""
+        if result is OrderResult.ACCEPTED and order.expect is not None:
             self._orders_accepted[ident] = order.expect + 1
         elif result is not OrderResult.NOT_SENT:
             self._orders_accepted.pop(ident, None)
@@ -276,8 +285,8 @@
             self._rejected_fences[ident] = order.fence
 
     async def _wait_until_loaded(self, server: ModelServer, load: DueLoad) -> bool:
-        began = self.loop.time()
-        while self.loop.time() < began + LOAD_TIMEOUT_S:
+        started = self.loop.time()
+        while self.loop.time() < started + LOAD_TIMEOUT_S:
             await asyncio.sleep(REPORT_INTERVAL_S)
             known = self.store.record(ServerRecord, server.ident)
             if known is None or not known.is_up:
@@ -289,14 +298,14 @@
                 return False
             if report.versions.get(load.model, 0) >= load.version:
                 return True
-            # Danger: a report is some hundred ms old; one from before the order would have it ordered twice.
-            if not report.busy and self.loop.time() > began + REPORT_AGE_S:
+            # A report may be several hundred ms old; a report from before the order would cause a duplicate order.
+            if not report.busy and self.loop.time() > started + MAX_REPORT_AGE_S:
                 self._orders_accepted[server.ident] = report.calls
                 return False
         return False
 
     async def _report_loaded(self, load: DueLoad) -> None:
-        """Let all proxies know at once, sooner than by the server's next heartbeat."""
+        """Report a completed load to the primary, so that all proxies see it before the server's next heartbeat."""
         message = ModelLoaded(load.server, load.model, load.version)
         for _ in range(REPORT_ATTEMPTS):
             if not isinstance(await self.node.call_primary(message), Failure):
@@ -304,7 +313,7 @@
             await asyncio.sleep(STEP_INTERVAL_S)
 
     async def shut_down(self) -> None:
-        """Give all leases back, telling how long ago the last orders were."""
+        """Release all leases, reporting the time since the last order under each."""
         self.shutting_down = True
         now = self.loop.time()
         for ident in self.leased_servers():
