--- a/otterreach/proxy/__init__.py
+++ b/otterreach/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxies: clients' requests to servers, and the items of batch jobs."""
+"""The proxies: they forward requests of clients to model servers and run the items of batch jobs."""
--- a/otterreach/proxy/__main__.py
+++ b/otterreach/proxy/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m otterreach.proxy`: one proxy, as the settings file says."""
+"""`python3 -m otterreach.proxy`: run one proxy, configured by the settings file."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def figure_sources(node: Node, proxy: Proxy) -> tuple[FigureSource, ...]:
-    """What a proxy tells of itself. Imports what a start does without."""
+    """Return the sources of a proxy's metrics; imports modules that are not needed at start."""
     from otterreach.proxy.figures import proxy_figures
     from otterreach.runtime.node_figures import node_figures
 
--- a/otterreach/proxy/batch_jobs.py
+++ b/otterreach/proxy/batch_jobs.py
@@ -1,7 +1,7 @@
-"""Batch jobs for clients: taken, read, ended. They belong to the job store nodes; here is only the way to them.
+"""The batch job API for clients: submit, read and end. Calls are forwarded to the job store nodes.
 
-Danger: 429 and 503 to a submission promise that none of it runs. They are given only if every call surely was not
-taken.
+A status of 429 or 503 for a submission guarantees that no part of it runs, so it is sent only if none of the calls to
+the job store was executed.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from otterreach.jobstore.messages import EndJob, ItemBody, JobResults, ReadItem, ReadJob, SubmitJob
 from otterreach.proxy.directory import JobStoreDirectory
 from otterreach.proxy.ingress import Client
-from otterreach.proxy.requests import path_of, text, whole_number
+from otterreach.proxy.requests import decode_latin1, parse_number, path_of
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.configuration import ROLLOUT, Route
 from otterreach.runtime.rpc import Done
@@ -20,29 +20,29 @@
 
 JOB_PATH = "/lots/"
 ITEM_PATH = "/items/"
-SUBMIT_TIMEOUT_S = 0.8  # to try for, where neither the client nor the route says less
+SUBMIT_TIMEOUT_S = 0.8  # time for retries, unless the client or the route sets a shorter one
 READ_TIMEOUT_S = 0.5
-CALL_S = 0.8
+CALL_TIMEOUT_S = 0.8
 MAX_WAIT_MS = 5000
-RETRY_S = 0.2
+RETRY_AFTER_S = 0.2
 JSON = {b"content-type": b"application/json"}
 
 
 def is_batch_job_call(request: http1.Request) -> bool:
-    """Whether a request without a route reads or ends a batch job, or reads an item."""
+    """Return True if a request without a route reads or ends a batch job, or reads an item."""
     path = path_of(request)
     return path.startswith((JOB_PATH, ITEM_PATH)) and request.method in (b"GET", b"DELETE")
 
 
 class BatchJobs:
-    """One handler for the resource and all its calls."""
+    """Handler of all calls of the batch job API."""
 
     def __init__(self, directory: JobStoreDirectory) -> None:
         self.directory = directory
         self.loop = directory.loop
 
     async def handle(self, request: http1.Request, client: Client) -> None:
-        """GET and DELETE under /lots/ and /items/."""
+        """Handle GET and DELETE under /lots/ and /items/."""
         path = path_of(request)
         if path.startswith(ITEM_PATH):
             await self._item(request, client, unquote(path[len(ITEM_PATH) :]))
@@ -52,17 +52,18 @@
             await self._read(request, client, unquote(path[len(JOB_PATH) :]))
 
     async def submit(self, request: http1.Request, client: Client, route: Route) -> None:
-        """A submission on a rollout route, to its answer."""
-        job = text(request.headers.get(b"request-id"))
+        """Handle a submission on a rollout route up to its answer."""
+        job = decode_latin1(request.headers.get(b"request-id"))
         if not job or route.kind != ROLLOUT:
             client.respond(HTTPStatus.BAD_REQUEST)
             return
-        ask = SubmitJob(job, text(request.headers.get(b"host")), route.name, request.body)
-        asked = whole_number(request.headers.get(b"deadline-ms"))
-        within = min(route.timeout_s, max(SUBMIT_TIMEOUT_S, route.target_s))
-        within = within if asked is None else min(within, asked / 1000)
-        # Danger: a retry after an unclear call is safe, for one id is one batch job; a refusal after one is not.
-        reply = await self.directory.ask(job, ask, within, CALL_S + len(request.body) / 20e6)
+        submission = SubmitJob(job, decode_latin1(request.headers.get(b"host")), route.name, request.body)
+        client_deadline_ms = parse_number(request.headers.get(b"deadline-ms"))
+        timeout_s = min(route.timeout_s, max(SUBMIT_TIMEOUT_S, route.target_s))
+        timeout_s = timeout_s if client_deadline_ms is None else min(timeout_s, client_deadline_ms / 1000)
+        # A retry after an unclear call is safe, because one id stands for one batch job. Answering that the submission
+        # was rejected after an unclear call is not: the call may have been executed.
+        reply = await self.directory.ask(job, submission, timeout_s, CALL_TIMEOUT_S + len(request.body) / 20e6)
         if not isinstance(reply, Failure):
             client.respond(HTTPStatus.ACCEPTED)
         elif reply.maybe_done:
@@ -72,17 +73,19 @@
         elif reply.code is Code.BAD_JOB:
             client.respond(HTTPStatus.BAD_REQUEST)
         else:
-            client.respond_unavailable(RETRY_S)
+            client.respond_unavailable(RETRY_AFTER_S)
 
     async def _read(self, request: http1.Request, client: Client, job: str) -> None:
-        query = parse_qs(text(request.target.partition(b"?")[2]))
-        past = whole_number(query.get("past", ["0"])[0].encode())
+        query = parse_qs(decode_latin1(request.target.partition(b"?")[2]))
+        past = parse_number(query.get("past", ["0"])[0].encode())
         if past is None:
             client.respond(HTTPStatus.BAD_REQUEST)
             return
-        wait_ms = min(MAX_WAIT_MS, whole_number(request.headers.get(b"wait-ms")) or 0)
+        wait_ms = min(MAX_WAIT_MS, parse_number(request.headers.get(b"wait-ms")) or 0)
         wait_s = wait_ms / 1000
-        reply = await self.directory.ask(job, ReadJob(job, past, wait_ms), READ_TIMEOUT_S + wait_s, CALL_S + wait_s)
+        reply = await self.directory.ask(
+            job, ReadJob(job, past, wait_ms), READ_TIMEOUT_S + wait_s, CALL_TIMEOUT_S + wait_s
+        )
         if isinstance(reply, JobResults):
             body = b'{"total":%d,"nextCursor":%d,"results":[%s]}' % (reply.total, reply.next_cursor, reply.body)
             client.respond(HTTPStatus.OK, JSON, body)
@@ -90,24 +93,24 @@
             self._missing(reply, client)
 
     async def _item(self, request: http1.Request, client: Client, job: str) -> None:
-        item = parse_qs(text(request.target.partition(b"?")[2])).get("id", [""])[0]
-        reply = await self.directory.ask(job, ReadItem(job, item), READ_TIMEOUT_S, CALL_S)
+        item = parse_qs(decode_latin1(request.target.partition(b"?")[2])).get("id", [""])[0]
+        reply = await self.directory.ask(job, ReadItem(job, item), READ_TIMEOUT_S, CALL_TIMEOUT_S)
         if isinstance(reply, ItemBody):
             client.respond(HTTPStatus.OK, {b"content-type": b"application/octet-stream"}, reply.body)
         else:
             self._missing(reply, client)
 
     async def _end(self, client: Client, job: str) -> None:
-        reply = await self.directory.ask(job, EndJob(job), CALL_S, CALL_S)
+        reply = await self.directory.ask(job, EndJob(job), CALL_TIMEOUT_S, CALL_TIMEOUT_S)
         if isinstance(reply, Done) or isinstance(reply, Failure) and reply.code is Code.JOB_ENDED:
             client.respond(HTTPStatus.OK)
         else:
             self._missing(reply, client)
 
     def _missing(self, reply: object, client: Client) -> None:
-        """404 only on the word of the job store node that serves the batch job; in doubt 503."""
+        """Respond 404 if the job store node that serves the batch job has reported it unknown or ended, else 503."""
         gone = isinstance(reply, Failure) and reply.code in (Code.UNKNOWN_JOB, Code.UNKNOWN_ITEM, Code.JOB_ENDED)
         if gone:
             client.respond(HTTPStatus.NOT_FOUND)
         else:
-            client.respond_unavailable(RETRY_S)
+            client.respond_unavailable(RETRY_AFTER_S)
--- a/otterreach/proxy/directory.py
+++ b/otterreach/proxy/directory.py
@@ -1,7 +1,8 @@
-"""The job store nodes as a proxy sees them: which of them owns which partition, and how new that knowledge is.
+"""A proxy's directory of the job store nodes: the owner of each partition, and when the owner last confirmed it.
 
-Each is pinged again and again (ping_schedule.py). What its Pong tells of a partition is true as of the time it names.
-Right before an item goes to a server that time must not be long ago: nothing of an ended batch job goes out late.
+Each node is pinged periodically (ping_schedule.py). Its pong confirms ownership of partitions as of a time derived from
+the pong. An item is sent to a server only if its partition was confirmed recently, so that no item of an ended batch
+job is sent late.
 """
 
 from __future__ import annotations
@@ -23,10 +24,10 @@
 from otterreach.runtime.settings import Settings
 
 PING_TIMEOUT_S = 0.6
-LEASE_SHARE = 0.4  # of cancelMs: the rest is for what is on its way, and for clocks that run apart
-RETRY_S = 0.04  # between two tries of a call
+LEASE_SHARE = 0.4  # of cancelMs; the rest allows for messages in flight and for clock drift
+RETRY_INTERVAL_S = 0.04  # between attempts of a call
 MIN_TIMEOUT_S = 0.05
-# A call that got one of these was not done, and another node may do it, or the same one a little later.
+# A call that failed with one of these codes was not executed; a retry, at this node or another, may succeed.
 RETRYABLE_CODES = (
     Code.NOT_PRIMARY,
     Code.NOT_SYNCED,
@@ -41,65 +42,65 @@
 
 
 class Caller(Protocol):
-    """What is used of otterreach.runtime.rpc.Endpoint."""
+    """The subset of otterreach.runtime.rpc.Endpoint that is used here."""
 
     async def call(self, address: str, request: Request[ReplyT], timeout_s: float, /) -> ReplyT | Failure:
-        """The reply of whoever listens at host:port."""
+        """Return the reply of the node that listens at host:port."""
 
     async def link(self, address: str, /) -> Link | Failure:
-        """The connection to host:port."""
+        """Return the connection to host:port."""
 
     def on(self, kind: type[MessageT], handler: Callable[[Link, MessageT], Awaitable[Any]], /) -> None:
-        """Handle messages of this kind."""
+        """Register the handler of messages of this kind."""
 
     def spawn(self, work: Coroutine[Any, Any, T], /) -> asyncio.Task[T]:
-        """Run in the background."""
+        """Run a coroutine in the background."""
 
 
 class ItemHolder(Protocol):
-    """Who runs the items of this proxy."""
+    """The component that runs the items of this proxy."""
 
     def load(self) -> ItemLoad:
-        """What is at hand."""
+        """Return the load to report to the job store nodes."""
 
     def end_job(self, job: str) -> None:
-        """A Pong says that this batch job has ended."""
+        """Handle the end of a batch job, as reported by a pong."""
 
     def report_running(self, partition: int, address: str) -> None:
-        """A partition has moved to this job store node, which has to know what runs here."""
+        """Report the running items of a partition to the job store node that has taken it over."""
 
     def on_confirmed(self) -> None:
-        """A Pong has come: more items may go out now."""
+        """Handle a pong, which may allow more items to be sent."""
 
 
 class NoItems:
-    """The holder of one that only reads and submits batch jobs."""
+    """An item holder without items, for a component that only reads and submits batch jobs."""
 
     def load(self) -> ItemLoad:
-        """No slots."""
+        """Return a load without slots."""
         return ItemLoad(0, 0)
 
     def end_job(self, job: str) -> None:
-        """Nothing of it is here."""
+        """Do nothing: there are no items to cancel."""
 
     def report_running(self, partition: int, address: str) -> None:
-        """Nothing runs here."""
+        """Do nothing: there are no running items."""
 
     def on_confirmed(self) -> None:
-        """Nothing waits here."""
+        """Do nothing: there are no waiting items."""
 
 
 @dataclass(slots=True)
 class PartitionOwner:
-    """Who says that it serves a partition, and as of when."""
+    """The node that claims to serve a partition, and the time of its last confirmation."""
 
     epoch: int
     address: str
-    as_of: float  # on this proxy's steady clock
+    as_of: float  # on this proxy's monotonic clock
 
 
 class JobStoreDirectory:
-    """Which job store nodes serve which batch jobs, kept fresh by pings."""
+    """Maps batch jobs to the job store nodes that serve them, refreshed by pings."""
 
     def __init__(self, fleet: Fleet, endpoint: Caller, settings: Settings, holder: ItemHolder) -> None:
         self.fleet = fleet
@@ -112,10 +113,10 @@
         self._holder = holder
         self._schedule = PingSchedule(fleet.draw.random)
         self._incarnation = fleet.draw.random.getrandbits(48) + 1
-        self._pings_in_flight: set[str] = set()  # addresses whose Pong is still out
+        self._pings_in_flight: set[str] = set()  # addresses with an unanswered ping
 
     async def run(self) -> None:
-        """For ever: ping whoever is due."""
+        """Ping the nodes that are due, until cancelled."""
         while True:
             load = self._holder.load()
             addresses = self.store_addresses()
@@ -124,7 +125,7 @@
             await asyncio.sleep(SHORT_INTERVAL_S)
 
     def _urgent(self, load: ItemLoad, addresses: list[str]) -> set[str]:
-        """The nodes that serve the batch jobs at hand; all of them where it isn't known who does."""
+        """Return the nodes that serve the batch jobs with items here, or all nodes if one of them is unknown."""
         serving = set()
         for job in load.jobs:
             address = self.address_of(job)
@@ -134,24 +135,27 @@
         return serving
 
     def ping_soon(self, address: str) -> None:
-        """Ping now, unless an answer of this node is still out."""
+        """Ping a node now, unless a ping to it is still unanswered."""
         if address not in self._pings_in_flight:
             self._pings_in_flight.add(address)
             self.endpoint.spawn(self._ping(address))
 
     def ping_all(self) -> None:
-        """Let all nodes know the load as it is now: assigning has to stop, say."""
+        """Report the current load to all nodes, for example to stop assignments at shutdown."""
         for address in self.store_addresses():
             self.ping_soon(address)
 
     def confirm(self, job: str, address: str) -> None:
-        """Items of a batch job have been assigned by this node: they may go out once it has answered a ping."""
+        """Ping the node that has assigned items of a batch job, so that its pong allows them to be sent.
+
+        There is no ping if the node has confirmed the partition within SHORT_INTERVAL_S.
+        """
         owner = self.owners.get(partition_of(job))
         if owner is None or owner.address != address or self.loop.time() - owner.as_of > SHORT_INTERVAL_S:
             self.ping_soon(address)
 
     def store_addresses(self) -> list[str]:
-        """The addresses of all job store nodes."""
+        """Return the addresses of all job store nodes."""
         members = self.store.records(MemberRecord).values()
         return [member.address for member in members if member.role == MemberRole.JOB_STORE]
 
@@ -181,7 +185,7 @@
         )
 
     def _apply(self, address: str, sent: float, pong: ProxyPong) -> None:
-        """What a Pong tells; `sent` is when its ping left."""
+        """Apply a pong. `sent` is the time at which its ping was sent."""
         for job in pong.ended:
             self._holder.end_job(job)
         for served in pong.served:
@@ -194,18 +198,21 @@
                 self._holder.report_running(served.partition, address)
 
     def is_confirmed_recently(self, job: str) -> bool:
-        """Whether it was known a short while ago that the batch job may go on."""
+        """Return True if the owner of the batch job's partition has confirmed it within `lease_s`."""
         owner = self.owners.get(partition_of(job))
         return owner is not None and self.loop.time() - owner.as_of < self.lease_s
 
     def newest_epoch(self, partition: int) -> int:
-        """The newest epoch of a partition that is known here, by the control state or by what the nodes say."""
+        """Return the newest known epoch of a partition, from the control state or from pongs."""
         record = self.store.record(PartitionRecord, str(partition))
         owner = self.owners.get(partition)
         return max(record.epoch if record else 0, owner.epoch if owner else 0)
 
     def address_of(self, job: str) -> str | None:
-        """The job store node that serves a batch job: by the control state, else by what the nodes say."""
+        """Return the address of the node that serves a batch job.
+
+        The control state decides, unless a pong has named a newer epoch.
+        """
         partition = partition_of(job)
         record = self.store.record(PartitionRecord, str(partition))
         owner = self.owners.get(partition)
@@ -216,25 +223,27 @@
         member = self.store.record(MemberRecord, node_of(record.primary))
         return member.address if member else None
 
-    async def ask(self, job: str, value: Request[ReplyT], within_s: float, each_s: float) -> ReplyT | Failure:
-        """A call to whoever serves the batch job, repeated within the time while it surely was not done.
+    async def ask(self, job: str, value: Request[ReplyT], timeout_s: float, call_timeout_s: float) -> ReplyT | Failure:
+        """Call the node that serves the batch job, with retries until `timeout_s` has passed.
+
+        A call is repeated after a failure that is retryable or leaves its execution unclear.
 
-        :returns: a Failure with `maybe_done` if any of the calls may have been done
+        :returns: the reply, or a Failure, which has `maybe_done` if any of the calls may have been executed
         """
-        end = self.loop.time() + within_s
+        end = self.loop.time() + timeout_s
         unclear: Failure | None = None
         last = Failure(Code.UNREACHABLE, "no job store node serves the partition")
         while True:
             address = self.address_of(job)
             left = end - self.loop.time()
             if address:
-                reply = await self.endpoint.call(address, value, min(each_s, max(MIN_TIMEOUT_S, left)))
+                reply = await self.endpoint.call(address, value, min(call_timeout_s, max(MIN_TIMEOUT_S, left)))
                 if not isinstance(reply, Failure):
                     return reply
                 if reply.code not in RETRYABLE_CODES and not reply.maybe_done:
                     return reply if unclear is None else unclear
                 last = reply
                 unclear = reply if reply.maybe_done else unclear
-            if end - self.loop.time() < RETRY_S * 2:
-                return last if unclear is None else unclear  # a Failure is false
-            await asyncio.sleep(RETRY_S)
+            if end - self.loop.time() < RETRY_INTERVAL_S * 2:
+                return last if unclear is None else unclear  # not `unclear or last`: a Failure is falsy
+            await asyncio.sleep(RETRY_INTERVAL_S)
--- a/otterreach/proxy/events.py
+++ b/otterreach/proxy/events.py
@@ -1,4 +1,4 @@
-"""Events of a stream (text/event-stream), read as the bytes come."""
+"""Incremental parser for event streams (text/event-stream), and the transcript of a generated text."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 class Event:
     """One event of a stream."""
 
-    ident: int | None  # None: it has none, or one that is no number
+    ident: int | None  # None: no id, or not a number
     data: bytes
-    version: int | None  # of the weights, where it changes with this event
-    raw: bytes  # as it came, with the empty line that ends it
+    version: int | None  # the weight version, if it changes with this event
+    raw: bytes  # the bytes as received, including the terminating empty line
 
 
 def read_event(raw: bytes) -> Event:
-    """One event, without the empty line that ends it."""
+    """Parse one event, given without the terminating empty line."""
     ident = None
     version = None
     data: list[bytes] = []
@@ -35,7 +35,7 @@
 
 
 class EventReader:
-    """Bytes in, whole events out; what is begun stays until its end has come."""
+    """Splits a byte stream into complete events; buffers an incomplete event."""
 
     __slots__ = ("rest",)
 
@@ -44,58 +44,58 @@
 
     @property
     def partial(self) -> bool:
-        """Whether an event has begun and not ended."""
+        """True if an incomplete event is buffered."""
         return bool(self.rest.strip(b"\n"))
 
     def feed(self, data: bytes) -> list[Event]:
-        """The events that these bytes complete."""
+        """Return the events that these bytes complete."""
         rest = self.rest + data
         if b"\r" in rest:
-            held = b"\r" if rest.endswith(b"\r") else b""  # its line feed may come with the next bytes
-            rest = rest[: len(rest) - len(held)].replace(b"\r\n", b"\n").replace(b"\r", b"\n") + held
+            pending = b"\r" if rest.endswith(b"\r") else b""  # the line feed may follow in the next bytes
+            rest = rest[: len(rest) - len(pending)].replace(b"\r\n", b"\n").replace(b"\r", b"\n") + pending
         if b"\n\n" not in rest:
             self.rest = rest
             return []
-        *whole, self.rest = rest.split(b"\n\n")
-        return [read_event(raw.strip(b"\n")) for raw in whole if raw.strip(b"\n")]
+        *complete, self.rest = rest.split(b"\n\n")
+        return [read_event(raw.strip(b"\n")) for raw in complete if raw.strip(b"\n")]
 
 
 def versions_of(value: bytes | None) -> int | None:
-    """The version that a head's Weight-Versions names; the last if there are several."""
+    """Return the version named by a Weight-Versions header; the last one if there are several."""
     numbers = [part.strip() for part in (value or b"").split(b",")]
     return int(numbers[-1]) if numbers[-1].isdigit() else None
 
 
 class Transcript:
-    """The events of one run, over all servers that made it: in order, none missing, none twice."""
+    """The events of one generated text across all servers that generated it: in order, without gaps or duplicates."""
 
     __slots__ = ("_data", "broken", "last", "version", "versions")
 
     def __init__(self) -> None:
         self._data: list[bytes] = []
         self.last: int | None = None  # the id of the last event
-        self.version: int | None = None  # under which events are being made
-        self.versions: list[int] = []  # each that made an event
-        self.broken = False  # an event does not join on: this run is of no more use
+        self.version: int | None = None  # the weight version of the next events
+        self.versions: list[int] = []  # all versions that generated an event
+        self.broken = False  # an event was out of sequence: the text can't be continued
 
     def __len__(self) -> int:
         return len(self._data)
 
     @property
     def text(self) -> bytes:
-        """What has been generated so far."""
+        """The text generated so far."""
         return b"\n".join(self._data)
 
-    def take(self, event: Event) -> bool:
-        """Whether it is the next one; any other spoils the run.
+    def append(self, event: Event) -> bool:
+        """Append the next event and return True; an event out of sequence breaks the transcript.
 
-        Danger: an event that is here already means that the server did not go on where it was asked to, so what follows
-        belongs to another run.
+        A duplicate event is not skipped: it means that the server did not resume where it was asked to, so the events
+        that follow belong to a different text.
         """
         if event.version is not None:
             self.version = event.version
-        joins = not self._data or event.ident == (None if self.last is None else self.last + 1)
-        if self.broken or not joins:
+        is_next = not self._data or event.ident == (None if self.last is None else self.last + 1)
+        if self.broken or not is_next:
             self.broken = True
             return False
         self.last = event.ident
--- a/otterreach/proxy/exchange.py
+++ b/otterreach/proxy/exchange.py
@@ -1,6 +1,7 @@
-"""One attempt at one server, from the connection to the last byte of the answer.
+"""One attempt at one server, from acquiring a connection to the last byte of the answer.
 
-Its outcome never says 'not run' of what may have run. Nothing here sends anything twice.
+An outcome is NOT_EXECUTED only if the server certainly has not executed the request. An exchange sends its request at
+most once.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 from otterreach.proxy.pools import IDLE_MARGIN_S, Connection, Pool
 from otterreach.sidecar import http1
 
-FORGOTTEN_CONNECTION_S = 0.05  # a kept connection that ends so soon after a request, unanswered, had been forgotten
+STALE_CONNECTION_S = 0.05  # a reused connection that is lost this soon, unanswered, was stale
 Headers = dict[bytes, bytes]
-# Headers that concern one connection, and those that are written anew for each attempt or answer.
+# Hop-by-hop headers, and headers that are regenerated for each attempt or answer.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -36,44 +37,48 @@
 
 
 class Execution(Enum):
-    """Whether the server has executed the request."""
+    """What an outcome proves about the execution of the request."""
 
-    ANSWERED = auto()  # the server's whole answer
-    NOT_EXECUTED = auto()  # the server has not run the request, and will not
+    ANSWERED = auto()  # the server has sent a complete answer
+    NOT_EXECUTED = auto()  # the server has not executed the request and never will
     MAY_HAVE_EXECUTED = auto()
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What came of an attempt. `status` and `headers` also stand where the answer broke off after its head."""
+    """The outcome of an attempt. `status` and `headers` are also set if the answer was truncated after its head."""
 
     execution: Execution
     reason: str = ""
     status: int = 0
     headers: Headers = field(default_factory=dict)
     body: bytes = b""
-    sent: bool = False  # it was written, whole or in part, to a server
+    sent: bool = False  # at least part of the request was written to a server
     timed_out: bool = False
-    took_s: float = 0.0  # from the write to the end
+    took_s: float = 0.0  # from writing the request to the outcome
 
     @property
     def success(self) -> bool:
-        """Whether it is a complete answer with a 2xx status."""
+        """True for a complete answer with a 2xx status."""
         return self.execution is Execution.ANSWERED and 200 <= self.status < 300
 
 
 @dataclass(slots=True)
 class Outbound:
-    """A request as it goes to servers; the same for each attempt but for what `encode` is given."""
+    """A request as sent to servers. All attempts share it; `encode` adds the headers of one attempt."""
 
     method: bytes
     target: bytes
-    headers: Headers  # without those of HOP and OWN
+    headers: Headers  # without HOP_BY_HOP_HEADERS and PROXY_HEADERS
     body: bytes
     request_id: bytes
 
     def encode(self, server: str, left_s: float, extra: Headers) -> bytes:
-        """The bytes of an attempt. `left_s`: the deadline announced to the server; `extra`: headers of this attempt."""
+        """Return the bytes of one attempt.
+
+        :param left_s: time left, announced to the server in Deadline-Ms
+        :param extra: headers of this attempt; they replace client headers of the same name
+        """
         lines = [self.method + b" " + self.target + b" HTTP/1.1"]
         lines += [name + b": " + value for name, value in self.headers.items() if name not in extra]
         lines += [name + b": " + value for name, value in extra.items()]
@@ -85,13 +90,16 @@
 
 
 def end_to_end_headers(headers: Headers, without: frozenset[bytes] = HOP_BY_HOP_HEADERS | PROXY_HEADERS) -> Headers:
-    """A client's headers for a server: all but those of one connection, and those that Connection names."""
+    """Return the headers without those in `without` and without those that Connection names."""
     named = {name.strip().lower() for name in headers.get(b"connection", b"").split(b",")}
     return {name: value for name, value in headers.items() if name not in without and name not in named}
 
 
 class Exchange:
-    """An attempt. `wanted` is asked right before the write: whatever has changed meanwhile decides there."""
+    """One attempt at a server.
+
+    `may_write` is called right before the request is written, so that changes during connection setup still prevent it.
+    """
 
     def __init__(
         self,
@@ -99,7 +107,7 @@
         server: str,
         outbound: Outbound,
         deadline: float,
-        wanted: Callable[[], bool],
+        may_write: Callable[[], bool],
         extra: Headers | None = None,
         on_head: Callable[[int, Headers], None] | None = None,
         on_body: Callable[[bytes], None] | None = None,
@@ -110,12 +118,12 @@
         self.server = server
         self.outbound = outbound
         self.deadline = deadline
-        self.wanted = wanted
+        self.may_write = may_write
         self.extra = extra or {}
         self.fresh_only = fresh_only
         self.loop = pool.loop
         self.started = self.loop.time()
-        self.last_received_at = self.started  # when a byte last came
+        self.last_received_at = self.started  # time of the last received byte
         self.sent_at = 0.0
         self._announced_deadline = (
             deadline if announced_time_s is None else self.started + announced_time_s
@@ -125,31 +133,32 @@
         self._body_chunks: list[bytes] = []
         self._status = 0
         self._headers: Headers = {}
-        self._is_foreign = False
+        self._is_mismatched = False
         self._connection: Connection | None = None
         self._parser: http1.ResponseParser | None = None
         self._done: asyncio.Future[Outcome] = self.loop.create_future()
 
     @property
     def is_done(self) -> bool:
-        """Whether there is an outcome."""
+        """True once there is an outcome."""
         return self._done.done()
 
     async def run(self) -> Outcome:
-        """The attempt, to its end. Cancelled, it takes its connection with it."""
+        """Run the attempt and return its outcome. Cancellation closes the connection."""
         try:
             return await self._run()
         finally:
-            self._done.cancel()  # of no effect on an outcome
+            self._done.cancel()  # no effect if there is an outcome
             self._drop()
 
     async def _run(self) -> Outcome:
-        connection = await self.pool.take(self.deadline - self.loop.time(), self.fresh_only)
+        connection = await self.pool.acquire(self.deadline - self.loop.time(), self.fresh_only)
         if connection is None:
             return Outcome(Execution.NOT_EXECUTED, "no_connection", timed_out=self.loop.time() >= self.deadline)
-        # Danger: in a loop that is behind, or after standing still, all may have changed while connecting.
+        # While connecting, in a delayed event loop or a paused process, the deadline may have passed, or the request or
+        # the server may have become unwanted.
         left = self._announced_deadline - self.loop.time()
-        if self.loop.time() >= self.deadline or left <= 0 or not self.wanted():
+        if self.loop.time() >= self.deadline or left <= 0 or not self.may_write():
             connection.release()
             return Outcome(Execution.NOT_EXECUTED, "unwanted")
         self._connection = connection
@@ -163,7 +172,7 @@
             timer.cancel()
 
     def give_up(self, reason: str, timed_out: bool = False) -> None:
-        """Stop waiting."""
+        """End the attempt without waiting for the rest of the answer; no effect before a connection is acquired."""
         if self._done.done():
             return
         unwritten = self._connection is not None and self._connection.unwritten
@@ -173,7 +182,7 @@
         self._end(Outcome(execution, reason, self._status, self._headers, sent=not unwritten, timed_out=timed_out))
 
     def _drop(self) -> None:
-        """Let go of connection and parser; a connection still in use closes with what was on it."""
+        """Release the parser and close a connection that is still in use, discarding its unsent data."""
         if self._connection:
             self._connection.discard()
             self._connection = None
@@ -192,31 +201,31 @@
             outcome.took_s = self.loop.time() - (self.sent_at or self.started)
             self._done.set_result(outcome)
 
-    def received(self, data: bytes) -> None:
-        """Bytes have come from the server."""
+    def on_data(self, data: bytes) -> None:
+        """Process bytes from the server."""
         self.last_received_at = self.loop.time()
         if self._parser is None or self._done.done():
             return
         response = self._parser.feed(data)
-        if self._done.done():  # a listener has given up meanwhile
+        if self._done.done():  # a callback has ended the exchange
             return
-        if self._is_foreign:
+        if self._is_mismatched:
             self._fail("foreign_answer")
-        elif self._status and self.outbound.method == b"HEAD":  # its length is that of a body that never comes
+        elif self._status and self.outbound.method == b"HEAD":  # no body follows, whatever Content-Length says
             self._answered(http1.Response(self._status, self._headers, b"", False))
         elif response:
             self._answered(response)
         elif self._parser.broken:
             self._fail("broken_answer")
 
-    def lost(self, unwritten: bool) -> None:
-        """The connection is gone."""
+    def on_connection_lost(self, unwritten: bool) -> None:
+        """End the exchange after the loss of its connection."""
         connection = self._connection
         self._connection = None
         if not self._done.done():
             execution = Execution.NOT_EXECUTED if unwritten else Execution.MAY_HAVE_EXECUTED
-            kept = connection is not None and connection.used > 1 and not self._status
-            reason = "forgotten" if kept and self.loop.time() - self.sent_at < FORGOTTEN_CONNECTION_S else "closed"
+            is_reused = connection is not None and connection.use_count > 1 and not self._status
+            reason = "forgotten" if is_reused and self.loop.time() - self.sent_at < STALE_CONNECTION_S else "closed"
             self._end(Outcome(execution, reason, self._status, self._headers, sent=not unwritten))
 
     def _fail(self, reason: str) -> None:
@@ -226,11 +235,15 @@
         self._end(Outcome(execution, reason, self._status, self._headers, sent=True))
 
     def _head(self, status: int, headers: Headers) -> None:
-        """Danger: an extra answer to an earlier request may come in this one's place; the id tells."""
+        """Process the head of an answer.
+
+        A surplus answer to an earlier request may arrive in place of this request's answer. It is recognized by its
+        Request-Id; an answer without one is accepted only on a connection that has carried no other request.
+        """
         ident = headers.get(b"request-id")
-        first = self._connection is not None and self._connection.used == 1
+        first = self._connection is not None and self._connection.use_count == 1
         if ident != self.outbound.request_id and (ident is not None or not first):
-            self._is_foreign = True
+            self._is_mismatched = True
             return
         self._status = status
         self._headers = headers
@@ -240,7 +253,7 @@
             self._on_head(status, headers)
 
     def _body(self, data: bytes) -> None:
-        if self._is_foreign or self._done.done():
+        if self._is_mismatched or self._done.done():
             return
         if self._on_body and 200 <= self._status < 300:
             self._on_body(data)
@@ -255,11 +268,12 @@
         headers = response.headers
         not_run = b"not-run" in headers or status == HTTPStatus.MISDIRECTED_REQUEST
         if connection.unwritten and not not_run and b"request-id" not in headers:
-            # Danger: a server may answer before it has read a long body, and its answer bears the request's id. One
-            # without any is of the connection: it has not got the request.
+            # A server may answer before it has read a long body; such an answer carries the request's id. An answer
+            # without an id concerns the connection: the server has not received the request.
             self._end(Outcome(Execution.NOT_EXECUTED, "early_answer", sent=True))
             return
-        # Danger: a second copy of a failure would pass for the answer to the next attempt, which has the same id.
+        # A connection is not reused after a failure: a duplicate of the failure would be taken for the answer to the
+        # next attempt, which has the same id.
         reusable = response.keep_alive and not connection.unwritten and (not_run or status < 500)
         if not_run:
             reason = "wrong_server" if status == HTTPStatus.MISDIRECTED_REQUEST else "turned_away"
@@ -271,7 +285,7 @@
 
 
 def keep_alive_s(headers: Headers) -> float | None:
-    """The time that Keep-Alive tells, in seconds."""
+    """Return the timeout of the Keep-Alive header in seconds, or None if it has none."""
     for part in headers.get(b"keep-alive", b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.strip().lower() == b"timeout" and value.strip().isdigit():
--- a/otterreach/proxy/figures.py
+++ b/otterreach/proxy/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a proxy: requests, attempts at model servers, items by phase."""
+"""The metrics of a proxy: requests, attempts at model servers, items by phase."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def proxy_figures(proxy: Proxy) -> Iterable[Figure | Histogram]:
-    """Of one proxy."""
+    """Yield the metrics of one proxy."""
     ingress = proxy.ingress
     yield Figure("ready", "1 while the proxy takes requests.", proxy.ready)
     yield Figure("configuration_version", "The configuration in force here.", proxy.fleet.config.version)
--- a/otterreach/proxy/fleet.py
+++ b/otterreach/proxy/fleet.py
@@ -1,7 +1,7 @@
-"""The servers there are, as the store has them, with what this proxy has learned of each.
+"""The model servers in the control state, each with this proxy's connection pool and estimates.
 
-A server is an incarnation: its id. What is learned ends with it. Whether one may get a request is asked here, each
-time anew and again at the moment of the write.
+A server stands for one incarnation, identified by its id; its estimates are discarded with it. Eligibility for a
+request is evaluated for every attempt, and again right before the request is written.
 """
 
 from __future__ import annotations
@@ -21,24 +21,25 @@
 from otterreach.runtime.store import Item, ReplicatedStore, Watcher
 from otterreach.sidecar.transport import open_tcp
 
-CONNECTION_LIMIT_SHARE = 0.9  # of maxConns: all proxies together stay below it
+CONNECTION_LIMIT_SHARE = 0.9  # of maxConns: keeps all proxies together below the limit
 MIN_CONNECTIONS = 2
-DEFAULT_CONNECTIONS = 64  # for each proxy, where the configuration bounds nothing
+DEFAULT_CONNECTIONS = 64  # per proxy, where the configuration sets no limit
 SWEEP_INTERVAL_S = 0.5
-NOT_SERVER_FAULTS = ("unwanted", "wrong_server", "forgotten")  # of a server: says nothing of its speed
+# Outcomes that say nothing about the server's speed.
+NON_SERVER_FAULT_REASONS = ("unwanted", "wrong_server", "forgotten")
 
 
 class Server:
-    """One incarnation of a server."""
+    """One incarnation of a model server."""
 
-    __slots__ = ("cap", "estimate", "id", "pool", "service", "state", "versions", "wrong", "zone")
+    __slots__ = ("cap", "estimate", "id", "is_misdirected", "pool", "service", "state", "versions", "zone")
 
     def __init__(self, ident: str, record: ServerRecord, pool: Pool) -> None:
         self.id = ident
         self.pool = pool
         self.estimate = Estimate()
-        self.wrong = False  # its address belongs to another incarnation
-        self.versions: dict[str, int] = {}  # by model: the version of its weights; it only rises
+        self.is_misdirected = False  # the address now belongs to another incarnation
+        self.versions: dict[str, int] = {}  # weight version by model; versions never decrease
         self.service = ""
         self.zone = ""
         self.state = ""
@@ -46,7 +47,7 @@
         self.update(record)
 
     def update(self, record: ServerRecord) -> None:
-        """Its record in the control state is new."""
+        """Apply a changed record of the control state."""
         self.service = record.service
         self.zone = record.zone
         self.cap = max(1, record.capacity)
@@ -55,13 +56,13 @@
             self.learn_version(model.name, model.version)
 
     def learn_version(self, model: str, version: int) -> None:
-        """It has at least this version of a model."""
+        """Record that the server has at least this version of a model."""
         self.versions[model] = max(version, self.versions.get(model, 0))
 
     @property
     def open(self) -> bool:
-        """Whether anything new may be sent to it."""
-        return self.state == ServerState.UP and not self.wrong and not self.pool.closed
+        """True if new requests may be sent to the server."""
+        return self.state == ServerState.UP and not self.is_misdirected and not self.pool.closed
 
 
 def _address(text: str) -> tuple[str, int]:
@@ -70,9 +71,9 @@
 
 
 class Fleet:
-    """Configuration and servers, kept in step with the store.
+    """The configuration and the model servers, kept in sync with the control state.
 
-    More than 20 methods: the configuration and the servers that it allows change together.
+    The class has more than 20 methods because the configuration and the servers that it allows change together.
     """
 
     def __init__(
@@ -87,17 +88,17 @@
         self.opener = opener
         self.draw = Draw(random)
         self.config = Configuration()
-        self.outcomes: Counter[str] = Counter()  # of attempts, by what ended them
+        self.outcomes: Counter[str] = Counter()  # attempts by reason or outcome
         self.servers: dict[str, Server] = {}
-        self.runners = 1  # proxies that run items
-        self.on_change: list[Callable[[], None]] = []  # told after each change
+        self.runners = 1  # number of proxies that run items
+        self.on_change: list[Callable[[], None]] = []  # called after each change
         self._notification_scheduled = False
         self._watch(ConfigurationRecord, self._configuration_changed)
         self._watch(ServerRecord, self._server_changed)
         self._watch(MemberRecord, self._member_changed)
 
     def _watch(self, kind: type[Record], watcher: Watcher) -> None:
-        """Call the watcher for what is there, and for each change."""
+        """Call the watcher for the existing items of this kind and for each change."""
         self.store.watch(kind, watcher)
         for item in [item for item in self.store.items.values() if item.kind == kind.KIND]:
             watcher(item)
@@ -105,7 +106,7 @@
     def _configuration_changed(self, item: Item) -> None:
         self.config = configuration_module.read(self.store.record(ConfigurationRecord))
         log("config", version=self.config.version, routes=len(self.config.routes))
-        self._share_connections()
+        self._update_connection_limits()
         self._notify_soon()
 
     def _server_changed(self, item: Item) -> None:
@@ -127,7 +128,7 @@
             server.update(record)
         if server.state != ServerState.UP:
             server.pool.close()
-        self._share(server)
+        self._set_connection_limit(server)
         self._notify_soon()
 
     def _member_changed(self, item: Item) -> None:
@@ -135,21 +136,21 @@
         proxies = sum(member.role == MemberRole.PROXY for member in members)
         if proxies != self.draw.proxies:
             self.draw.proxies = max(1, proxies)
-            self._share_connections()
+            self._update_connection_limits()
         self._notify_soon()
 
-    def _share_connections(self) -> None:
+    def _update_connection_limits(self) -> None:
         for server in self.servers.values():
-            self._share(server)
+            self._set_connection_limit(server)
 
-    def _share(self, server: Server) -> None:
+    def _set_connection_limit(self, server: Server) -> None:
         service = self.config.services.get(server.service)
-        most = service.max_connections if service else 0
-        share = int(most * CONNECTION_LIMIT_SHARE / self.senders_to(server.service)) if most else DEFAULT_CONNECTIONS
-        server.pool.most = max(MIN_CONNECTIONS, share)
+        limit = service.max_connections if service else 0
+        share = int(limit * CONNECTION_LIMIT_SHARE / self.senders_to(server.service)) if limit else DEFAULT_CONNECTIONS
+        server.pool.max_connections = max(MIN_CONNECTIONS, share)
 
     def _notify_soon(self) -> None:
-        """Have the listeners called once, after the many items that come at a time."""
+        """Schedule one call of the listeners for all items of a batch of changes."""
         if not self._notification_scheduled:
             self._notification_scheduled = True
             self.loop.call_soon(self._notify)
@@ -161,33 +162,33 @@
 
     @property
     def proxies(self) -> int:
-        """How many proxies there are, this one included."""
+        """The number of proxies, including this one."""
         return self.draw.proxies
 
     def set_runner_count(self, runners: int) -> None:
-        """So many proxies run items."""
+        """Set the number of proxies that run items and adapt the connection limits."""
         if runners != self.runners:
             self.runners = runners
-            self._share_connections()
+            self._update_connection_limits()
 
     def senders_to(self, service: str) -> int:
-        """How many proxies send to a service."""
+        """Return the number of proxies that send requests to a service."""
         return self.runners if service in self.config.item_services else self.proxies
 
-    def slots_of(self, services: Collection[str]) -> int:
-        """The slots of all servers of these services that take requests."""
+    def total_slots(self, services: Collection[str]) -> int:
+        """Return the total slots of the open servers of these services."""
         return sum(s.cap for s in self.servers.values() if s.service in services and s.open)
 
-    def allowed(
+    def candidates(
         self, route: Route, tried: Collection[str] = (), fits: Callable[[Server], bool] | None = None
     ) -> list[Server]:
-        """The servers that configuration and list allow for the route, by the weights of a split.
+        """Return the eligible servers of a route, of one service drawn by the weights of a split.
 
-        Those already tried only if there are no others.
+        Servers in `tried` are returned only if there are no others.
         """
         by_service: dict[str, list[Server]] = {}
         for server in self.servers.values():
-            if server.open and server.pool.room and (fits is None or fits(server)):
+            if server.open and server.pool.has_capacity and (fits is None or fits(server)):
                 by_service.setdefault(server.service, []).append(server)
         split = [(name, weight) for name, weight in route.split if by_service.get(name)]
         if not split:
@@ -199,8 +200,8 @@
     def pick(
         self, route: Route, tried: Collection[str] = (), fits: Callable[[Server], bool] | None = None
     ) -> Server | None:
-        """The draw."""
-        servers = self.allowed(route, tried, fits)
+        """Draw one of the eligible servers of a route; return None if there is none."""
+        servers = self.candidates(route, tried, fits)
         if not servers:
             return None
         estimates = [server.estimate for server in servers]
@@ -209,7 +210,7 @@
         return servers[self.draw.pick(estimates, self.loop.time(), without_idle, senders_to)]
 
     def may_write(self, server: Server, host: str, path: str) -> bool:
-        """By the newest that is known: the request's route is there, and allows this server, which takes requests."""
+        """Return True if the newest configuration routes the request to this server and the server is open."""
         if not server.open or self.servers.get(server.id) is not server:
             return False
         route = self.config.route(host, path)
@@ -220,20 +221,20 @@
         server: Server,
         outbound: Outbound,
         deadline: float,
-        wanted: Callable[[], bool],
+        may_write: Callable[[], bool],
         extra: Headers | None = None,
         on_head: Callable[[int, Headers], None] | None = None,
         on_body: Callable[[bytes], None] | None = None,
         fresh_only: bool = False,
         announced_time_s: float | None = None,
     ) -> Exchange:
-        """An attempt at a server, not yet started: see Exchange."""
+        """Create an exchange with a server without starting it; for the parameters see Exchange."""
         return Exchange(
-            server.pool, server.id, outbound, deadline, wanted, extra, on_head, on_body, fresh_only, announced_time_s
+            server.pool, server.id, outbound, deadline, may_write, extra, on_head, on_body, fresh_only, announced_time_s
         )
 
     async def attempt(self, server: Server, exchange: Exchange) -> Outcome:
-        """Run an exchange and update its server's estimates, the response time excepted."""
+        """Run an exchange and update the load estimate of its server; the caller records the response time."""
         server.estimate.record_sent()
         try:
             outcome = await exchange.run()
@@ -242,26 +243,26 @@
         self.outcomes[outcome.reason or outcome.execution.name.lower()] += 1
         server.estimate.record_reported_load(outcome.headers.get(b"server-load"), self.loop.time())
         if outcome.execution is Execution.NOT_EXECUTED and outcome.reason == "wrong_server":
-            self._misdirected(server, outcome)
+            self._record_misdirected(server, outcome)
         return outcome
 
     def record_failed_attempt(self, server: Server, route: str, outcome: Outcome, timeout_s: float) -> None:
-        """A failed attempt enters the estimate of its server, if it is the server's."""
+        """Add a failed attempt to the estimate of its server if the server caused the failure."""
         now = self.loop.time()
         if outcome.reason == "turned_away":
             self.draw.record_rejection(server.estimate, now)
-        elif outcome.reason not in NOT_SERVER_FAULTS:
+        elif outcome.reason not in NON_SERVER_FAULT_REASONS:
             self.draw.record_failure(server.estimate, route, timeout_s, now)
 
-    def _misdirected(self, server: Server, outcome: Outcome) -> None:
+    def _record_misdirected(self, server: Server, outcome: Outcome) -> None:
         other = outcome.headers.get(b"server-id", b"").decode("latin-1")
         if other and other != server.id:
-            server.wrong = True
+            server.is_misdirected = True
             server.pool.close()
             log("wrong_server", server=server.id, found=other)
 
     async def sweep(self) -> None:
-        """Close idle connections in time; for ever."""
+        """Close connections that have been idle for too long, periodically until cancelled."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
             for server in self.servers.values():
--- a/otterreach/proxy/ingress.py
+++ b/otterreach/proxy/ingress.py
@@ -1,4 +1,4 @@
-"""The clients' side: connections in, whole requests to a handler, answers out in order."""
+"""The HTTP listener for clients: passes complete requests to a handler and writes answers in order."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 BACKLOG = 1024
 MAX_PIPELINED = 8  # requests read ahead on one connection
 SWEEP_INTERVAL_S = 0.25
-LINGER_S = 1.0  # after an error: for its client to read why
-UNREAD_TIMEOUT_S = 10.0  # an answer that its client does not read
-MAX_UNREAD_BYTES = 8 * 1024 * 1024  # of a stream
+LINGER_S = 1.0  # time for the client to read an error answer before the connection is closed
+UNREAD_TIMEOUT_S = 10.0  # time after which an answer that the client does not read is aborted
+MAX_UNREAD_BYTES = 8 * 1024 * 1024  # buffered bytes at which a streamed answer is aborted
 SINGLE_VALUE_HEADERS = frozenset(
     (b"content-length", b"transfer-encoding", b"host", b"request-id", b"deadline-ms", b"last-event-id")
 )
@@ -38,9 +38,10 @@
 
 
 class Client(AcceptedConnection):
-    """One connection of a client. It is read all the time: its end is how a client goes away.
+    """One connection of a client. It is read continuously, because end of file is how a client disconnects.
 
-    More than 20 methods: asyncio's callbacks, answers and time-outs all act on the state of the one connection.
+    The class has more than 20 methods because asyncio's callbacks, answers and time-outs all act on the state of the
+    one connection.
     """
 
     def __init__(self, ingress: Ingress) -> None:
@@ -55,45 +56,45 @@
             int(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE),
         )
         self._parser = http1.RequestParser(bounds=bounds)
-        self._queue: deque[tuple[http1.Request, float, float]] = deque()  # with when it began to come, and when whole
+        self._queue: deque[tuple[http1.Request, float, float]] = deque()  # with the times of first byte and completion
         self._task: asyncio.Task[None] | None = None
-        self._closing = False  # nothing more is read
-        self._paused = False  # nothing is read for now
-        self._open = False  # an answer has begun and not ended
+        self._closing = False  # no further input is processed
+        self._paused = False  # reading is paused
+        self._is_streaming = False  # a chunked answer has begun and not ended
         self._request: http1.Request | None = None
         self._loop = asyncio.get_running_loop()
-        self._quiet_since = self._loop.time()  # when bytes last came, or the last answer was out
-        self._begun_at = self._quiet_since  # when the request that is being read began to come
+        self._last_activity_at = self._loop.time()  # time of the last received byte or completed answer
+        self._first_byte_at = self._last_activity_at  # first byte of the request being read
         self._unread_since = 0.0
-        self.begun_at = 0.0  # when the request that is worked on began to come
-        self.came_at = 0.0  # when it was whole
+        self.first_byte_at = 0.0  # first byte of the request being handled
+        self.received_at = 0.0  # last byte of the request being handled
 
     @property
     def is_closed(self) -> bool:
-        """Whether nothing can be sent to the client any more."""
+        """True if nothing can be sent to the client any more."""
         return self._closing or self._transport is None or self._transport.is_closing()
 
-    def has_left(self) -> bool:
-        """The client has gone.
+    def has_disconnected(self) -> bool:
+        """Return True if the client has disconnected, even if its end of file has not been read yet.
 
-        Danger: after a stand-still of this process its end waits in the kernel, behind its request, and what it asked
-        would still be sent on.
+        After a pause of this process the end of file may still be in the kernel behind the request; a check of the
+        transport alone would let the request be forwarded.
         """
         return self.is_closed or self.ended
 
     @property
     def has_pending_answer(self) -> bool:
-        """A request is being answered, or an answer is on its way out."""
+        """True if a request is being handled or queued, or part of an answer is unsent."""
         unsent = self._transport is not None and self._transport.get_write_buffer_size() > 0
         return self._task is not None or bool(self._queue) or unsent
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Register the connection with the ingress."""
         super().connection_made(transport)
         self._ingress.clients.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone: nothing on it is worked on any more."""
+        """Cancel the request being handled and drop the queued ones."""
         self._closing = True
         self._ingress.clients.discard(self)
         self._parser.close()
@@ -102,71 +103,71 @@
             self._task.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
+        """Parse received bytes and queue complete requests."""
         if self._closing or self._parser.error:
             return
         now = self._loop.time()
-        self._quiet_since = now
+        self._last_activity_at = now
         if not self._parser.partial:
-            self._begun_at = now
+            self._first_byte_at = now
         for request in self._parser.feed(data):
-            self._queue.append((request, self._begun_at, now))
-            self._begun_at = now
+            self._queue.append((request, self._first_byte_at, now))
+            self._first_byte_at = now
         if len(self._queue) > MAX_PIPELINED and self._transport:
             self._paused = True
             self._transport.pause_reading()
         if not self._task:
-            self._next()
+            self._start_next()
 
-    def _next(self) -> None:
-        """Work on what has been read, in order."""
+    def _start_next(self) -> None:
+        """Handle the next request that has been read, in order."""
         if self._closing or self._transport is None:
             return
         if not self._queue:
-            self._quiet_since = self._loop.time()
+            self._last_activity_at = self._loop.time()
             if self._parser.error:
                 self._reject(int(self._parser.error))
             else:
-                self._announce()
+                self._send_continue()
             return
-        self._request, self.begun_at, self.came_at = self._queue.popleft()
+        self._request, self.first_byte_at, self.received_at = self._queue.popleft()
         if self._paused and len(self._queue) <= MAX_PIPELINED:
             self._paused = False
             self._transport.resume_reading()
-        self._task = self._loop.create_task(self._work(self._request))
+        self._task = self._loop.create_task(self._handle_request(self._request))
 
-    def _announce(self) -> None:
-        """The client waits to be told to send its body. Danger: not before the answers to what it asked earlier."""
+    def _send_continue(self) -> None:
+        """Send 100 Continue to a client that waits for it, but only after the answers to its earlier requests."""
         if self._parser.wants_continue and self._transport:
             self._parser.wants_continue = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    async def _work(self, request: http1.Request) -> None:
+    async def _handle_request(self, request: http1.Request) -> None:
         try:
             await self._ingress.handler(request, self)
-        except Exception as error:  # a fault in one request ends that request, not the process
+        except Exception as error:  # an error in one request ends that request, not the process
             log("request_failed", level="ERROR", target=request.target.decode("latin-1"), error=repr(error))
             if not self.is_closed and self._request is request:
-                # Danger: nobody knows here whether it ran, so this is no status that promises.
-                self.abort() if self._open else self.respond(int(HTTPStatus.BAD_GATEWAY))
+                # It is unknown whether the request ran, so the status must not claim that it did not.
+                self.abort() if self._is_streaming else self.respond(int(HTTPStatus.BAD_GATEWAY))
         finally:
             self._task = None
         if self._request is request and not self.is_closed:
-            self.abort()  # the handler gave no answer
+            self.abort()  # the handler sent no answer
             return
-        self._next()
+        self._start_next()
 
     def _finish(self) -> None:
-        """The answer is out."""
+        """Complete the current answer; close the connection if it is not kept alive."""
         keep = self._request is not None and self._request.keep_alive
         self._request = None
-        self._ingress.answer_times.observe(self._loop.time() - self.came_at)
+        self._ingress.answer_times.observe(self._loop.time() - self.received_at)
         if self._transport and (not keep or self._ingress.shutting_down and not self._queue):
             self._closing = True
             self._transport.close()
 
-    def _ending(self) -> bytes:
-        """What the head says of the connection."""
+    def _connection_header(self) -> bytes:
+        """Return the header that announces whether the connection is kept alive."""
         keep = self._request is not None and self._request.keep_alive
         if not keep or self._ingress.shutting_down and not self._queue:
             return b"Connection: close\r\n"
@@ -176,10 +177,10 @@
         phrase = http1.PHRASES.get(status, b"Status")
         lines = [b"HTTP/1.1 %d %s" % (status, phrase)]
         lines += [name + b": " + value for name, value in headers.items() if name not in CONNECTION_HEADERS]
-        return b"\r\n".join(lines) + b"\r\n" + self._ending()
+        return b"\r\n".join(lines) + b"\r\n" + self._connection_header()
 
     def respond(self, status: int, headers: dict[bytes, bytes] | None = None, body: bytes = b"") -> None:
-        """The whole answer."""
+        """Send a complete answer."""
         if self.is_closed or not self._transport or self._request is None:
             return
         bodiless = status in http1.BODILESS
@@ -191,18 +192,18 @@
         self._finish()
 
     def respond_unavailable(self, retry_after_s: float) -> None:
-        """Not now: the request has not run and never will."""
+        """Respond 503: the request has not run and never will."""
         self.respond(int(HTTPStatus.SERVICE_UNAVAILABLE), {b"Retry-After": b"%.3f" % retry_after_s})
 
     def begin(self, status: int, headers: dict[bytes, bytes]) -> None:
-        """The head of an answer whose body follows in pieces."""
+        """Send the head of a chunked answer."""
         if not self.is_closed and self._transport:
-            self._open = True
+            self._is_streaming = True
             self._ingress.answers[status] += 1
             self._transport.write(self._head(status, headers) + b"Transfer-Encoding: chunked\r\n\r\n")
 
     def write(self, data: bytes) -> None:
-        """Some bytes of the body."""
+        """Send a chunk of the body; abort if the client is too far behind in reading."""
         if self.is_closed or not self._transport or not data:
             return
         self._transport.write(b"%x\r\n%s\r\n" % (len(data), data))
@@ -210,24 +211,24 @@
             self.abort()
 
     def end(self) -> None:
-        """The body is whole."""
+        """Send the end of a chunked answer."""
         if not self.is_closed and self._transport:
-            self._open = False
+            self._is_streaming = False
             self._transport.write(b"0\r\n\r\n")
             self._finish()
 
     def abort(self) -> None:
-        """End the connection in the middle: what was begun must not look complete."""
+        """Abort the connection, so that an unfinished answer does not look complete."""
         self._closing = True
         self._request = None
         if self._transport:
             self._transport.abort()
 
     def _reject(self, status: int) -> None:
-        """An error of the client, and the end of the connection.
+        """Send an error answer and close the connection.
 
-        Danger: closing with input unread resets it, and the client never reads the answer. So end our side, and wait
-        for the client's end a little.
+        Closing a connection with unread input resets it, and the client would not get to read the answer. So only the
+        sending side is closed first, and the connection is aborted after LINGER_S.
         """
         self._queue.clear()
         if self._transport and not self._closing:
@@ -238,10 +239,10 @@
         self._closing = True
 
     def sweep(self, now: float, caps: Caps) -> None:
-        """Time bounds."""
+        """Enforce the time limits of the connection."""
         if self._transport is None or self._closing:
             return
-        if self._paused and self.ended:  # Danger: while reading pauses the loop is not told of the client's end
+        if self._paused and self.ended:  # while reading is paused, the event loop does not report end of file
             self.abort()
             return
         if not self._transport.get_write_buffer_size():
@@ -251,27 +252,30 @@
             return
         if self._task or self._queue:
             return
-        if not self._over_time(now, caps) or self.unread:
+        if not self._has_timed_out(now, caps) or self.unread:
             return
         if self._parser.partial:
             self._reject(int(HTTPStatus.REQUEST_TIMEOUT))
         else:
             self.close_if_idle()
 
-    def _over_time(self, now: float, caps: Caps) -> bool:
-        """Time-outs: a head has to be complete in time, however slowly it comes; a body only has to go on coming."""
+    def _has_timed_out(self, now: float, caps: Caps) -> bool:
+        """Return True if the connection has exceeded a time limit.
+
+        A head has to be complete within header_s; a body only has to make progress.
+        """
         if self._parser.in_head:
-            return now - self._begun_at > caps.header_s
-        return now - self._quiet_since > (caps.header_s + caps.idle_s if self._parser.partial else caps.idle_s)
+            return now - self._first_byte_at > caps.header_s
+        return now - self._last_activity_at > (caps.header_s + caps.idle_s if self._parser.partial else caps.idle_s)
 
     def close_if_idle(self) -> None:
-        """Danger: a request may wait in the kernel, and would be lost with its connection."""
+        """Close an idle connection, unless unread input, which may be a request, is in the kernel."""
         if not self.has_pending_answer and not self._parser.partial and self._transport and not self.unread:
             self._closing = True
             self._transport.close()
 
     def shut_down(self, late: bool) -> None:
-        """The process ends: what rests is closed; late, what has not come whole by now as well."""
+        """Close an idle connection at shutdown; if `late`, also reject a request that is still incomplete."""
         if self._parser.partial and late and not self.has_pending_answer and not self._closing:
             self._reject(int(HTTPStatus.SERVICE_UNAVAILABLE))
         else:
@@ -292,18 +296,24 @@
 
     @property
     def keep_alive(self) -> bytes:
-        """A little less than what is kept: a client's next request must not cross the end."""
+        """The Keep-Alive header: one second less than the idle time-out.
+
+        The margin keeps a client's next request from crossing the close of the connection.
+        """
         seconds = int(self.caps().idle_s - 1)
         return b"Keep-Alive: timeout=%d\r\n" % seconds if seconds >= 1 else b""
 
     async def listen(self, host: str, port: int) -> int:
-        """Accept connections; returns the port. Raises OSError."""
+        """Accept connections and return the port.
+
+        :raises OSError: if the address can't be bound
+        """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: Client(self), host, port, backlog=BACKLOG, reuse_address=True)
         return int(self._server.sockets[0].getsockname()[1])
 
     async def sweep(self) -> None:
-        """Enforce the time limits of connections; for ever."""
+        """Enforce the time limits of connections until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
@@ -313,7 +323,10 @@
                 client.sweep(now, caps)
 
     async def shut_down(self, accept_s: float, within_s: float) -> None:
-        """Go on accepting for a while, answer what was taken, end within the time; in seconds from now."""
+        """Shut down gracefully: accept connections for `accept_s`, answer accepted requests, end after `within_s`.
+
+        Both times count from the call.
+        """
         loop = asyncio.get_running_loop()
         start = loop.time()
         self.shutting_down = True
--- a/otterreach/proxy/item_queue.py
+++ b/otterreach/proxy/item_queue.py
@@ -1,4 +1,4 @@
-"""The items of this proxy by phase, and the queue of those that wait for a server: which goes next, how many run."""
+"""The items of this proxy by phase, and the queue of those waiting for a server, ordered by due time."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 from otterreach.jobstore.placement import MIN_RUNNERS, RUNNER_SLOTS_SHARE
 from otterreach.proxy.fleet import Fleet
-from otterreach.proxy.item_placement import ItemPlacer, Need
+from otterreach.proxy.item_placement import ItemPlacer, PlacementRequirements
 from otterreach.proxy.item_return import Obstacle, should_return
 from otterreach.proxy.item_run import Abandoned, ItemRun, Phase, Placement
 from otterreach.proxy.ping_schedule import ItemLoad
 
-ITEMS_PER_CORE = 40  # measured: an item's events take some 0.5 % of a core
+ITEMS_PER_CORE = 40  # processing an item's events takes about 0.5 % of a core
 MIN_SLOTS = 2
-RETRY_PAUSE_S = 0.02  # between attempts of an item, doubled with each
+RETRY_PAUSE_S = 0.02  # between attempts of an item; doubles with each attempt
 MAX_RETRY_PAUSE_S = 0.16
 MAX_DOUBLINGS = 6
-RECHECK_S = 0.05  # between two looks at the queue while nothing may go out
-MIN_PROXIES_TO_RETURN = 2  # with fewer there is no other that could run an item
+RECHECK_S = 0.05  # interval between checks of the queue while no item can be sent
+MIN_PROXIES_TO_RETURN = 2  # with fewer there is no other proxy to run a returned item
 WAITING = (Phase.QUEUED, Phase.RUNNING, Phase.PAUSED)
 
 
 class QueueOwner(Protocol):
-    """Who runs what leaves the queue."""
+    """The component that runs the items leaving the queue."""
 
     def start(self, run: ItemRun) -> asyncio.Task[None]:
-        """Make the task of an item that goes out for the first time."""
+        """Create the task of an item that is sent for the first time."""
 
     def return_item(self, run: ItemRun) -> None:
-        """No server could be reached for it from here: let another proxy run it."""
+        """Return an item to the job store because this proxy reached no server for it."""
 
     def state_age_s(self) -> float:
-        """How old the copy of the control state is."""
+        """Return the age of the local replica of the control state."""
 
 
 class ItemQueue:
@@ -44,29 +44,29 @@
         self.fleet = fleet
         self.loop = fleet.loop
         self.placer = placer
-        self.slots = max(MIN_SLOTS, int(cores * ITEMS_PER_CORE))  # what its processor bears
+        self.slots = max(MIN_SLOTS, int(cores * ITEMS_PER_CORE))  # limited by processor capacity
         self.runs: dict[tuple[str, str], ItemRun] = {}
-        self.shutting_down = False  # nothing new is begun
+        self.shutting_down = False  # no new items are started
         self._owner = owner
-        self._queue: list[tuple[float, int, ItemRun]] = []  # by when they are due
+        self._queue: list[tuple[float, int, ItemRun]] = []  # sorted by due time, then by order of assignment
         self._scheduled = False
         self._recheck: asyncio.TimerHandle | None = None
         self._at_servers = 0
-        fleet.on_change += [self._share_servers, self.schedule]
+        fleet.on_change += [self._update_runner_count, self.schedule]
 
     def load(self) -> ItemLoad:
-        """What the job store nodes are told of the items here."""
+        """Return the load that is reported to the job store nodes."""
         slots = 0 if self.shutting_down else self.slots
         waiting = sum(1 for run in self.runs.values() if run.phase in WAITING)
         return ItemLoad(slots, max(0, slots - waiting), tuple(sorted({run.job for run in self.runs.values()})))
 
     def add(self, run: ItemRun) -> None:
-        """A new item."""
+        """Add a newly assigned item to the queue."""
         self.runs[run.key] = run
         self.change_phase(run, Phase.QUEUED)
 
     def change_phase(self, run: ItemRun, phase: Phase) -> None:
-        """The one function that changes a run's phase; it updates the counts by phase."""
+        """Change the phase of an item and update the count of items at servers; nothing else may set the phase."""
         if run.phase is phase or run.phase is Phase.DONE:
             return
         self._at_servers += (phase is Phase.RUNNING) - (run.phase is Phase.RUNNING)
@@ -78,14 +78,14 @@
         self.schedule()
 
     def drop(self, run: ItemRun) -> None:
-        """Break it off."""
+        """Cancel an item and remove it."""
         task = run.task
         self.change_phase(run, Phase.DONE)
         if task:
             task.cancel()
 
     async def wait_for_server(self, run: ItemRun) -> None:
-        """Pause a little, then wait for a server."""
+        """Wait for a backoff pause with jitter, then for the next server."""
         run.next_server = self.loop.create_future()
         run.retries += 1
         longest = min(MAX_RETRY_PAUSE_S, RETRY_PAUSE_S * 2 ** min(run.retries, MAX_DOUBLINGS))
@@ -95,27 +95,32 @@
         await run.next_server
 
     def schedule(self) -> None:
-        """Look at the queue in the next turn of the loop."""
+        """Check the queue in the next iteration of the event loop."""
         if not self._scheduled:
             self._scheduled = True
             self.loop.call_soon(self._start_next)
 
     def _start_next(self) -> None:
-        """Start one: what is due first of what can go anywhere. One at a time, for each changes the next one's odds."""
+        """Start the item that is due first among those that can be placed.
+
+        One item is started per call, because each changes the load and thereby the selection for the next one.
+        """
         self._scheduled = False
         self._queue = [entry for entry in self._queue if entry[2].phase is Phase.QUEUED]
         if not self._queue or self._at_servers >= self.slots:
             return
-        stuck: dict[Need, Obstacle] = {}  # of one need nothing more is tried once one item finds no server
+        obstacles: dict[
+            PlacementRequirements, Obstacle
+        ] = {}  # items with the same requirements are not placed again in this pass
         for _, _, run in self._queue:
             if self.shutting_down and run.task is None:
                 continue
-            need = self.placer.need(run)
-            placement = stuck.get(need) or self.placer.place(run)
+            requirements = self.placer.requirements(run)
+            placement = obstacles.get(requirements) or self.placer.place(run)
             if self._should_return(run, placement):
                 self._owner.return_item(run)
             elif isinstance(placement, Obstacle):
-                stuck[need] = placement
+                obstacles[requirements] = placement
             else:
                 self._start(run, placement)
                 return
@@ -123,7 +128,7 @@
             self._recheck = self.loop.call_later(RECHECK_S, self._on_recheck)
 
     def _should_return(self, run: ItemRun, placement: Placement | Abandoned | Obstacle) -> bool:
-        """Whether another proxy is to try."""
+        """Return True if the item is to be returned so that another proxy can run it."""
         if isinstance(placement, Abandoned) or self.fleet.proxies < MIN_PROXIES_TO_RETURN:
             return False
         obstacle = placement if isinstance(placement, Obstacle) else None
@@ -136,7 +141,10 @@
         self.schedule()
 
     def _start(self, run: ItemRun, placement: Placement | Abandoned) -> None:
-        """Danger: the task's first step counts it at its server, so it must come before the next look at the queue."""
+        """Start or resume the item's task.
+
+        The task's first step counts the item at its server, so it has to run before the next check of the queue.
+        """
         run.placement = placement
         if run.task is None:
             run.task = self._owner.start(run)
@@ -144,8 +152,11 @@
             run.next_server.set_result(None)
         self.change_phase(run, Phase.RUNNING)
 
-    def _share_servers(self) -> None:
-        """Few proxies run items, as many as job store nodes choose: each has that much more of the servers."""
-        wanted = self.fleet.slots_of(self.fleet.config.item_services) * RUNNER_SLOTS_SHARE
-        most = max(MIN_RUNNERS, ceil(wanted / self.slots))
-        self.fleet.set_runner_count(max(1, min(self.fleet.proxies, most)))
+    def _update_runner_count(self) -> None:
+        """Set the number of proxies that run items, by the formula that the job store nodes use to select them.
+
+        Only a few proxies run items, so each of them has a larger share of the servers.
+        """
+        slots = self.fleet.total_slots(self.fleet.config.item_services) * RUNNER_SLOTS_SHARE
+        runners = max(MIN_RUNNERS, ceil(slots / self.slots))
+        self.fleet.set_runner_count(max(1, min(self.fleet.proxies, runners)))
--- a/otterreach/proxy/item_reports.py
+++ b/otterreach/proxy/item_reports.py
@@ -1,4 +1,4 @@
-"""Reports to the job store: results, repeated until acknowledged; which items run here; which are returned."""
+"""Reports to the job store: results, repeated until acknowledged; running items; returned items."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ItemReports:
-    """This proxy's reports."""
+    """Sends the reports of this proxy to the job store nodes."""
 
     def __init__(self, node: str, endpoint: Caller, directory: JobStoreDirectory) -> None:
         self.node = node
@@ -30,7 +30,10 @@
         self.directory = directory
 
     async def report_result(self, run: ItemRun, reason: str, score: str) -> None:
-        """Tell the job store until it has taken it. `reason`: why the item has failed, or nothing."""
+        """Report the result of an item until it is acknowledged or finally rejected.
+
+        :param reason: the reason for the item's failure; empty for a success
+        """
         finished = self._finished(run, reason, score)
         while True:
             reply = await self.directory.ask(run.job, finished, REPORT_TIMEOUT_S, REPORT_CALL_TIMEOUT_S)
@@ -46,16 +49,16 @@
         text = run.transcript.text.decode("utf-8", "replace")
         return ItemFinished(run.job, run.item, DONE, "", text, sorted(run.transcript.versions), score)
 
-    def report_running(self, part: int, address: str, runs: Iterable[ItemRun]) -> None:
-        """A partition is served by another job store node, or in another epoch: tell it what is here."""
-        items = [f"{run.job} {run.item}" for run in runs if partition_of(run.job) == part]
-        self._send(address, RunningItems(part, self.node, items))
+    def report_running(self, partition: int, address: str, runs: Iterable[ItemRun]) -> None:
+        """Report the running items of a partition after a change of its owner or epoch."""
+        items = [f"{run.job} {run.item}" for run in runs if partition_of(run.job) == partition]
+        self._send(address, RunningItems(partition, self.node, items))
 
     def return_items(self, job: str, failures: Mapping[str, int], out_of_reach: bool = False) -> None:
-        """Another proxy may run these items of a batch job.
+        """Return items of a batch job, so that another proxy can run them.
 
-        :param failures: how often each has failed, by item
-        :param out_of_reach: this proxy could reach no server for them
+        :param failures: number of failures by item
+        :param out_of_reach: True if this proxy reached no server for them
         """
         address = self.directory.address_of(job)
         if address and failures:
--- a/otterreach/proxy/item_return.py
+++ b/otterreach/proxy/item_return.py
@@ -1,39 +1,41 @@
-"""When an item goes back to its job store node because nothing comes of it here: another proxy may reach a server.
+"""The rule for returning an item to its job store node, so that another proxy, which may reach a server, can run it.
 
-An item waits here while servers are full, while its route or its version of the weights is at no server, and while it
-isn't known that its batch job goes on: other proxies would wait for the same. It goes back where the servers that may
-have it can't be reached from here, or where what is known here of servers is old. Pure: time is handed in.
+An item keeps waiting at this proxy while servers are full, while its route is missing, while no server has its weight
+version, and while its batch job is not confirmed: other proxies would wait for the same conditions. It is returned if
+its eligible servers are unreachable from this proxy, or if this proxy's view of the servers is outdated. The function
+is pure: times are passed in.
 """
 
 from __future__ import annotations
 
 from enum import Enum, auto
 
-RETURN_AFTER_S = 1.5  # at no server; several proxies in turn have to fit into the time that a step has to spare
-RETURN_TEXT_AFTER_S = 2.5  # the same of an item with a text: another proxy would have it generated anew
-MIN_UNREACHABLE_ATTEMPTS = 2  # in a row: one may have been a connection that had been cut before
-MAX_STATE_AGE_S = 1.0  # with older state, that no server may have an item is not sure
+RETURN_AFTER_S = 1.5  # time at no server; several proxies in turn must fit into the slack of a training step
+RETURN_TEXT_AFTER_S = 2.5  # for an item with partial text, which another proxy would have to generate again
+MIN_UNREACHABLE_ATTEMPTS = 2  # consecutive; a single one may be due to a connection that was already broken
+MAX_STATE_AGE_S = 1.0  # with an older replica of the control state, the lack of an eligible server proves nothing
 
 
 class Obstacle(Enum):
-    """Why an item finds no server right now."""
+    """The reason why an item finds no server."""
 
-    NOT_CONFIRMED = auto()  # whether its batch job goes on
+    NOT_CONFIRMED = auto()  # its batch job has not been confirmed recently
     NO_ROUTE = auto()
-    NO_SERVER = auto()  # none that is open has the version, as far as is known here
-    SERVERS_FULL = auto()  # this proxy has its share of each
-    NO_CONNECTION = auto()  # this proxy may open no further one
+    NO_SERVER = auto()  # no open server is known to have the version
+    SERVERS_FULL = auto()  # this proxy uses its full share of each server
+    NO_CONNECTION = auto()  # this proxy has reached its connection limit
 
 
 def should_return(
     obstacle: Obstacle | None, waited_s: float, unreachable: int, state_age_s: float, has_text: bool
 ) -> bool:
-    """Whether an item is returned.
+    """Return True if an item is to be returned.
 
-    :param obstacle: why it finds no server now; None if it finds one
-    :param waited_s: how long it has been at no server
-    :param unreachable: attempts in a row that brought nothing from their server
-    :param state_age_s: how old the copy of the control state is
+    :param obstacle: the reason why it finds no server now; None if it finds one
+    :param waited_s: time for which it has been at no server
+    :param unreachable: consecutive attempts without any answer from their server
+    :param state_age_s: age of the local replica of the control state
+    :param has_text: True if part of its text has been generated
     """
     if waited_s < (RETURN_TEXT_AFTER_S if has_text else RETURN_AFTER_S):
         return False
--- a/otterreach/proxy/item_run.py
+++ b/otterreach/proxy/item_run.py
@@ -1,4 +1,4 @@
-"""One item of a batch job while this proxy has it: what was assigned, how far it is, what has been generated."""
+"""The state of one item of a batch job at this proxy: its assignment, phase and generated text."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from otterreach.proxy.fleet import Server
 from otterreach.runtime.configuration import Route
 
-MAX_WAIT_MARGIN_S = 0.5  # more than maxWaitS: clocks and messages take their time
-WRITTEN_ANEW = HOP_BY_HOP_HEADERS | PROXY_HEADERS | {b"host", b"request-id", b"last-event-id", b"expect-version"}
+MAX_WAIT_MARGIN_S = 0.5  # added to maxWaitS, for clock differences and message delays
+OVERWRITTEN_HEADERS = HOP_BY_HOP_HEADERS | PROXY_HEADERS | {b"host", b"request-id", b"last-event-id", b"expect-version"}
 
 
 class Phase(Enum):
-    """Where an item stands."""
+    """The phase of an item."""
 
     NEW = auto()
-    QUEUED = auto()  # for a server
+    QUEUED = auto()  # waiting for a server
     RUNNING = auto()
     PAUSED = auto()  # between a failed attempt and the queue
     REWARDING = auto()
@@ -31,7 +31,7 @@
 
 
 class Reason:
-    """Why an item is given up for good, as reported to the job store."""
+    """Reasons for a permanent failure of an item, as reported to the job store."""
 
     WAITED = "waited"
     ROUTE_GONE = "route_gone"
@@ -41,7 +41,7 @@
 
 
 class StopReason:
-    """Why an attempt was broken off by this proxy."""
+    """Reasons for which this proxy ends an attempt."""
 
     VERSION = "version"
     GAP = "gap"
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """Where an attempt goes."""
+    """The route and the server of an attempt."""
 
     route: Route
     server: Server
@@ -58,13 +58,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Abandoned:
-    """The item goes nowhere any more."""
+    """The decision to abandon an item."""
 
     reason: str
 
 
 class ItemRun:
-    """One item, from its Assign until its result is reported or it is given back."""
+    """One item, from its assignment until its result is reported or it is returned."""
 
     def __init__(self, assign: AssignItems, work: WorkItem, now: float, order: int) -> None:
         self.order = order
@@ -80,55 +80,55 @@
         self.phase = Phase.NEW
         self.task: asyncio.Task[None] | None = None
         self.placement: Placement | Abandoned | None = None
-        self.next_server: asyncio.Future[None] | None = None  # of one that waits for its next server
-        self.failures = max(0, work.failures)  # answers of 500, also at proxies that had it before
+        self.next_server: asyncio.Future[None] | None = None  # set while it waits for its next server
+        self.failures = max(0, work.failures)  # answers with status 500, including those at earlier proxies
         self.reward_failures = 0
-        self.retries = 0  # since something was last generated
-        self.left_server_at = now  # since then it has been at no server
-        self.unreachable = 0  # attempts in a row that brought nothing from their server
-        self.avoided: set[str] = set()  # servers that failed last
+        self.retries = 0  # since an attempt last generated an event
+        self.left_server_at = now  # time since which it has been at no server
+        self.unreachable = 0  # consecutive attempts without any answer from their server
+        self.avoided: set[str] = set()  # ids of the servers that failed last
         self.route_missing_since: float | None = None
         self.transcript = Transcript()
         self.exchange: Exchange | None = None
         self.server: Server | None = None
-        self.events = 0  # of the present attempt
+        self.events = 0  # received in the current attempt
         self.outbound = self._outbound()
 
     def _outbound(self) -> Outbound:
         given: dict[str, Any] = json.loads(self.work.headers or "{}")
         headers = {name.lower().encode("latin-1"): str(value).encode("latin-1") for name, value in given.items()}
-        headers = {name: value for name, value in headers.items() if name not in WRITTEN_ANEW}
+        headers = {name: value for name, value in headers.items() if name not in OVERWRITTEN_HEADERS}
         ident = self.item.encode()
         headers |= {b"host": self.host.encode(), b"request-id": ident}
         return Outbound(b"POST", self.work.path.encode("latin-1"), headers, self.work.body, ident)
 
     @property
     def key(self) -> tuple[str, str]:
-        """What tells it from all others."""
+        """The unique key of the item."""
         return self.job, self.item
 
     @property
     def text_version(self) -> int | None:
-        """The version of the weights that generated the latest of its text."""
+        """The weight version that generated the last part of the text."""
         return self.transcript.versions[-1] if self.transcript.versions else None
 
     def restart(self) -> None:
-        """What has been generated is of no use: begin anew."""
+        """Discard the generated text."""
         self.transcript = Transcript()
 
 
 class ItemAttempt:
-    """One exchange of an item: its events go to the run's transcript."""
+    """One attempt of an item; appends the received events to its transcript."""
 
     def __init__(self, run: ItemRun, server: Server, single_version: bool) -> None:
         self.run = run
         self.server = server
         self.single_version = single_version
-        self.valid = False  # the head was one of a text, and all events since have joined on
+        self.valid = False  # the head was that of a text, and all events since were in sequence
         self.reader = EventReader()
 
     def on_head(self, status: int, headers: Headers) -> None:
-        """The answer's status and headers."""
+        """Process the status and headers of the answer."""
         run = self.run
         version = versions_of(headers.get(b"weight-versions"))
         if version is not None:
@@ -142,7 +142,7 @@
             run.transcript.version = version
 
     def on_body(self, data: bytes) -> None:
-        """Some bytes of the answer's body."""
+        """Process bytes of the answer's body."""
         for event in self.reader.feed(data):
             if not self.valid:
                 return
@@ -151,13 +151,13 @@
                 if not self._accepts(event.version):
                     self._stop(StopReason.VERSION)
                     return
-            if not self.run.transcript.take(event):
+            if not self.run.transcript.append(event):
                 self._stop(StopReason.GAP)
                 return
             self.run.events += 1
 
     def _accepts(self, version: int | None) -> bool:
-        """Whether a text of this version may join what there is."""
+        """Return True if the text may be continued under this version."""
         if version is None:
             return self.run.min_version <= 1
         versions = self.run.transcript.versions
--- a/otterreach/proxy/node.py
+++ b/otterreach/proxy/node.py
@@ -1,4 +1,4 @@
-"""A proxy put together: listener, routing of calls, readiness, the orderly end."""
+"""The proxy node: listeners, dispatch of requests, readiness, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from otterreach.proxy.ingress import Client, Ingress
 from otterreach.proxy.orders import WeightOrders
 from otterreach.proxy.pools import Opener
-from otterreach.proxy.requests import Requests, path_of, text, whole_number
+from otterreach.proxy.requests import Requests, decode_latin1, parse_number, path_of
 from otterreach.proxy.runner import Runner
 from otterreach.proxy.streams import Streams
 from otterreach.runtime.configuration import ROLLOUT, STREAM
@@ -24,17 +24,17 @@
 from otterreach.sidecar import http1
 from otterreach.sidecar.transport import open_tcp
 
-READY_AGE_S = 1.2  # the first time: the copy of the control state is no older
-READINESS_DELAY_S = 2.6  # after so long without a 200 the platform sends no new connections
-SHUTDOWN_MARGIN_S = 0.8  # before graceS is over
-CONFIGURATION_WAIT_SHARE = 0.5  # of a request's time, before the first configuration is known
+READY_AGE_S = 1.2  # maximum age of the replica of the control state for becoming ready
+READINESS_DELAY_S = 2.6  # time after which the platform sends no new connections to a node that is not ready
+SHUTDOWN_MARGIN_S = 0.8  # time between the end of the shutdown and the end of graceS
+CONFIGURATION_WAIT_SHARE = 0.5  # share of a request's time that it may wait for the first configuration
 MAX_CONFIGURATION_WAIT_S = 1.5
 UNKNOWN_LEFT_MS = 1000
-RUNNING_ITEMS_GRACE_SHARE = 0.5  # of graceS: so long running items may go on
+RUNNING_ITEMS_GRACE_SHARE = 0.5  # share of graceS for which running items may continue
 
 
 class Proxy:
-    """One proxy. `node` follows the control state; time is its loop's."""
+    """One proxy. `node` follows the control state."""
 
     def __init__(self, node: Node, random: Random, opener: Opener = open_tcp) -> None:
         self.node = node
@@ -53,10 +53,10 @@
         self.fleet.on_change.append(self._on_change)
 
     async def handle(self, request: http1.Request, client: Client) -> None:
-        """A client's request, to the path that serves it."""
+        """Dispatch a client's request to the handler of its route."""
         if not self.fleet.config.version:
             await self._first_configuration(request, client)
-        route = self.fleet.config.route(text(request.headers.get(b"host")), path_of(request))
+        route = self.fleet.config.route(decode_latin1(request.headers.get(b"host")), path_of(request))
         if route is None:
             if is_batch_job_call(request):
                 await self.batch_jobs.handle(request, client)
@@ -70,9 +70,9 @@
             await self.requests.handle(request, client, route)
 
     async def _first_configuration(self, request: http1.Request, client: Client) -> None:
-        """Right after a start the configuration is a moment away: what can still be served waits for it."""
-        left = whole_number(request.headers.get(b"deadline-ms")) or UNKNOWN_LEFT_MS
-        end = client.came_at + min(left / 1000 * CONFIGURATION_WAIT_SHARE, MAX_CONFIGURATION_WAIT_S)
+        """Wait for the first configuration, which arrives soon after the start, for a share of the request's time."""
+        left = parse_number(request.headers.get(b"deadline-ms")) or UNKNOWN_LEFT_MS
+        end = client.received_at + min(left / 1000 * CONFIGURATION_WAIT_SHARE, MAX_CONFIGURATION_WAIT_S)
         with suppress(TimeoutError):
             async with asyncio.timeout_at(end):
                 await self._configured.wait()
@@ -83,7 +83,10 @@
 
     @property
     def ready(self) -> bool:
-        """From the first moment with configuration and list as new as the core's; an unstable core changes nothing."""
+        """True once the configuration and the servers have been known with a replica younger than READY_AGE_S.
+
+        It stays true until shutdown: an outage of the controllers doesn't make the proxy unready.
+        """
         if not self._been_ready:
             known = bool(self.fleet.config.version) and bool(self.fleet.servers)
             self._been_ready = known and self.node.follower.age_s() < READY_AGE_S
@@ -93,7 +96,10 @@
         return Reply(HTTPStatus.OK if self.ready else HTTPStatus.SERVICE_UNAVAILABLE)
 
     async def start(self) -> None:
-        """Listen for clients and for readiness probes, and begin all background work. Raises OSError."""
+        """Listen for clients and readiness probes, and start all background tasks.
+
+        :raises OSError: if an address can't be bound
+        """
         spawn = self.node.endpoint.spawn
         binds = self.settings.binds
         await self.ingress.listen(*binds["front"])
@@ -108,7 +114,11 @@
             spawn(work)
 
     async def stop(self) -> None:
-        """Not ready from now on; what was taken is answered, new ones as long as they come, and the end in time."""
+        """Shut down gracefully within graceS.
+
+        The proxy reports that it is not ready, answers accepted requests, and accepts new ones until the platform sends
+        no more connections.
+        """
         self.shutting_down = True
         grace = self.settings.bounds.grace_s
         log("shutting_down", node=self.settings.node)
--- a/otterreach/proxy/policy.py
+++ b/otterreach/proxy/policy.py
@@ -1,6 +1,6 @@
-"""The mechanisms of the proxy's decisions, each with a switch: docs/policy.md tells what each is worth.
+"""Switches for the mechanisms of server selection; docs/policy.md lists the measured effect of each.
 
-All are on in service. A switch serves measurements, in which one is off, and tests.
+All mechanisms are enabled in production. Switches exist for measurements with one mechanism disabled, and for tests.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Which mechanisms are on."""
+    """The mechanisms that are enabled."""
 
-    load_in_draw: bool = True  # L_i of the draw: what a server has to do already
-    response_time_in_draw: bool = True  # x_i of the draw: how long its answers took of late
-    prefer_idle_connections: bool = True  # servers that can be reached without a new connection have better odds
-    share_slots: bool = True  # no proxy fills a server's queue with items by itself
-    avoid_failed_server: bool = True  # the next attempt of an item goes elsewhere
-    end_stalled_attempts: bool = True  # an item's attempt ends when its server says nothing for long
+    load_in_draw: bool = True  # weigh servers by L_i, their current load
+    response_time_in_draw: bool = True  # weigh servers by x_i, their recent response times
+    prefer_idle_connections: bool = True  # favour servers that have an idle connection
+    share_slots: bool = True  # limit the items of one proxy at a server to its share of the slots
+    avoid_failed_server: bool = True  # send the next attempt of an item to a different server
+    end_stalled_attempts: bool = True  # end an attempt of an item whose server has stopped sending data
 
 
-IN_SERVICE = Policy()
+PRODUCTION_POLICY = Policy()
--- a/otterreach/proxy/pools.py
+++ b/otterreach/proxy/pools.py
@@ -1,7 +1,9 @@
-"""Kept connections to one server. A connection carries one exchange at a time and rests between two.
+"""Pool of keep-alive connections to one server. A connection carries one exchange at a time.
 
-New connections are dear and idle ones cost nothing, so the one idle for the longest is taken again, and none of them
-grows too old; what an answer brings too much shows while it rests. What may not be repeated takes the one used last.
+Opening a connection is expensive and keeping an idle one is not. The connection that has been idle for longest is
+reused first, so that none stays unused until the server closes it. A connection stays idle for at least MIN_IDLE_S
+before its next exchange, so that surplus bytes of an answer are detected. A request that must not be repeated takes the
+most recently used connection, which is the least likely to be stale.
 """
 
 from __future__ import annotations
@@ -15,15 +17,16 @@
 
 from otterreach.sidecar.transport import ServerConnection, open_tcp
 
-MIN_IDLE_S = 0.02  # between two requests on one connection: bytes that belong to no request follow within this
-CONNECT_S = 0.15
-FRESH_IDLE_S = 1.0  # idle for longer, a connection may have been forgotten: nothing unrepeatable is sent on it
-IDLE_MARGIN_S = 0.4  # before the time that Keep-Alive tells is over
-DEFAULT_MAX_IDLE_S = 60.0  # where it tells none: the server closes first
-USER_TIMEOUT_MS = 1000  # bytes unacknowledged for so long never arrive later: no late run of something cancelled
-PROBE_IDLE_S = 1
-PROBE_GAP_S = 1
-PROBES = 2
+MIN_IDLE_S = 0.02  # between two requests on one connection: surplus bytes of an answer arrive within this time
+CONNECT_TIMEOUT_S = 0.15
+MAX_FRESH_IDLE_S = 1.0  # a connection idle for longer may be stale and gets no request that must not be repeated
+IDLE_MARGIN_S = 0.4  # close this long before the Keep-Alive timeout of the server
+DEFAULT_MAX_IDLE_S = 60.0  # where the server announces no timeout: the server closes first
+# The kernel drops a connection with bytes unacknowledged for longer, so that a cancelled request never runs late.
+USER_TIMEOUT_MS = 1000
+KEEPALIVE_IDLE_S = 1
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
 
 Address = tuple[str, int]
 Factory = Callable[[], "Connection"]
@@ -31,17 +34,17 @@
 
 
 class ConnectionUser(Protocol):
-    """What has a connection for itself for a while: an exchange."""
+    """An exchange that has exclusive use of a connection."""
 
-    def received(self, data: bytes) -> None:
-        """Bytes have come."""
+    def on_data(self, data: bytes) -> None:
+        """Process bytes received on the connection."""
 
-    def lost(self, unwritten: bool) -> None:
-        """The connection is gone. `unwritten`: part of the request has not left this machine."""
+    def on_connection_lost(self, unwritten: bool) -> None:
+        """Handle the loss of the connection. `unwritten`: part of the request has not left this machine."""
 
 
 class State(Enum):
-    """What a connection is used for."""
+    """The state of a connection."""
 
     NEW = auto()
     IDLE = auto()
@@ -57,11 +60,11 @@
         self.pool = pool
         self.state = State.NEW
         self.max_idle_s = DEFAULT_MAX_IDLE_S
-        self.used = 0  # exchanges begun on it
+        self.use_count = 0  # number of exchanges started on this connection
         self._user: ConnectionUser | None = None
 
     def _change(self, state: State) -> None:
-        """The one place that changes the state, and keeps the pool's books."""
+        """Change the state and update the pool's lists; nothing else may set the state."""
         if self.state is State.CLOSED or self.state is state:
             return
         if self.state is State.IDLE and self in self.pool.idle:
@@ -74,42 +77,42 @@
         self.state = state
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Set the socket options and register the connection with its pool."""
         super().connection_made(transport)
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            tune(sock)
+            set_socket_options(sock)
         self.pool.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone."""
+        """Remove the connection from its pool and notify its user."""
         self._change(State.CLOSED)
         user = self._user
         self._user = None
         if user:
-            user.lost(self.unwritten)
+            user.on_connection_lost(self.unwritten)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
+        """Pass received bytes to the user; close the connection if it has none."""
         self.pool.last_received_at = self.pool.loop.time()
         if self._user:
-            self._user.received(data)
+            self._user.on_data(data)
         else:
-            self.discard()  # nobody asked
+            self.discard()  # unsolicited data
 
     def fresh(self) -> bool:
-        """Whether it is open, with nothing unread on it."""
+        """Return True if the connection is open and has no unread data."""
         return self.state is not State.CLOSED and super().fresh()
 
     def start(self, user: ConnectionUser, data: bytes) -> None:
-        """Write a request; the bearer gets what comes back."""
+        """Write a request and assign the connection to a user, which receives the answer."""
         self._change(State.BUSY)
         self._user = user
-        self.used += 1
+        self.use_count += 1
         self._write(data)
 
     def release(self) -> None:
-        """The exchange is over and the connection may carry another."""
+        """Return the connection to the pool after a complete exchange, or close it if it can't be reused."""
         self._user = None
         if self.pool.closed or self.closing or self.unwritten:
             self.discard()
@@ -117,7 +120,7 @@
             self._change(State.IDLE)
 
     def discard(self) -> None:
-        """Give up what is on it, and close."""
+        """Close the connection and drop unsent data."""
         if self.state is State.BUSY:
             self._drop_unsent()
         self._user = None
@@ -125,68 +128,74 @@
         self._abort()
 
 
-def tune(sock: socket.socket) -> None:
-    """Requests leave at once, nothing lingers in a cut, a dark machine is noticed."""
+def set_socket_options(sock: socket.socket) -> None:
+    """Disable Nagle's algorithm, and set limits for unacknowledged data and keep-alive probes.
+
+    The limits drop data held back by a network partition, and detect a machine that has vanished.
+    """
     with suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_GAP_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
 
 
 class Pool:
-    """The connections to one server. `most`: how many there may be, set by who knows the shares."""
+    """The connections to one server. `max_connections` is this proxy's limit, updated by the fleet."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, address: Address, opener: Opener = open_tcp, most: int = 64
+        self, loop: asyncio.AbstractEventLoop, address: Address, opener: Opener = open_tcp, max_connections: int = 64
     ) -> None:
         self.loop = loop
         self.address = address
-        self.most = most
+        self.max_connections = max_connections
         self.closed = False
-        self.last_received_at = -1e9  # when anything last came from the server
-        self.opened = 0  # in all, for the log
-        self.idle: list[Connection] = []  # the latest used last
+        self.last_received_at = -1e9  # time of the last byte from the server, on any connection
+        self.opened = 0  # total number of connections opened
+        self.idle: list[Connection] = []  # the most recently used last
         self.connections: set[Connection] = set()
         self._opener = opener
         self._opening = 0
 
     @property
-    def room(self) -> bool:
-        """Whether one more exchange finds a connection."""
-        return bool(self.idle) or len(self.connections) + self._opening < self.most
+    def has_capacity(self) -> bool:
+        """True if a connection is idle or another one may be opened."""
+        return bool(self.idle) or len(self.connections) + self._opening < self.max_connections
 
     def _idle_connection(self, fresh_only: bool) -> Connection | None:
         now = self.loop.time()
         for connection in reversed(self.idle.copy()) if fresh_only else self.idle.copy():
             if connection.idle_since > now - MIN_IDLE_S:
                 continue
-            if fresh_only and connection.idle_since < now - FRESH_IDLE_S:
+            if fresh_only and connection.idle_since < now - MAX_FRESH_IDLE_S:
                 return None
             if connection.fresh():
                 return connection
             connection.discard()
         return None
 
-    async def take(self, timeout_s: float, fresh_only: bool = False) -> Connection | None:
-        """A connection that has rested, or a new one; None if there is none to be had in time."""
+    async def acquire(self, timeout_s: float, fresh_only: bool = False) -> Connection | None:
+        """Return an idle connection past MIN_IDLE_S, or a new one; None if neither is available within the time-out.
+
+        :param fresh_only: take the most recently used connection, and only if it has been idle for a short time
+        """
         end = self.loop.time() + timeout_s
         while self.idle:
             connection = self._idle_connection(fresh_only)
             if connection:
                 return connection
-            resting = [c.idle_since for c in self.idle if c.idle_since > self.loop.time() - MIN_IDLE_S]
-            if not resting:
+            too_recent = [c.idle_since for c in self.idle if c.idle_since > self.loop.time() - MIN_IDLE_S]
+            if not too_recent:
                 break
-            wait = min(resting) + MIN_IDLE_S - self.loop.time()
+            wait = min(too_recent) + MIN_IDLE_S - self.loop.time()
             if self.loop.time() + wait > end:
                 return None
             await asyncio.sleep(max(wait, 0.001))
-        if self.closed or len(self.connections) + self._opening >= self.most and not self._evict():
+        if self.closed or len(self.connections) + self._opening >= self.max_connections and not self._evict():
             return None
-        return await self._open(min(CONNECT_S, end - self.loop.time()))
+        return await self._open(min(CONNECT_TIMEOUT_S, end - self.loop.time()))
 
     def _evict(self) -> bool:
         if not self.idle:
@@ -198,13 +207,13 @@
         if timeout_s <= 0:
             return None
         self._opening += 1
-        asked_at = self.loop.time()
+        started_at = self.loop.time()
         try:
             async with asyncio.timeout(timeout_s):
                 connection = await self._opener(self.address, lambda: Connection(self))
         except TimeoutError:
-            if self.last_received_at < asked_at:
-                self.close_idle()  # Danger: a machine that vanished leaves its connections open
+            if self.last_received_at < started_at:
+                self.close_idle()  # a machine that has vanished leaves its connections open
             return None
         except OSError:
             return None
@@ -217,17 +226,17 @@
         return connection
 
     def close_idle(self) -> None:
-        """Close the connections that carry nothing."""
+        """Close all idle connections."""
         for connection in self.idle.copy():
             connection.discard()
 
     def close(self) -> None:
-        """The server leaves or is gone: what runs may end, nothing new begins."""
+        """Close the pool of a server that is draining or gone: exchanges in flight may end, none is started."""
         self.closed = True
         self.close_idle()
 
     def sweep(self) -> None:
-        """Close what the server would close soon."""
+        """Close idle connections that the server is about to close."""
         now = self.loop.time()
         for connection in self.idle.copy():
             if now - connection.idle_since > connection.max_idle_s:
--- a/otterreach/proxy/runner.py
+++ b/otterreach/proxy/runner.py
@@ -1,7 +1,7 @@
-"""Runs the items of batch jobs that job store nodes assign: the text, then the reward call, then the report.
+"""Runs the items of batch jobs that job store nodes assign: text generation, reward call, report of the result.
 
-An item is queued by when its results are due. Right before it, or its reward call, is written to a server it must be
-known of late that its batch job goes on (otterreach.proxy.directory).
+Items are queued by the time at which their results are due. An item or its reward call is written to a server only if
+its batch job was confirmed recently (otterreach.proxy.directory).
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 
 
 class Runner:
-    """All items of this proxy."""
+    """Runs all items of this proxy."""
 
     def __init__(self, fleet: Fleet, endpoint: Caller, settings: Settings, state_age_s: Callable[[], float]) -> None:
-        """:param state_age_s: how old the copy of the control state is"""
+        """:param state_age_s: returns the age of the local replica of the control state"""
         self.fleet = fleet
         self.loop = fleet.loop
         self.settings = settings
@@ -43,7 +43,7 @@
         self._texts = TextGeneration(fleet, placer, self.queue, self._permission)
         self._rewards = RewardCalls(fleet, self.directory, self._permission)
         self._reports = ItemReports(settings.node, endpoint, self.directory)
-        self.returned = 0  # items for which no server could be reached
+        self.returned = 0  # number of items returned because no server was reached
         self._state_age_s = state_age_s
         self._order = 0
         endpoint.on(AssignItems, self._on_assign)
@@ -51,16 +51,16 @@
 
     @property
     def runs(self) -> dict[tuple[str, str], ItemRun]:
-        """The items that are here."""
+        """The items at this proxy."""
         return self.queue.runs
 
     @property
     def slots(self) -> int:
-        """How many items this proxy can carry at once."""
+        """The number of items that this proxy can run at once."""
         return self.queue.slots
 
     async def watch(self) -> None:
-        """For ever: break off what is silent."""
+        """End stalled attempts, until cancelled."""
         await self._texts.watch()
 
     async def _on_assign(self, link: Link, assign: AssignItems) -> None:
@@ -72,7 +72,7 @@
         self.end_job(cancel.job)
 
     def assign(self, assign: AssignItems) -> None:
-        """Take the items that a job store node assigns."""
+        """Accept the items that a job store node assigns, or return them during shutdown."""
         is_outdated = assign.epoch < self.directory.newest_epoch(assign.partition)
         if is_outdated or self._permission.has_ended(assign.job):
             return
@@ -87,41 +87,41 @@
             self.queue.add(ItemRun(assign, work, now, self._order))
 
     def end_job(self, job: str) -> None:
-        """Nothing of it may go out any more; what runs is broken off."""
+        """Cancel the items of an ended batch job and prevent further sends."""
         self._permission.end_job(job)
         for run in [run for run in self.runs.values() if run.job == job]:
             self.queue.drop(run)
 
     def load(self) -> ItemLoad:
-        """What the job store nodes are told of the items here."""
+        """Return the load that is reported to the job store nodes."""
         return self.queue.load()
 
     def report_running(self, partition: int, address: str) -> None:
-        """A partition has moved: its new primary has to know what runs here."""
+        """Report the running items of a partition that has moved to its new primary."""
         self._reports.report_running(partition, address, self.runs.values())
 
     def on_confirmed(self) -> None:
-        """It is known anew which batch jobs go on: their items may go out."""
+        """Check the queue after a pong, because items of confirmed batch jobs may now be sent."""
         self.queue.schedule()
 
     def state_age_s(self) -> float:
-        """How old the copy of the control state is."""
+        """Return the age of the local replica of the control state."""
         return self._state_age_s()
 
     def start(self, run: ItemRun) -> asyncio.Task[None]:
-        """The task of an item that goes out for the first time."""
-        task: asyncio.Task[None] = self.endpoint.spawn(self._work(run))
+        """Create the task of an item that is sent for the first time."""
+        task: asyncio.Task[None] = self.endpoint.spawn(self._run_item(run))
         return task
 
     def return_item(self, run: ItemRun) -> None:
-        """No server could be reached for it from here."""
+        """Return an item to the job store because no server was reached for it."""
         self.returned += 1
         log("item_returned", job=run.job, item=run.item, attempts=run.unreachable)
         self._reports.return_items(run.job, {run.item: run.failures}, out_of_reach=True)
         self.queue.drop(run)
 
-    async def _work(self, run: ItemRun) -> None:
-        """One item from its first server to its report."""
+    async def _run_item(self, run: ItemRun) -> None:
+        """Run one item from its first attempt to the report of its result."""
         try:
             reward = Reward()
             reason = await self._texts.generate(run)
@@ -130,14 +130,14 @@
                 reward = await self._rewards.call(run)
             self.queue.change_phase(run, Phase.REPORTING)
             await self._reports.report_result(run, reason or reward.reason, reward.score)
-        except Exception as error:  # a fault with one item ends it here, not the process; another proxy may do
+        except Exception as error:  # an error in one item returns it to the job store and doesn't end the process
             log("item_failed", level="ERROR", job=run.job, item=run.item, error=repr(error))
             self._reports.return_items(run.job, {run.item: run.failures})
         finally:
             self.queue.change_phase(run, Phase.DONE)
 
     async def shut_down(self, within_s: float) -> None:
-        """The process ends: what has not begun goes back at once, what runs may end, the rest goes back then."""
+        """Return queued items at once, let running items complete within the time, then return the rest."""
         self.queue.shutting_down = True
         self.directory.ping_all()
         self._return_queued()
@@ -147,10 +147,10 @@
         for run in list(self.runs.values()):
             self._reports.return_items(run.job, {run.item: run.failures})
             self.queue.drop(run)
-        await asyncio.sleep(SHUTDOWN_CHECK_S)  # for what was sent to leave
+        await asyncio.sleep(SHUTDOWN_CHECK_S)  # lets the messages leave before the process ends
 
     def _return_queued(self) -> None:
-        """What has not begun, a message for each batch job."""
+        """Return the items that have not been started, in one message per batch job."""
         queued: dict[str, dict[str, int]] = {}
         for run in [run for run in self.runs.values() if run.phase is Phase.QUEUED and run.task is None]:
             queued.setdefault(run.job, {})[run.item] = run.failures
--- a/otterreach/proxy/text_generation.py
+++ b/otterreach/proxy/text_generation.py
@@ -1,4 +1,4 @@
-"""An item's text: attempts at servers, each going on where the one before broke off, until the text is whole."""
+"""Text generation for an item: attempts at servers, each resuming after the last event, until the text is complete."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from otterreach.proxy.send_permission import SendPermission
 from otterreach.runtime.configuration import Route
 
-STREAM_TIMEOUT_S = 1.2  # between events, of a server that says nothing on any connection
-FIRST_EVENT_TIMEOUT_S = 2.5  # before the first event: it may wait in the server's queue
-SERVER_TIMEOUT_S = 0.8
+STREAM_TIMEOUT_S = 1.2  # without data after the first event
+FIRST_EVENT_TIMEOUT_S = 2.5  # without data before the first event: the item may wait in the server's queue
+SERVER_TIMEOUT_S = 0.8  # without data on any connection to the server; otherwise the limits above are doubled
 STALL_CHECK_S = 0.25
 
 
 class TextGeneration:
-    """Runs items at servers."""
+    """Generates the texts of items at model servers."""
 
     def __init__(self, fleet: Fleet, placer: ItemPlacer, queue: ItemQueue, permission: SendPermission) -> None:
         self.fleet = fleet
@@ -31,7 +31,10 @@
         self._checked_at = self.loop.time()
 
     async def generate(self, run: ItemRun) -> str:
-        """The whole text. Returns nothing, or why the item has failed for good."""
+        """Generate the complete text of an item.
+
+        :returns: an empty string, or the reason for a permanent failure of the item
+        """
         while isinstance(run.placement, Placement):
             route = run.placement.route
             server = run.placement.server
@@ -48,16 +51,16 @@
         extra = self._resume_headers(run, route)
         fits = self.placer.filter_for(run, route.single)
 
-        def wanted() -> bool:
-            """Whether it may still be sent, asked right before the write."""
-            server.estimate.in_flight -= 1  # it is counted already
+        def may_write() -> bool:
+            """Return True if the item may still be sent; checked right before the write."""
+            server.estimate.in_flight -= 1  # this attempt is already counted
             fit = fits(server)
             server.estimate.in_flight += 1
             return fit and self.permission.may_send(run) and self.fleet.may_write(server, run.host, run.path)
 
         run.events = 0
         exchange = run.exchange = self.fleet.exchange(
-            server, run.outbound, run.abandon_at, wanted, extra, attempt.on_head, attempt.on_body
+            server, run.outbound, run.abandon_at, may_write, extra, attempt.on_head, attempt.on_body
         )
         run.server = server
         try:
@@ -69,7 +72,7 @@
             run.server = None
 
     def _record_contact(self, run: ItemRun, outcome: Outcome) -> None:
-        """Whether the item has been at the server, and whether the server was there at all."""
+        """Record whether the server has answered, and whether the item may have been executed there."""
         if outcome.status:
             run.unreachable = 0
         elif outcome.reason != "unwanted":
@@ -78,20 +81,23 @@
             run.left_server_at = self.loop.time()
 
     def _resume_headers(self, run: ItemRun, route: Route) -> Headers:
-        """What asks the server to go on after the last event."""
+        """Return the headers that ask the server to resume after the last event."""
         headers: Headers = {}
         if run.transcript.last is not None:
             headers[b"last-event-id"] = b"%d" % run.transcript.last
             if route.single and run.text_version is not None:
                 headers[b"expect-version"] = b"%d" % run.text_version
         elif len(run.transcript):
-            run.restart()  # without ids nothing can be resumed
+            run.restart()  # events without ids can't be resumed
         return headers
 
     def _evaluate(
         self, run: ItemRun, route: Route, server: Server, outcome: Outcome, attempt: ItemAttempt
     ) -> str | None:
-        """What an attempt means: None to go on, nothing if the text is whole, or why the item has failed."""
+        """Evaluate an attempt.
+
+        :returns: None to retry, an empty string if the text is complete, or the reason for a permanent failure
+        """
         if run.transcript.broken:
             run.restart()
         if outcome.success and attempt.valid and not attempt.reader.partial and len(run.transcript):
@@ -108,12 +114,14 @@
         if outcome.execution is Execution.ANSWERED and (reason := self._evaluate_answer(run, route, outcome.status)):
             return reason
         if outcome.reason == "wrong_server" and server.open and route.single and run.text_version is not None:
-            server.learn_version(run.model, run.text_version + 1)  # it has moved on: versions only rise
+            server.learn_version(
+                run.model, run.text_version + 1
+            )  # the server has a newer version: versions never decrease
         self.fleet.record_failed_attempt(server, route.name, outcome, STREAM_TIMEOUT_S)
         return None
 
     def _evaluate_answer(self, run: ItemRun, route: Route, status: int) -> str:
-        """A whole answer that is no text: why the item has failed, or nothing to go on."""
+        """Return the reason for a permanent failure after a complete answer that is not a text, or an empty string."""
         if status == HTTPStatus.UNPROCESSABLE_ENTITY:
             return Reason.UNPROCESSABLE
         if status == HTTPStatus.INTERNAL_SERVER_ERROR:
@@ -125,21 +133,24 @@
         return ""
 
     async def watch(self) -> None:
-        """Break off what is silent. Danger: after a stand-still of this process everything looks silent."""
+        """End stalled attempts, until cancelled.
+
+        No attempt is ended right after a pause of this process, because every server would look stalled.
+        """
         while True:
             await asyncio.sleep(STALL_CHECK_S)
             now = self.loop.time()
-            late = now - self._checked_at > 3 * STALL_CHECK_S
+            was_paused = now - self._checked_at > 3 * STALL_CHECK_S
             self._checked_at = now
-            if late or not self.fleet.draw.policy.end_stalled_attempts:
+            if was_paused or not self.fleet.draw.policy.end_stalled_attempts:
                 continue
             for run in list(self.queue.runs.values()):
                 if run.exchange and run.server and run.exchange.sent_at:
                     self._end_if_stalled(run, run.exchange, run.server, now)
 
     def _end_if_stalled(self, run: ItemRun, exchange: Exchange, server: Server, now: float) -> None:
-        quiet = now - max(exchange.last_received_at, exchange.sent_at)
+        idle_s = now - max(exchange.last_received_at, exchange.sent_at)
         limit = STREAM_TIMEOUT_S if run.events else FIRST_EVENT_TIMEOUT_S
         server_stalled = now - server.pool.last_received_at > SERVER_TIMEOUT_S
-        if quiet > limit and (server_stalled or quiet > 2 * limit):
+        if idle_s > limit and (server_stalled or idle_s > 2 * limit):
             exchange.give_up(StopReason.SILENT, True)
--- a/tests/proxy/test_parts.py
+++ b/tests/proxy/test_parts.py
@@ -52,7 +52,7 @@
     def test_one_not_heard_from_takes_the_mean_of_the_others(self) -> None:
         busy = Estimate()
         busy.record_sent()
-        self.assertEqual(Draw(Random(1)).expected([known(1.0), known(3.0), Estimate(), busy], 0.0), [1, 3, 2, 4])
+        self.assertEqual(Draw(Random(1)).expected_times([known(1.0), known(3.0), Estimate(), busy], 0.0), [1, 3, 2, 4])
 
     def test_a_new_connection_is_dear(self) -> None:
         draw = Draw(Random(1))
@@ -116,7 +116,7 @@
 
         for numbers, taken in (((5, 6, 7), 3), ((5, 6, 6, 7), 2), ((5, 6, 5), 2), ((0, 2), 1), ((3,), 1)):
             transcript = Transcript()
-            self.assertEqual([transcript.take(event(n)) for n in numbers].count(True), taken)
+            self.assertEqual([transcript.append(event(n)) for n in numbers].count(True), taken)
             self.assertEqual(transcript.broken, taken < len(numbers))
             self.assertEqual(transcript.text, b"\n".join(b"d%d" % n for n in numbers[:taken]))
 
--- a/tests/proxy/test_policy.py
+++ b/tests/proxy/test_policy.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from otterreach.proxy.draw import Draw, Estimate
-from otterreach.proxy.policy import IN_SERVICE, Policy
+from otterreach.proxy.policy import PRODUCTION_POLICY, Policy
 
 DRAWS = 2000
 
@@ -28,24 +28,24 @@
 
 class PolicyTest(unittest.TestCase):
     def test_all_mechanisms_are_on_in_service(self) -> None:
-        self.assertTrue(all(getattr(IN_SERVICE, field.name) for field in fields(Policy)))
-        self.assertIs(Draw(Random(1)).policy, IN_SERVICE)
+        self.assertTrue(all(getattr(PRODUCTION_POLICY, field.name) for field in fields(Policy)))
+        self.assertIs(Draw(Random(1)).policy, PRODUCTION_POLICY)
 
     def test_the_load_counts_in_the_odds_unless_it_is_switched_off(self) -> None:
         estimates = [estimate(load=0), estimate(load=3)]
         for row in estimates:
             row.load_at = 0.0
-        self.assertAlmostEqual(shares(IN_SERVICE, estimates)[0], 0.8, delta=0.03)
+        self.assertAlmostEqual(shares(PRODUCTION_POLICY, estimates)[0], 0.8, delta=0.03)
         self.assertAlmostEqual(shares(Policy(load_in_draw=False), estimates)[0], 0.5, delta=0.04)
 
     def test_response_times_count_in_the_odds_unless_they_are_switched_off(self) -> None:
         estimates = [estimate(1.0), estimate(4.0)]
-        self.assertAlmostEqual(shares(IN_SERVICE, estimates)[0], 0.8, delta=0.03)
+        self.assertAlmostEqual(shares(PRODUCTION_POLICY, estimates)[0], 0.8, delta=0.03)
         self.assertAlmostEqual(shares(Policy(response_time_in_draw=False), estimates)[0], 0.5, delta=0.04)
 
     def test_idle_connections_count_in_the_odds_unless_they_are_switched_off(self) -> None:
         estimates = [estimate(), estimate()]
-        self.assertGreater(shares(IN_SERVICE, estimates, (False, True))[0], 0.7)
+        self.assertGreater(shares(PRODUCTION_POLICY, estimates, (False, True))[0], 0.7)
         self.assertAlmostEqual(
             shares(Policy(prefer_idle_connections=False), estimates, (False, True))[0], 0.5, delta=0.04
         )
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from otterreach.proxy.ingress import Ingress
-from otterreach.proxy.requests import Requests, path_of, text
+from otterreach.proxy.requests import Requests, decode_latin1, path_of
 from otterreach.proxy.streams import Streams
 from otterreach.runtime.configuration import Caps
 from tests import virtual
@@ -35,7 +35,7 @@
     streams = Streams(requests)
 
     async def handle(request: Any, client: Any) -> None:
-        found = world.fleet.config.route(text(request.headers.get(b"host")), path_of(request))
+        found = world.fleet.config.route(decode_latin1(request.headers.get(b"host")), path_of(request))
         if found is None:
             requests.answer_without_route(client)
         elif found.kind == "stream":
--- a/tests/proxy/test_runner.py
+++ b/tests/proxy/test_runner.py
@@ -11,7 +11,7 @@
 
 from otterreach.jobstore.messages import AssignItems, CancelJob, ItemFinished, ProxyPing, ReturnItems, RunningItems
 from otterreach.jobstore.placement import RUNNER_SLOTS_SHARE, partition_of
-from otterreach.proxy.item_placement import ROUTE_GONE_S
+from otterreach.proxy.item_placement import ROUTE_MISSING_TIMEOUT_S
 from otterreach.proxy.item_queue import ITEMS_PER_CORE
 from otterreach.proxy.item_return import RETURN_AFTER_S, RETURN_TEXT_AFTER_S
 from otterreach.proxy.item_run import Phase
@@ -316,7 +316,7 @@
         scorer_route = route("score", "/a/", backend="svc", tries=2)
         stage.world.configure([scorer_route])
         stage.runner.assign(assign([work("i1")]))
-        await asyncio.sleep(ROUTE_GONE_S - 0.2)
+        await asyncio.sleep(ROUTE_MISSING_TIMEOUT_S - 0.2)
         self.assertEqual(stage.endpoint.finished, [])
         done = await stage.result()
         self.assertEqual((done.state, done.reason, server.calls), ("errored", "route_gone", []))
@@ -328,7 +328,7 @@
         item_route = route("l", "/l/", "rollout", backend="lm", maxWaitS=40, dueMs=5000)
         stage.world.configure([scorer_route])
         stage.runner.assign(assign([work("i1")]))
-        await asyncio.sleep(ROUTE_GONE_S - 0.5)
+        await asyncio.sleep(ROUTE_MISSING_TIMEOUT_S - 0.5)
         stage.world.configure([item_route, scorer_route])
         self.assertEqual((await stage.result()).state, "done")
 
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -148,7 +148,7 @@
 
         async def handle(request: Any, client: Client) -> None:
             theirs.close()
-            seen.extend((client.is_closed, client.has_left()))
+            seen.extend((client.is_closed, client.has_disconnected()))
             client.respond(200)
 
         ingress = Ingress(handle, Caps)
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -28,10 +28,10 @@
 
             proxy._on_change()
             loop.call_later(known_after_s, known)
-            client: Any = SimpleNamespace(came_at=loop.time())
+            client: Any = SimpleNamespace(received_at=loop.time())
             request = http1.Request(b"GET", b"/a", {b"deadline-ms": deadline_ms}, b"", True)
             await proxy._first_configuration(request, client)
-            return float(loop.time() - client.came_at)
+            return float(loop.time() - client.received_at)
 
         return loop.run_until_complete(scene())
 
