--- a/otterreach/proxy/exchange.py
+++ b/otterreach/proxy/exchange.py
@@ -125,9 +125,8 @@
         self.started = self.loop.time()
         self.last_received_at = self.started  # time of the last received byte
         self.sent_at = 0.0
-        self._announced_deadline = (
-            deadline if announced_time_s is None else self.started + announced_time_s
-        )  # the deadline announced to the server
+        # The deadline announced to the server.
+        self._announced_deadline = deadline if announced_time_s is None else self.started + announced_time_s
         self._on_head = on_head
         self._on_body = on_body
         self._body_chunks: list[bytes] = []
--- a/otterreach/proxy/item_queue.py
+++ b/otterreach/proxy/item_queue.py
@@ -109,9 +109,8 @@
         self._queue = [entry for entry in self._queue if entry[2].phase is Phase.QUEUED]
         if not self._queue or self._at_servers >= self.slots:
             return
-        obstacles: dict[
-            PlacementRequirements, Obstacle
-        ] = {}  # items with the same requirements are not placed again in this pass
+        # Once an item finds no server, no placement is attempted for others with the same requirements.
+        obstacles: dict[PlacementRequirements, Obstacle] = {}
         for _, _, run in self._queue:
             if self.shutting_down and run.task is None:
                 continue
--- a/otterreach/proxy/messages.py
+++ b/otterreach/proxy/messages.py
@@ -11,7 +11,7 @@
 @message(90)
 @dataclass(slots=True)
 class ModelLoaded(Request[Done]):
-    """A server has a version of a model now."""
+    """A report that a server has loaded a version of a model."""
 
     server: str
     model: str
@@ -21,7 +21,7 @@
 @message(91)
 @dataclass(slots=True)
 class LeaseRelease(Request[Done]):
-    """The holder of a server's order lease gives it back."""
+    """The release of a server's order lease by its holder."""
 
     node: str
     server: str
--- a/otterreach/proxy/text_generation.py
+++ b/otterreach/proxy/text_generation.py
@@ -114,9 +114,8 @@
         if outcome.execution is Execution.ANSWERED and (reason := self._evaluate_answer(run, route, outcome.status)):
             return reason
         if outcome.reason == "wrong_server" and server.open and route.single and run.text_version is not None:
-            server.learn_version(
-                run.model, run.text_version + 1
-            )  # the server has a newer version: versions never decrease
+            # The server has a newer version, because versions never decrease.
+            server.learn_version(run.model, run.text_version + 1)
         self.fleet.record_failed_attempt(server, route.name, outcome, STREAM_TIMEOUT_S)
         return None
 
