--- a/tests/proxy/proxy_support.py
+++ b/tests/proxy/proxy_support.py
@@ -1,4 +1,4 @@
-"""A proxy's surroundings in memory: servers that do as they are told, clients, job store nodes."""
+"""In-memory test doubles for the environment of a proxy: scripted model servers, clients and job store nodes."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
     return plain | more
 
 
-def played(main: Callable[[Any], Awaitable[None]]) -> Callable[[Any], None]:
-    """A test in virtual time."""
+def in_virtual_time(main: Callable[[Any], Awaitable[None]]) -> Callable[[Any], None]:
+    """Run an asynchronous test in virtual time."""
 
     def test(self: Any) -> None:
         async def body() -> None:
@@ -54,7 +54,7 @@
 
 
 class World:
-    """ReplicatedStore, servers by address, and a fleet over them."""
+    """A replicated store, fake servers by address, and a fleet that uses them."""
 
     def __init__(self, routes: list[dict[str, Any]], seed: int = 1) -> None:
         self.store = ReplicatedStore()
@@ -77,7 +77,7 @@
         self.put("config", {"gen": self.number, "routes": routes, "backends": backends, "caps": {}})
 
     def server(self, ident: str, script: Script, service: str = "svc", **more: Any) -> FakeServer:
-        """A server that is there and listed."""
+        """Add a server that is running and listed in the control state."""
         address = ("10.0.0.1", 1000 + len(self.servers))
         server = self.servers[address] = FakeServer(ident, script)
         server.address = address
@@ -89,7 +89,7 @@
         value = {"backend": service, "addr": f"{host}:{port}", "az": "z", "cap": 4, "state": "up", "models": []}
         self.put(f"server/{server.id}", value | more)
 
-    def fronts(self, count: int) -> None:
+    def add_proxies(self, count: int) -> None:
         for n in range(count):
             self.put(f"member/front-{n}", {"role": "front", "address": f"10.9.0.{n}:7000"})
 
@@ -98,7 +98,7 @@
         server = self.servers.get(address)
         if server is None or server.refuses:
             raise ConnectionRefusedError
-        if server.dark:
+        if server.drops_connects:
             await asyncio.sleep(3600)
         here, there = factory(), ServerEnd(server)
         connect(here, there)
@@ -110,7 +110,7 @@
 
 
 class Call:
-    """One request at a server, and the means to answer it."""
+    """A request received by a fake server, with methods to answer it."""
 
     def __init__(self, server: FakeServer, end: ServerEnd, request: http1.Request) -> None:
         self.server, self.end, self.request = server, end, request
@@ -147,26 +147,26 @@
     def end_stream(self) -> None:
         self.write(b"0\r\n\r\n")
 
-    def cut(self) -> None:
+    def disconnect(self) -> None:
         if self.end.transport:
             self.end.transport.abort()
 
 
 class FakeServer:
-    """Does as its script says with each request that is meant for it."""
+    """A model server that runs its script for each request addressed to it."""
 
     def __init__(self, ident: str, script: Script) -> None:
         self.id, self.script = ident, script
         self.address: Address = ("", 0)
         self.calls: list[Call] = []
-        self.dropped: list[str] = []  # whose connection closed before their answer
-        self.refuses = self.dark = False
+        self.dropped: list[str] = []  # ids of requests whose connection was closed before the answer
+        self.refuses = self.drops_connects = False
         self.opened = 0
         self.ends: list[ServerEnd] = []
 
 
 class ServerEnd(asyncio.Protocol):
-    """A server's end of one connection: whole requests in, each to the script."""
+    """A fake server's end of one connection: passes each complete request to the script."""
 
     def __init__(self, server: FakeServer) -> None:
         self.server = server
@@ -215,8 +215,8 @@
     call.answer(500, b"oops", b"")
 
 
-async def cut(call: Call) -> None:
-    call.cut()
+async def disconnect(call: Call) -> None:
+    call.disconnect()
 
 
 async def silence(call: Call) -> None:
@@ -224,14 +224,14 @@
 
 
 class Caller(asyncio.Protocol):
-    """A client on a connection in memory to an ingress."""
+    """A client with an in-memory connection to an ingress."""
 
     def __init__(self, ingress: Ingress) -> None:
         self.data = b""
         self.lost = False
         self.answers: list[http1.Response] = []
         self._parser = http1.ResponseParser()
-        self._news = asyncio.Event()
+        self._changed = asyncio.Event()
         self.transport, _ = connect(self, Client(ingress))
 
     def data_received(self, data: bytes) -> None:
@@ -240,11 +240,11 @@
         if response:
             self.answers.append(response)
             self._parser = http1.ResponseParser()
-        self._news.set()
+        self._changed.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.lost = True
-        self._news.set()
+        self._changed.set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         pass
@@ -263,15 +263,15 @@
         self.transport.write(("\r\n".join(lines) + "\r\n" + head + "\r\n").encode() + body)
 
     async def answer(self) -> http1.Response | None:
-        """The next answer; None if the connection ended without one."""
+        """Return the next answer, or None if the connection ended without one."""
         count = len(self.answers)
         while len(self.answers) == count and not self.lost:
-            self._news.clear()
-            await self._news.wait()
+            self._changed.clear()
+            await self._changed.wait()
         return self.answers[-1] if len(self.answers) > count else None
 
     async def ask(self, **more: Any) -> http1.Response:
-        """Send, and the answer; one must come."""
+        """Send a request and return the answer, which is required."""
         self.send(**more)
         return await self.next()
 
@@ -297,13 +297,13 @@
 
 
 class FakeEndpoint:
-    """The calls of a proxy; one job store node that holds all partitions, unless told otherwise."""
+    """An endpoint that records the calls of a proxy and stands for one job store node that serves all partitions."""
 
     def __init__(self) -> None:
         self.handlers: dict[type, Any] = {}
         self.calls: list[Any] = []
         self.finished: list[ItemFinished] = []
-        self.answers: dict[type, list[Any]] = {}  # given in order before the plain ones
+        self.answers: dict[type, list[Any]] = {}  # by message type: returned in order before the default answers
         self.reachable = True
         self.holds = True
         self.epoch = 1
@@ -329,20 +329,20 @@
         self.calls.append(value)
         if not self.reachable:
             await asyncio.sleep(timeout_s)
-            return Failure(Code.TIMED_OUT, "dark")
+            return Failure(Code.TIMED_OUT, "unreachable")
         script = self.answers.get(type(value))
         if script:
             return script.pop(0)
         if isinstance(value, ProxyPing):
-            held = [ServedPartition(part, self.epoch, self.age_ms) for part in range(16)] if self.holds else []
-            return ProxyPong(value.sent_ms, held, [job for job in value.jobs if job in self.ended])
+            served = [ServedPartition(part, self.epoch, self.age_ms) for part in range(16)] if self.holds else []
+            return ProxyPong(value.sent_ms, served, [job for job in value.jobs if job in self.ended])
         if isinstance(value, ItemFinished):
             self.finished.append(value)
         return Done()
 
 
 def list_job_store_node(world: World) -> None:
-    """The control state's view of the one job store node."""
+    """Put the job store node and its partitions into the control state."""
     world.put("member/store-0", {"role": "store", "address": JOB_STORE_NODE})
     for part in range(16):
         world.put(f"part/{part}", {"epoch": 1, "primary": "store-0#d", "backups": [], "joining": []})
--- a/tests/proxy/test_item_return.py
+++ b/tests/proxy/test_item_return.py
@@ -1,4 +1,4 @@
-"""Which items go back to their job store node, and which wait: the whole table of should_return."""
+"""The complete decision table of should_return: which items are returned to their job store node, and which wait."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 class ShouldReturnTest(unittest.TestCase):
     def test_table(self) -> None:
-        """By obstacle: with state that is new and servers that answer, with old state, with servers that don't."""
+        """Expected results by obstacle: with recent state, with old state, and with servers that do not answer."""
         table: dict[Obstacle | None, tuple[bool, bool, bool]] = {
             Obstacle.NOT_CONFIRMED: (False, False, False),
             Obstacle.NO_ROUTE: (False, False, False),
@@ -48,7 +48,7 @@
         self.assertFalse(should_return(None, LONG_S, MIN_UNREACHABLE_ATTEMPTS - 1, 0.0, False))
 
     def test_two_proxies_that_fail_leave_time_for_a_third(self) -> None:
-        """No item may be at no server for 5 s while servers have room."""
+        """No item may be without a server for 5 s while servers have free capacity."""
         self.assertLess(2 * RETURN_AFTER_S + 1.0, 5.0)
 
 
--- a/tests/proxy/test_parts.py
+++ b/tests/proxy/test_parts.py
@@ -1,4 +1,4 @@
-"""The draw, events, configuration, batch-job calls and the listener of a proxy."""
+"""Server selection, event parsing, configuration, batch job calls and the listener of a proxy."""
 
 from __future__ import annotations
 
@@ -20,7 +20,16 @@
 from otterreach.runtime.configuration import Caps, ConfigurationRecord, host_key
 from otterreach.runtime.rpc import Done
 from tests import virtual
-from tests.proxy.proxy_support import Caller, FakeEndpoint, World, list_job_store_node, played, route, serve, settings
+from tests.proxy.proxy_support import (
+    Caller,
+    FakeEndpoint,
+    World,
+    in_virtual_time,
+    list_job_store_node,
+    route,
+    serve,
+    settings,
+)
 
 
 def known(x: float, in_flight: int = 0, at: float = 0.0) -> Estimate:
@@ -29,7 +38,7 @@
     return estimate
 
 
-class TheDraw(unittest.TestCase):
+class DrawTest(unittest.TestCase):
     def shares(self, draw: Draw, estimates: list[Estimate], now: float = 0.0, count: int = 20_000) -> list[float]:
         hits = [0] * len(estimates)
         for _ in range(count):
@@ -49,22 +58,24 @@
             for share, wanted in zip(self.shares(draw, estimates), expected, strict=True):
                 self.assertAlmostEqual(share, wanted, delta=0.02)
 
-    def test_one_not_heard_from_takes_the_mean_of_the_others(self) -> None:
+    def test_a_server_without_samples_takes_the_mean_of_the_others(self) -> None:
         busy = Estimate()
         busy.record_sent()
         self.assertEqual(Draw(Random(1)).expected_times([known(1.0), known(3.0), Estimate(), busy], 0.0), [1, 3, 2, 4])
 
-    def test_a_new_connection_is_dear(self) -> None:
+    def test_servers_without_an_idle_connection_are_drawn_less(self) -> None:
         draw = Draw(Random(1))
         for count, with_one, expected in ((10, 2, 0.1 / 1.1), (2, 1, 0.1 / 1.1), (4, 3, 1 / 10)):
-            bare = [n >= with_one for n in range(count)]
-            hits = sum(bare[draw.pick([known(1.0) for _ in bare], 0.0, bare)] for _ in range(10_000))
+            without_idle = [n >= with_one for n in range(count)]
+            hits = sum(
+                without_idle[draw.pick([known(1.0) for _ in without_idle], 0.0, without_idle)] for _ in range(10_000)
+            )
             self.assertAlmostEqual(hits / 10_000, expected, delta=0.015)
         slow = [known(9.0), known(1.0)]
         hits = sum(draw.pick(slow, 0.0, [False, True]) for _ in range(10_000))
         self.assertAlmostEqual(hits / 10_000, 0.9 / 1.9, delta=0.02)
 
-    def test_what_is_told_counts_as_load_until_it_is_old(self) -> None:
+    def test_a_reported_load_counts_until_it_is_old(self) -> None:
         estimate = known(1.0)
         estimate.record_reported_load(b"3,2,8", 10.0)
         estimate.record_sent()
@@ -76,7 +87,7 @@
             estimate.record_reported_load(value, 30.0)
             self.assertEqual(estimate.load_now(30.0, 5), 0)
 
-    def test_where_nothing_is_told_the_others_do_alike(self) -> None:
+    def test_without_a_report_own_requests_are_multiplied_by_the_proxies(self) -> None:
         self.assertEqual(known(1.0, 2).load_now(0.0, 8), 16)
 
     def test_failures_count_as_the_time_out_and_fade(self) -> None:
@@ -137,7 +148,7 @@
         self.assertEqual(read.routes[0].split, (("two", 5.0),))
         self.assertFalse(read.routes[0].allows("one"))
 
-    @played
+    @in_virtual_time
     async def test_a_split_is_drawn_by_weight(self: Any) -> None:
         split = [{"backend": "one", "weight": 90}, {"backend": "two", "weight": 10}]
         world = World([route(backend=None, split=split)])
@@ -153,7 +164,7 @@
 
 
 class Calls:
-    """The calls of batch jobs from a client to a job store node that answers as told."""
+    """Batch job calls from a client to a job store node with scripted answers."""
 
     def __init__(self) -> None:
         self.world = World([route("l", "/l/", "rollout", targetMs=400)])
@@ -170,7 +181,7 @@
 
         self.ingress = Ingress(handle, Caps)
 
-    def tell(self, kind: type, *answers: Any) -> None:
+    def set_answers(self, kind: type, *answers: Any) -> None:
         self.endpoint.answers[kind] = list(answers)
 
     async def ask(self, method: str, path: str, **more: Any) -> tuple[int, bytes]:
@@ -179,55 +190,55 @@
 
 
 class BatchJobCalls(unittest.TestCase):
-    def test_refused_only_if_surely_never_taken(self) -> None:
-        moved, dark = Failure(Code.NOT_PRIMARY, ""), Failure(Code.TIMED_OUT, "")
+    def test_503_only_if_the_submission_was_never_accepted(self) -> None:
+        moved, timed_out = Failure(Code.NOT_PRIMARY, ""), Failure(Code.TIMED_OUT, "")
         gone, unread = Failure(Code.UNREACHABLE, ""), Failure(Code.BAD_JOB, "")
         for answers, status in (
             ([Done()], 202),
             ([moved, Failure(Code.NOT_SYNCED, ""), gone, Done()], 202),
-            ([dark, Done()], 202),
+            ([timed_out, Done()], 202),
             ([moved] * 100, 503),
             ([gone] * 100, 503),
-            ([dark] + [moved] * 100, 502),
+            ([timed_out] + [moved] * 100, 502),
             ([moved, Failure(Code.CLOSED, "")] + [gone] * 100, 502),
             ([Failure(Code.INTERNAL, "")] * 100, 502),
             ([unread], 400),
-            ([dark, unread], 502),
+            ([timed_out, unread], 502),
         ):
 
             async def main(answers: list[Any] = answers) -> int:
                 calls = Calls()
-                calls.tell(SubmitJob, *answers)
+                calls.set_answers(SubmitJob, *answers)
                 status, _ = await calls.ask("POST", "/l/7", body=b'{"reqs":[]}')
                 return status
 
             with self.subTest(answers=answers[:2]):
                 self.assertEqual(virtual.run(main), status)
 
-    @played
+    @in_virtual_time
     async def test_a_submission_is_held_no_longer_than_its_route_allows(self: Any) -> None:
         calls = Calls()
         record = calls.world.store.record(ConfigurationRecord)
         assert record is not None
         raw = dict(record.document["routes"][0])
         calls.world.configure([raw | {"timeoutMs": 200}])
-        calls.tell(SubmitJob, *[Failure(Code.NOT_PRIMARY, "")] * 100)
-        began = calls.world.loop.time()
+        calls.set_answers(SubmitJob, *[Failure(Code.NOT_PRIMARY, "")] * 100)
+        started = calls.world.loop.time()
         status, _ = await calls.ask("POST", "/l/7", body=b'{"reqs":[]}')
         self.assertEqual(status, 503)
-        self.assertLess(calls.world.loop.time() - began, 0.2 + 0.25)
+        self.assertLess(calls.world.loop.time() - started, 0.2 + 0.25)
 
-    @played
+    @in_virtual_time
     async def test_submitted_as_it_came(self: Any) -> None:
         calls = Calls()
         await calls.ask("POST", "/l/7", body=b'{"reqs":[]}')
         ask = calls.endpoint.calls[0]
         self.assertEqual((ask.job, ask.host, ask.route, ask.body), ("j1", "shop.example", "l", b'{"reqs":[]}'))
 
-    @played
+    @in_virtual_time
     async def test_results(self: Any) -> None:
         calls = Calls()
-        calls.tell(ReadJob, JobResults(9, 3, b'{"id":"a"},{"id":"b"}'))
+        calls.set_answers(ReadJob, JobResults(9, 3, b'{"id":"a"},{"id":"b"}'))
         status, body = await calls.ask("GET", "/lots/j1?past=1", head="Wait-Ms: 1000\r\n")
         self.assertEqual(
             (status, json.loads(body)), (200, {"total": 9, "nextCursor": 3, "results": [{"id": "a"}, {"id": "b"}]})
@@ -235,7 +246,7 @@
         ask = calls.endpoint.calls[0]
         self.assertEqual((ask.job, ask.offset, ask.wait_ms), ("j1", 1, 1000))
 
-    def test_404_only_on_the_word_of_who_serves_it(self) -> None:
+    def test_404_only_if_reported_by_the_serving_node(self) -> None:
         for kind, method, path in (
             (ReadJob, "GET", "/lots/j1?past=0"),
             (ReadItem, "GET", "/items/j1?id=i"),
@@ -251,20 +262,20 @@
 
                 async def main(kind: type = kind, method: str = method, path: str = path, code: Code = code) -> int:
                     calls = Calls()
-                    calls.tell(kind, *[Failure(code, "")] * 100)
+                    calls.set_answers(kind, *[Failure(code, "")] * 100)
                     return (await calls.ask(method, path))[0]
 
                 with self.subTest(kind=kind.__name__, code=code.name):
                     self.assertEqual(virtual.run(main), status)
 
-    @played
+    @in_virtual_time
     async def test_bodies_and_ends(self: Any) -> None:
         calls = Calls()
-        calls.tell(ReadItem, ItemBody(b"\x00bytes"))
+        calls.set_answers(ReadItem, ItemBody(b"\x00bytes"))
         self.assertEqual(await calls.ask("GET", "/items/j1?id=i%201"), (200, b"\x00bytes"))
         self.assertEqual(calls.endpoint.calls[0].item, "i 1")
         self.assertEqual((await calls.ask("DELETE", "/lots/j1"))[0], 200)
-        calls.tell(EndJob, Failure(Code.JOB_ENDED, ""))
+        calls.set_answers(EndJob, Failure(Code.JOB_ENDED, ""))
         self.assertEqual((await calls.ask("DELETE", "/lots/j1"))[0], 200)
 
 
@@ -299,7 +310,7 @@
             with self.subTest(data=data[:30]):
                 self.assertEqual(virtual.run(main), status)
 
-    @played
+    @in_virtual_time
     async def test_answers_in_order_on_one_connection(self: Any) -> None:
         caller = Caller(self.ingress(0.01))
         for n in range(5):
@@ -307,7 +318,7 @@
         got = [(await caller.next()).body for _ in range(5)]
         self.assertEqual(got, [b"/%db" % n for n in range(5)])
 
-    @played
+    @in_virtual_time
     async def test_a_body_is_asked_for_after_the_answers_before_it(self: Any) -> None:
         caller = Caller(self.ingress(0.1))
         caller.transport.write(b"GET /0 HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -320,7 +331,7 @@
         await asyncio.sleep(0.5)
         self.assertTrue(caller.data.endswith(b"/2body"))
 
-    @played
+    @in_virtual_time
     async def test_a_body_is_not_asked_for_in_the_middle_of_what_came_with_it(self: Any) -> None:
         caller = Caller(self.ingress(0.1))
         head = b"PUT /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n"
@@ -329,9 +340,9 @@
         self.assertTrue(caller.data.startswith(b"HTTP/1.1 200"))
         self.assertTrue(caller.data.endswith(b"HTTP/1.1 100 Continue\r\n\r\n"))
 
-    @played
+    @in_virtual_time
     async def test_a_head_that_comes_byte_by_byte_has_its_time_as_a_whole(self: Any) -> None:
-        """Caps: headerMs is 1 s, idleMs 5 s."""
+        """The limits are headerMs = 1 s and idleMs = 5 s."""
         ingress = self.ingress()
         sweeping = asyncio.ensure_future(ingress.sweep())
         caller = Caller(ingress)
@@ -341,7 +352,7 @@
         self.assertEqual([answer.status for answer in caller.answers], [408])
         sweeping.cancel()
 
-    @played
+    @in_virtual_time
     async def test_a_body_may_take_long_as_long_as_it_comes(self: Any) -> None:
         ingress = self.ingress()
         sweeping = asyncio.ensure_future(ingress.sweep())
@@ -353,7 +364,7 @@
         self.assertEqual((await caller.next()).status, 200)
         sweeping.cancel()
 
-    @played
+    @in_virtual_time
     async def test_a_connection_that_rested_four_fifths_of_idle_ms_takes_a_request(self: Any) -> None:
         ingress = self.ingress()
         sweeping = asyncio.ensure_future(ingress.sweep())
@@ -365,13 +376,13 @@
         self.assertFalse(caller.lost)
         sweeping.cancel()
 
-    @played
+    @in_virtual_time
     async def test_chunked_bodies(self: Any) -> None:
         caller = Caller(self.ingress())
         caller.transport.write(b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nxy\r\n0\r\n\r\n")
         self.assertEqual((await caller.next()).body, b"/axy")
 
-    @played
+    @in_virtual_time
     async def test_idle_connections_end(self: Any) -> None:
         ingress = self.ingress()
         sweeping = asyncio.ensure_future(ingress.sweep())
@@ -383,8 +394,8 @@
         sweeping.cancel()
         self.assertTrue(caller.lost)
 
-    @played
-    async def test_leaving_answers_what_was_taken(self: Any) -> None:
+    @in_virtual_time
+    async def test_shutdown_answers_accepted_requests(self: Any) -> None:
         ingress = self.ingress(0.5)
         idle, busy = Caller(ingress), Caller(ingress)
         busy.send()
@@ -399,7 +410,7 @@
         await leaving
         self.assertTrue(idle.lost and busy.lost and late.lost)
 
-    @played
+    @in_virtual_time
     async def test_a_fault_in_a_handler_promises_nothing(self: Any) -> None:
         async def handle(request: Any, client: Client) -> None:
             raise ValueError("boom")
@@ -409,7 +420,7 @@
 
 
 class Readiness(unittest.TestCase):
-    @played
+    @in_virtual_time
     async def test_ready_once_it_is_as_new_as_the_core(self: Any) -> None:
         world = World([route()])
         proxy = Proxy.__new__(Proxy)
--- a/tests/proxy/test_ping_schedule.py
+++ b/tests/proxy/test_ping_schedule.py
@@ -1,4 +1,4 @@
-"""When a proxy pings which job store node: each reason for the short interval, and the long one without any."""
+"""The ping schedule: each condition for the short interval, and the long interval without any of them."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_policy.py
+++ b/tests/proxy/test_policy.py
@@ -1,4 +1,4 @@
-"""The switches of the proxy's decisions: each changes what it names, and all are on in service."""
+"""The switches of server selection: each affects its mechanism, and all are enabled in production."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -1,4 +1,4 @@
-"""Ordinary requests of clients: routing, tries by kind, promises, whose answer it is."""
+"""Requests of clients: routing, retries by kind of route, meaning of error answers, matching of answers, streams."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     Caller,
     World,
     after,
-    cut,
+    disconnect,
     fail,
-    played,
+    in_virtual_time,
     route,
     serve,
     silence,
@@ -47,7 +47,7 @@
 
 
 class Routing(unittest.TestCase):
-    @played
+    @in_virtual_time
     async def test_longest_prefix_of_the_host(self) -> None:
         world = World([route("r", "/a/", backend="one"), route("s", "/a/b/", backend="two")])
         world.server("i-1", serve, "one")
@@ -58,14 +58,14 @@
             self.assertEqual((answer.status, answer.body), (200, ident))
         self.assertEqual((await caller.ask(path="/b/x")).status, 404)
 
-    @played
-    async def test_404_only_with_fresh_knowledge(self) -> None:
+    @in_virtual_time
+    async def test_404_only_with_a_recent_replica(self) -> None:
         answer = await Caller(ingress(World([route()]), age_s=5.0)).ask(path="/b/x")
         self.assertEqual(answer.status, 503)
         self.assertIn(b"retry-after", answer.headers)
 
-    @played
-    async def test_what_a_server_gets(self) -> None:
+    @in_virtual_time
+    async def test_request_as_sent_to_a_server(self) -> None:
         world = World([route()])
         server = world.server("i-1", serve)
         head = "X-Mine: 1\r\nConnection: x-hop\r\nX-Hop: 2\r\n"
@@ -77,9 +77,9 @@
         self.assertEqual((call.header(b"x-mine"), call.header(b"x-hop")), ("1", None))
         self.assertTrue(1400 < int(call.header(b"deadline-ms") or 0) <= 1500)
 
-    @played
-    async def test_the_time_that_a_body_took_is_the_client_s(self) -> None:
-        """A server must not be handed more time than is left."""
+    @in_virtual_time
+    async def test_receiving_a_body_counts_against_deadline_ms(self) -> None:
+        """A server must not be given more time than is left."""
         world = World([route()])
         server = world.server("i-1", serve)
         caller = Caller(ingress(world))
@@ -90,7 +90,7 @@
         self.assertEqual((await caller.next()).status, 200)
         self.assertLessEqual(int(server.calls[0].header(b"deadline-ms") or 0), 600)
 
-    @played
+    @in_virtual_time
     async def test_the_route_s_time_counts_from_the_whole_request(self) -> None:
         world = World([route(timeoutMs=300)])
         world.server("i-1", silence)
@@ -99,11 +99,11 @@
         caller.transport.write(whole[:-2])
         await asyncio.sleep(0.9)
         caller.transport.write(whole[-2:])
-        began = world.loop.time()
+        started = world.loop.time()
         self.assertEqual((await caller.next()).status, 504)
-        self.assertAlmostEqual(world.loop.time() - began, 0.3, delta=0.05)
+        self.assertAlmostEqual(world.loop.time() - started, 0.3, delta=0.05)
 
-    @played
+    @in_virtual_time
     async def test_a_retry_goes_by_the_newest_configuration(self) -> None:
         world = World([route(backend="one")])
 
@@ -117,17 +117,17 @@
         self.assertEqual((answer.status, len(old.calls) + len(new.calls)), (200, 2))
         self.assertEqual(answer.body, b"i-2")
 
-    @played
+    @in_virtual_time
     async def test_nothing_new_at_a_draining_server(self) -> None:
         world = World([route()])
         server = world.server("i-1", serve)
-        front = Caller(ingress(world))
-        await front.ask()
+        caller = Caller(ingress(world))
+        await caller.ask()
         world.list(server, state="draining")
-        self.assertEqual((await front.ask(ident="q2")).status, 503)
+        self.assertEqual((await caller.ask(ident="q2")).status, 503)
         self.assertEqual(len(server.calls), 1)
 
-    @played
+    @in_virtual_time
     async def test_drained_while_connecting(self) -> None:
         world = World([route()])
         server = world.server("i-1", serve)
@@ -139,9 +139,9 @@
         self.assertEqual(server.calls, [])
 
 
-class Tries(unittest.TestCase):
+class Retries(unittest.TestCase):
     def outcome(self, kind: str, script: Any, tries: int = 3, others: Any = serve, **more: Any) -> tuple[int, int]:
-        """The status, and how many requests reached servers."""
+        """Return the status and the number of requests that reached servers."""
 
         async def main() -> tuple[int, int]:
             world = World([route(kind=kind, tries=tries, **more)])
@@ -156,20 +156,20 @@
         return virtual.run(main)
 
     def test_table(self) -> None:
-        lost, garbled = cut, broken_answer
+        lost, garbled = disconnect, broken_answer
         for kind, script, expected in (
             ("idem", turn_away, (200, 2)),
             ("idem", fail, (200, 2)),
             ("idem", lost, (200, 2)),
             ("idem", garbled, (200, 2)),
             ("idem", no_seal, (200, 2)),
-            ("idem", foreign, (200, 2)),
+            ("idem", mismatched_id, (200, 2)),
             ("mutating", turn_away, (200, 2)),
             ("mutating", fail, (500, 1)),
             ("mutating", lost, (502, 1)),
             ("mutating", garbled, (502, 1)),
             ("mutating", no_seal, (502, 1)),
-            ("mutating", foreign, (502, 1)),
+            ("mutating", mismatched_id, (502, 1)),
             ("mutating", bare_503, (502, 1)),
             ("mutating", silence, (504, 1)),
         ):
@@ -178,13 +178,13 @@
 
     def test_never_more_than_tries_servers(self) -> None:
         self.assertEqual(self.outcome("idem", turn_away, 2, turn_away), (503, 2))
-        self.assertEqual(self.outcome("idem", cut, 2, cut), (502, 2))
+        self.assertEqual(self.outcome("idem", disconnect, 2, disconnect), (502, 2))
         self.assertEqual(self.outcome("idem", fail, 2, fail), (500, 2))
 
-    @played
-    async def test_refused_only_if_it_surely_has_not_run(self) -> None:
+    @in_virtual_time
+    async def test_503_only_if_the_request_has_not_run(self) -> None:
         world = World([route(tries=2)])
-        scripts = [cut, turn_away]
+        scripts = [disconnect, turn_away]
 
         async def script(call: Call) -> None:
             await scripts.pop(0)(call)
@@ -192,7 +192,7 @@
         world.server("i-1", script)
         self.assertEqual((await Caller(ingress(world)).ask()).status, 502)
 
-    @played
+    @in_virtual_time
     async def test_a_connection_that_does_not_come_up_has_not_run(self) -> None:
         world = World([route(kind="mutating")])
         world.server("i-1", serve).refuses = True
@@ -200,16 +200,16 @@
         for n in range(8):
             self.assertEqual((await Caller(ingress(world)).ask(ident=f"q{n}")).status, 200)
 
-    @played
-    async def test_without_any_server_refused_soon(self) -> None:
+    @in_virtual_time
+    async def test_503_soon_without_any_server(self) -> None:
         world = World([route()])
-        began = world.loop.time()
+        started = world.loop.time()
         answer = await Caller(ingress(world)).ask()
         self.assertEqual(answer.status, 503)
-        self.assertLess(world.loop.time() - began, 0.06)
+        self.assertLess(world.loop.time() - started, 0.06)
         self.assertTrue(float(answer.headers[b"retry-after"]) > 0)
 
-    @played
+    @in_virtual_time
     async def test_time_left_for_another_server(self) -> None:
         world = World([route(tries=2)])
         world.server("i-1", silence)
@@ -217,11 +217,11 @@
         caller.send(deadline_ms=1000)
         await asyncio.sleep(0.002)
         world.server("i-2", serve)
-        # Whichever is drawn first: there is an answer within the time.
+        # There is an answer within the deadline, whichever server is drawn first.
         answer = await caller.next()
         self.assertIn(answer.status, (200, 504))
 
-    @played
+    @in_virtual_time
     async def test_a_client_that_leaves_cancels(self) -> None:
         world = World([route()])
         server = world.server("i-1", silence)
@@ -233,9 +233,9 @@
         self.assertEqual(server.dropped, ["q1"])
         self.assertEqual(world.fleet.servers["i-1"].estimate.in_flight, 0)
 
-    @played
+    @in_virtual_time
     async def test_a_client_that_leaves_a_stream_cancels_it(self) -> None:
-        """Before its first event, in its middle, and while it is tried elsewhere."""
+        """Cancellation before the first event, within the stream, and during a retry at another server."""
 
         async def begin(call: Call) -> None:
             call.begin()
@@ -254,7 +254,7 @@
                 self.assertEqual([end for s in servers for end in s.dropped], ["q1"])
                 self.assertEqual([s.pool.connections for s in world.fleet.servers.values()], [set(), set()])
 
-    @played
+    @in_virtual_time
     async def test_another_server_at_the_address(self) -> None:
         world = World([route(kind="mutating")])
         server = world.server("i-1", serve)
@@ -265,8 +265,8 @@
         self.assertEqual((server.calls, len(other.calls)), ([], 6))
 
 
-class Belonging(unittest.TestCase):
-    @played
+class AnswerMatching(unittest.TestCase):
+    @in_virtual_time
     async def test_an_extra_answer_closes_the_connection(self) -> None:
         world = World([route()])
 
@@ -275,12 +275,12 @@
             call.answer(body=b"extra")
 
         server = world.server("i-1", twice)
-        front = Caller(ingress(world))
+        caller = Caller(ingress(world))
         for n in range(3):
-            self.assertEqual((await front.ask(ident=f"q{n}")).body, b"mine")
+            self.assertEqual((await caller.ask(ident=f"q{n}")).body, b"mine")
         self.assertEqual(server.opened, 3)
 
-    @played
+    @in_virtual_time
     async def test_an_extra_answer_in_the_same_bytes_is_not_part_of_the_body(self) -> None:
         world = World([route()])
 
@@ -291,13 +291,13 @@
             call.write(SEAL + b"\r\nmine" + extra)
 
         server = world.server("i-1", twice)
-        front = Caller(ingress(world))
+        caller = Caller(ingress(world))
         for n in range(3):
-            self.assertEqual((await front.ask(ident=f"q{n}")).body, b"mine")
+            self.assertEqual((await caller.ask(ident=f"q{n}")).body, b"mine")
         self.assertEqual(server.opened, 3)
 
-    @played
-    async def test_a_late_extra_answer_while_it_rests(self) -> None:
+    @in_virtual_time
+    async def test_a_late_extra_answer_on_an_idle_connection(self) -> None:
         world = World([route()])
 
         async def late(call: Call) -> None:
@@ -306,31 +306,31 @@
             call.answer(body=b"late")
 
         server = world.server("i-1", late)
-        front = Caller(ingress(world))
+        caller = Caller(ingress(world))
         for n in range(3):
-            self.assertEqual((await front.ask(ident=f"q{n}")).body, b"mine")
+            self.assertEqual((await caller.ask(ident=f"q{n}")).body, b"mine")
         self.assertEqual(server.opened, 3)
 
-    @played
-    async def test_a_kept_connection_is_used_again(self) -> None:
+    @in_virtual_time
+    async def test_an_idle_connection_is_reused(self) -> None:
         world = World([route()])
         server = world.server("i-1", serve)
-        front = Caller(ingress(world))
+        caller = Caller(ingress(world))
         for n in range(4):
-            await front.ask(ident=f"q{n}")
+            await caller.ask(ident=f"q{n}")
             await asyncio.sleep(0.03)
         self.assertEqual(server.opened, 1)
 
-    @played
-    async def test_waits_for_a_resting_connection_rather_than_open_another(self) -> None:
+    @in_virtual_time
+    async def test_waits_for_the_minimum_idle_time_rather_than_connect(self) -> None:
         world = World([route()])
         server = world.server("i-1", serve)
-        front = Caller(ingress(world))
-        await front.ask(ident="q1")
-        await front.ask(ident="q2")
+        caller = Caller(ingress(world))
+        await caller.ask(ident="q1")
+        await caller.ask(ident="q2")
         self.assertEqual(server.opened, 1)
 
-    @played
+    @in_virtual_time
     async def test_keep_alive_is_obeyed(self) -> None:
         world = World([route()])
 
@@ -338,15 +338,15 @@
             call.answer(head=SEAL + b"Keep-Alive: timeout=2\r\n")
 
         server = world.server("i-1", two_seconds)
-        front = Caller(ingress(world))
+        caller = Caller(ingress(world))
         sweeping = asyncio.ensure_future(world.fleet.sweep())
-        await front.ask(ident="q1")
+        await caller.ask(ident="q1")
         await asyncio.sleep(2.1)
-        await front.ask(ident="q2")
+        await caller.ask(ident="q2")
         sweeping.cancel()
         self.assertEqual(server.opened, 2)
 
-    @played
+    @in_virtual_time
     async def test_connection_close_is_obeyed(self) -> None:
         world = World([route()])
 
@@ -354,26 +354,26 @@
             call.answer(head=SEAL + b"Connection: close\r\n")
 
         server = world.server("i-1", closing)
-        front = Caller(ingress(world))
-        await front.ask(ident="q1")
+        caller = Caller(ingress(world))
+        await caller.ask(ident="q1")
         await asyncio.sleep(0.1)
-        await front.ask(ident="q2")
+        await caller.ask(ident="q2")
         self.assertEqual(server.opened, 2)
 
-    @played
-    async def test_nothing_unrepeatable_on_a_connection_long_idle(self) -> None:
+    @in_virtual_time
+    async def test_a_mutating_request_avoids_a_long_idle_connection(self) -> None:
         world = World([route(kind="mutating")])
         server = world.server("i-1", serve)
-        front = Caller(ingress(world))
+        caller = Caller(ingress(world))
         for pause in (0.5, 3.0, 0.0):
-            await front.ask()
+            await caller.ask()
             await asyncio.sleep(pause)
         self.assertEqual(server.opened, 2)
 
-    @played
-    async def test_the_share_of_the_connections(self) -> None:
+    @in_virtual_time
+    async def test_proxies_share_the_connection_limit(self) -> None:
         world = World([route()])
-        world.fronts(10)
+        world.add_proxies(10)
         server = world.server("i-1", after(1.0), cap=50)
         await asyncio.sleep(0)
         callers = [Caller(ingress(world)) for _ in range(20)]
@@ -383,7 +383,7 @@
 
 
 class StreamsTest(unittest.TestCase):
-    @played
+    @in_virtual_time
     async def test_events_pass_as_they_come(self) -> None:
         world = World([route(kind="stream")])
 
@@ -404,14 +404,14 @@
         self.assertEqual(answer.body.count(b"data:"), 3)
         self.assertEqual(answer.headers[b"reply-seal"], b"s-1")
 
-    @played
+    @in_virtual_time
     async def test_a_cut_stream_does_not_look_complete(self) -> None:
         world = World([route(kind="stream")])
 
         async def script(call: Call) -> None:
             call.begin()
             call.event(0, "d0")
-            call.cut()
+            call.disconnect()
 
         server = world.server("i-1", script)
         world.server("i-2", script)
@@ -421,8 +421,8 @@
         self.assertIn(b"data: d0", caller.data)
         self.assertLessEqual(len(server.calls), 1)
 
-    @played
-    async def test_a_cut_is_taken_up_elsewhere(self) -> None:
+    @in_virtual_time
+    async def test_a_broken_stream_is_resumed_at_another_server(self) -> None:
         world = World([route(kind="stream", resume=True)])
         asked: list[str | None] = []
 
@@ -433,7 +433,7 @@
             for n in range(start, 5):
                 call.event(n, f"d{n}")
                 if len(asked) == 1 and n == 2:
-                    call.cut()
+                    call.disconnect()
                     return
             call.end_stream()
 
@@ -444,8 +444,8 @@
         self.assertEqual(lines, [b"data: d%d" % n for n in range(5)])
         self.assertEqual((asked, answer.headers[b"reply-seal"]), ([None, "2"], b"s-1"))
 
-    @played
-    async def test_a_gap_after_a_cut_is_not_passed_on(self) -> None:
+    @in_virtual_time
+    async def test_a_gap_after_a_resume_is_not_forwarded(self) -> None:
         world = World([route(kind="stream", resume=True)])
         calls: list[Call] = []
 
@@ -453,7 +453,7 @@
             calls.append(call)
             call.begin()
             call.event(len(calls) * 2, "x")
-            call.cut()
+            call.disconnect()
 
         world.server("i-1", script)
         caller = Caller(ingress(world))
@@ -470,7 +470,7 @@
     call.answer(head=b"")
 
 
-async def foreign(call: Call) -> None:
+async def mismatched_id(call: Call) -> None:
     call.answer(ident="another")
 
 
--- a/tests/proxy/test_runner.py
+++ b/tests/proxy/test_runner.py
@@ -1,4 +1,4 @@
-"""Items of batch jobs: run, resumed, judged, rewarded, held, cancelled, given back."""
+"""Items of batch jobs: generation, resumption, failures, reward calls, confirmation, cancellation, return."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     World,
     after,
     assign,
-    cut,
+    disconnect,
     fail,
     list_job_store_node,
     route,
@@ -46,13 +46,13 @@
 
 
 class Stage:
-    """A runner with its servers and its job store node."""
+    """A runner with its model servers and its job store node."""
 
     def __init__(self, **item_route: Any) -> None:
         items = route("l", "/l/", "rollout", backend="lm", maxWaitS=40, dueMs=5000) | item_route
         self.world = World([items, route("score", "/a/", backend="svc", tries=2)])
         list_job_store_node(self.world)
-        self.world.fronts(1)
+        self.world.add_proxies(1)
         self.endpoint = FakeEndpoint()
         self.state_age_s = 0.0
         self.runner = Runner(self.world.fleet, self.endpoint, settings(), lambda: self.state_age_s)
@@ -77,7 +77,7 @@
 
 
 def writes(count: int, version: int = 1, until: int | None = None, gap_s: float = 0.01) -> Script:
-    """A model server: events from where it is asked to go on; cut off before event `until`."""
+    """Return a script that sends events from the resume position and disconnects before event `until`."""
 
     async def script(call: Call) -> None:
         last = call.header(b"last-event-id")
@@ -85,7 +85,7 @@
         call.begin(b"Reply-Seal: s\r\nWeight-Versions: %d\r\n" % version)
         for n in range(start, count):
             if n == until:
-                call.cut()
+                call.disconnect()
                 return
             await asyncio.sleep(gap_s)
             call.event(n, f"d{n}")
@@ -123,7 +123,7 @@
         self.assertGreater(int(call.header(b"deadline-ms") or 0), 30_000)
 
     @staged()
-    async def test_a_cut_is_resumed_elsewhere_and_joins(self, stage: Stage) -> None:
+    async def test_a_broken_text_is_resumed_at_another_server(self, stage: Stage) -> None:
         servers = [stage.server(f"i-{n}", writes(6, 1, 3)) for n in (1, 2)]
 
         async def once(call: Call) -> None:
@@ -139,7 +139,7 @@
         self.assertEqual([len(s.calls) for s in servers], [1, 1])
 
     @staged()
-    async def test_every_version_that_made_an_event(self, stage: Stage) -> None:
+    async def test_result_names_every_version_that_generated_an_event(self, stage: Stage) -> None:
         async def script(call: Call) -> None:
             call.begin(b"Reply-Seal: s\r\nWeight-Versions: 3\r\n")
             call.event(0, "a")
@@ -151,7 +151,7 @@
         self.assertEqual((await stage.result()).versions, [3, 4])
 
     @staged()
-    async def test_a_version_that_made_nothing_is_not_named(self, stage: Stage) -> None:
+    async def test_result_omits_a_version_that_generated_no_event(self, stage: Stage) -> None:
         async def script(call: Call) -> None:
             call.begin(b"Reply-Seal: s\r\nWeight-Versions: 3\r\n")
             call.event(0, "b", 4)
@@ -162,10 +162,10 @@
         self.assertEqual((await stage.result()).versions, [4])
 
     @staged()
-    async def test_without_a_stamp_or_an_end_it_is_not_done(self, stage: Stage) -> None:
+    async def test_a_text_without_seal_or_end_is_not_accepted(self, stage: Stage) -> None:
         scripts: list[Script] = []
 
-        async def stampless(call: Call) -> None:
+        async def without_seal(call: Call) -> None:
             call.begin(b"Weight-Versions: 1\r\n")
             call.event(0, "bad")
             call.end_stream()
@@ -173,7 +173,7 @@
         async def next_one(call: Call) -> None:
             await scripts.pop(0)(call)
 
-        scripts += [stampless, cut, turn_away, writes(4)]
+        scripts += [without_seal, disconnect, turn_away, writes(4)]
         stage.server("i-1", next_one)
         stage.runner.assign(assign([work()]))
         done = await stage.result()
@@ -200,7 +200,7 @@
         self.assertEqual(asked, [None, "1", None])
 
     @staged()
-    async def test_silence_is_broken_off(self, stage: Stage) -> None:
+    async def test_a_stalled_attempt_is_ended(self, stage: Stage) -> None:
         async def stalls(call: Call) -> None:
             call.begin(b"Reply-Seal: s\r\nWeight-Versions: 1\r\n")
             call.event(0, "d0")
@@ -210,9 +210,9 @@
         stage.runner.assign(assign([work()]))
         await asyncio.sleep(0.1)
         stage.server("i-2", writes(3))
-        began = stage.loop.time()
+        started = stage.loop.time()
         self.assertEqual((await stage.result()).text, text_of(3))
-        self.assertLess(stage.loop.time() - began, 2.0)
+        self.assertLess(stage.loop.time() - started, 2.0)
         self.assertEqual(first.dropped, ["i1"])
 
 
@@ -226,7 +226,7 @@
         self.assertEqual((len(old.calls), len(new.calls)), (0, 8))
 
     @staged()
-    async def test_what_an_older_version_makes_is_not_taken(self, stage: Stage) -> None:
+    async def test_text_of_an_older_version_is_rejected(self, stage: Stage) -> None:
         wrong = stage.server("i-1", writes(3, 4), 5)
         stage.runner.assign(assign([work()], min_version=5))
         await asyncio.sleep(0.5)
@@ -236,8 +236,8 @@
         self.assertEqual((done.versions, done.text), ([5], text_of(3)))
 
     @staged(single=True)
-    async def test_one_version_a_text(self, stage: Stage) -> None:
-        """Cut off under 1, it may go on only under 1; no such server is left, so it begins anew under 2."""
+    async def test_a_single_version_text_is_resumed_only_under_its_version(self, stage: Stage) -> None:
+        """Text of version 1 is resumed only under version 1; without such a server it restarts under version 2."""
         first = stage.server("i-1", writes(5, 1, 2), 1)
         stage.runner.assign(assign([work()]))
         await asyncio.sleep(0.012)
@@ -252,7 +252,7 @@
         self.assertIsNone(other.calls[0].header(b"last-event-id"))
 
     @staged(single=True)
-    async def test_a_change_in_the_middle_begins_anew(self, stage: Stage) -> None:
+    async def test_a_version_change_restarts_a_single_version_text(self, stage: Stage) -> None:
         count = 0
 
         async def script(call: Call) -> None:
@@ -272,7 +272,7 @@
         self.assertEqual((done.versions, done.text, count), ([2], text_of(4), 2))
 
 
-class Judged(unittest.TestCase):
+class PermanentFailures(unittest.TestCase):
     @staged(tries=3)
     async def test_failed_after_so_many_500s(self, stage: Stage) -> None:
         server = stage.server("i-1", fail)
@@ -282,7 +282,7 @@
 
     @staged(tries=2)
     async def test_other_failures_do_not_count(self, stage: Stage) -> None:
-        scripts: list[Script] = [fail, cut, turn_away, cut, cut, writes(2)]
+        scripts: list[Script] = [fail, disconnect, turn_away, disconnect, disconnect, writes(2)]
 
         async def next_one(call: Call) -> None:
             await scripts.pop(0)(call)
@@ -305,10 +305,10 @@
     async def test_given_up_only_after_its_time(self, stage: Stage) -> None:
         stage.server("i-1", turn_away)
         stage.runner.assign(assign([work()], wait_ms=3000))
-        began = stage.loop.time()
+        started = stage.loop.time()
         done = await stage.result()
         self.assertEqual((done.state, done.reason), ("errored", "waited"))
-        self.assertGreater(stage.loop.time() - began, 3.0)
+        self.assertGreater(stage.loop.time() - started, 3.0)
 
     @staged()
     async def test_given_up_only_once_its_route_has_long_been_gone(self, stage: Stage) -> None:
@@ -333,7 +333,7 @@
         self.assertEqual((await stage.result()).state, "done")
 
     @staged()
-    async def test_told_until_it_is_taken(self, stage: Stage) -> None:
+    async def test_result_is_reported_until_acknowledged(self, stage: Stage) -> None:
         stage.endpoint.answers[ItemFinished] = [
             Failure(Code.NOT_PRIMARY, ""),
             Failure(Code.TIMED_OUT, ""),
@@ -344,7 +344,7 @@
         self.assertEqual((await stage.result()).text, text_of(2))
 
     @staged()
-    async def test_told_no_more_once_that_is_final(self, stage: Stage) -> None:
+    async def test_reporting_stops_after_a_final_rejection(self, stage: Stage) -> None:
         stage.endpoint.answers[ItemFinished] = [Failure(Code.JOB_ENDED, "")]
         stage.server("i-1", writes(2))
         stage.runner.assign(assign([work()]))
@@ -354,7 +354,7 @@
 
 class Rewards(unittest.TestCase):
     @staged()
-    async def test_after_the_last_event(self, stage: Stage) -> None:
+    async def test_reward_call_follows_the_last_event(self, stage: Stage) -> None:
         lm = stage.server("i-1", writes(3, gap_s=0.1))
         scorer = stage.world.server("s-1", serve)
         stage.runner.assign(assign([work(scorer="r1")]))
@@ -368,7 +368,7 @@
     @staged(tries=2)
     async def test_failed_after_so_many_500s(self, stage: Stage) -> None:
         stage.server("i-1", writes(1))
-        scripts: list[Script] = [cut, turn_away, fail, fail]
+        scripts: list[Script] = [disconnect, turn_away, fail, fail]
 
         async def next_one(call: Call) -> None:
             await scripts.pop(0)(call)
@@ -381,7 +381,7 @@
     @staged()
     async def test_no_score_without_a_2xx(self, stage: Stage) -> None:
         stage.server("i-1", writes(1))
-        scripts: list[Script] = [cut, fail, serve]
+        scripts: list[Script] = [disconnect, fail, serve]
 
         async def next_one(call: Call) -> None:
             await scripts.pop(0)(call)
@@ -391,9 +391,9 @@
         self.assertEqual((await stage.result()).score, "s-1")
 
 
-class Leases(unittest.TestCase):
+class Confirmation(unittest.TestCase):
     @staged()
-    async def test_nothing_goes_out_without_word_from_the_job_store(self, stage: Stage) -> None:
+    async def test_no_item_is_sent_without_confirmation(self, stage: Stage) -> None:
         server = stage.server("i-1", writes(2))
         stage.endpoint.reachable = False
         await asyncio.sleep(CANCEL_S)
@@ -404,7 +404,7 @@
         self.assertEqual((await stage.result()).state, "done")
 
     @staged()
-    async def test_the_age_of_what_it_knows_counts(self, stage: Stage) -> None:
+    async def test_an_old_confirmation_does_not_count(self, stage: Stage) -> None:
         server = stage.server("i-1", writes(2))
         stage.endpoint.age_ms = 1300
         await asyncio.sleep(1.5)
@@ -413,8 +413,8 @@
         self.assertEqual(server.calls, [])
 
     @staged()
-    async def test_checked_again_at_the_write(self, stage: Stage) -> None:
-        """The process stands still while the connection comes up."""
+    async def test_confirmation_is_checked_again_before_the_write(self, stage: Stage) -> None:
+        """The process is paused while the connection is established."""
         server = stage.server("i-1", writes(2))
         stage.endpoint.reachable = False
         stage.runner.assign(assign([work()]))
@@ -425,7 +425,7 @@
         self.assertEqual(server.calls, [])
 
     @staged()
-    async def test_a_reward_call_too(self, stage: Stage) -> None:
+    async def test_a_reward_call_needs_confirmation_too(self, stage: Stage) -> None:
         async def final_answer(call: Call) -> None:
             await writes(1)(call)
             stage.endpoint.reachable = False
@@ -440,7 +440,7 @@
     @staged()
     async def test_an_older_epoch_assigns_nothing(self, stage: Stage) -> None:
         stage.endpoint.epoch = 4
-        await asyncio.sleep(LONG_INTERVAL_S + 0.1)  # a proxy without items hears of it by then
+        await asyncio.sleep(LONG_INTERVAL_S + 0.1)  # by then a proxy without items has received the new epoch
         stage.runner.assign(assign([work()], epoch=3))
         self.assertEqual(stage.runner.runs, {})
 
@@ -455,17 +455,17 @@
         self.assertEqual(list(stage.runner.runs), [(job, "i1")])
 
     @staged()
-    async def test_a_new_epoch_hears_what_runs(self, stage: Stage) -> None:
+    async def test_running_items_are_reported_to_a_new_epoch(self, stage: Stage) -> None:
         stage.server("i-1", silence)
         stage.runner.assign(assign([work()]))
         await asyncio.sleep(0.3)
         stage.endpoint.epoch = 2
         await asyncio.sleep(0.3)
-        told = [m for m in stage.endpoint.to.sent if isinstance(m, RunningItems) and m.items]
-        self.assertEqual([(m.node, m.items) for m in told], [("front-0", ["j1 i1"])])
+        reports = [m for m in stage.endpoint.to.sent if isinstance(m, RunningItems) and m.items]
+        self.assertEqual([(m.node, m.items) for m in reports], [("front-0", ["j1 i1"])])
 
 
-class Ends(unittest.TestCase):
+class CancellationAndShutdown(unittest.TestCase):
     @staged()
     async def test_cancel_breaks_off_and_drops(self, stage: Stage) -> None:
         server = stage.server("i-1", silence, cap=1)
@@ -488,28 +488,28 @@
         self.assertEqual(stage.runner.runs, {})
 
     @staged()
-    async def test_leaving(self, stage: Stage) -> None:
+    async def test_shutdown_completes_running_items_and_returns_queued_ones(self, stage: Stage) -> None:
         stage.server("i-1", after(0.5, writes(2)), cap=2)
         stage.runner.assign(assign([work(f"i{n}") for n in range(4)]))
         await asyncio.sleep(0.1)
         await stage.runner.shut_down(4.0)
         self.assertEqual(sorted(f.item for f in stage.endpoint.finished), ["i0", "i1"])
-        back = [m for m in stage.endpoint.to.sent if isinstance(m, ReturnItems)]
-        self.assertEqual([(m.job, m.items) for m in back], [("j1", ["i2", "i3"])])
+        returned_messages = [m for m in stage.endpoint.to.sent if isinstance(m, ReturnItems)]
+        self.assertEqual([(m.job, m.items) for m in returned_messages], [("j1", ["i2", "i3"])])
 
     @staged()
-    async def test_leaving_while_it_runs_on(self, stage: Stage) -> None:
+    async def test_shutdown_returns_items_that_do_not_complete(self, stage: Stage) -> None:
         stage.server("i-1", silence, cap=2)
         stage.runner.assign(assign([work()]))
         await asyncio.sleep(0.1)
         await stage.runner.shut_down(1.0)
-        back = [m for m in stage.endpoint.to.sent if isinstance(m, ReturnItems)]
-        self.assertEqual([(m.job, m.items) for m in back], [("j1", ["i1"])])
+        returned_messages = [m for m in stage.endpoint.to.sent if isinstance(m, ReturnItems)]
+        self.assertEqual([(m.job, m.items) for m in returned_messages], [("j1", ["i1"])])
         self.assertEqual(stage.runner.runs, {})
 
 
 class Pings(unittest.TestCase):
-    """Which pings a proxy sends: often where it has items, seldom elsewhere, at once where something must be known."""
+    """Pings of a proxy: frequent with items, rare without, immediate on assignment and shutdown."""
 
     @staticmethod
     def pings(stage: Stage) -> list[ProxyPing]:
@@ -542,12 +542,12 @@
 
     @staged()
     async def test_an_item_goes_out_once_the_node_that_assigned_it_has_answered(self, stage: Stage) -> None:
-        """By then the last answer may be older than the time for which it holds."""
+        """At the assignment, the last pong may be older than the confirmation lease."""
         server = stage.server("i-1", writes(1))
         await asyncio.sleep(3.0)
         for owner in stage.runner.directory.owners.values():
             owner.as_of -= 1.0
-        stage.runner.directory.lease_s = 0.0001  # no earlier answer counts any more
+        stage.runner.directory.lease_s = 0.0001  # no earlier pong counts any more
         link: Any = Link(Endpoint(), JOB_STORE_NODE)
         before = len(self.pings(stage))
         await stage.endpoint.handlers[AssignItems](link, assign([work()]))
@@ -566,8 +566,8 @@
         await ending
 
 
-class Returned(unittest.TestCase):
-    """An item that no server can be reached for goes back, so that another proxy may run it; all others wait."""
+class ReturnedItems(unittest.TestCase):
+    """An item whose servers are unreachable is returned so that another proxy may run it; all others wait."""
 
     @staticmethod
     def returned(stage: Stage) -> list[tuple[str, bool]]:
@@ -576,7 +576,7 @@
 
     @staged()
     async def test_unreachable_servers(self, stage: Stage) -> None:
-        stage.world.fronts(3)
+        stage.world.add_proxies(3)
         for n in range(3):
             stage.server(f"i-{n}", serve).refuses = True
         stage.runner.assign(assign([work()]))
@@ -588,8 +588,8 @@
 
     @staged()
     async def test_servers_that_take_connections_and_say_nothing(self, stage: Stage) -> None:
-        """As on paths that are cut silently: the attempt ends late, and the next one has to be the last here."""
-        stage.world.fronts(3)
+        """As in a silent network partition: an attempt ends late, so the second one has to be the last here."""
+        stage.world.add_proxies(3)
         for n in range(3):
             stage.server(f"i-{n}", silence)
         stage.runner.assign(assign([work()]))
@@ -608,7 +608,7 @@
 
     @staged()
     async def test_full_servers_are_waited_for(self, stage: Stage) -> None:
-        stage.world.fronts(3)
+        stage.world.add_proxies(3)
         stage.server("i-1", turn_away)
         stage.runner.assign(assign([work()]))
         await asyncio.sleep(6.0)
@@ -616,15 +616,15 @@
 
     @staged()
     async def test_a_version_that_no_server_has_is_waited_for(self, stage: Stage) -> None:
-        stage.world.fronts(3)
+        stage.world.add_proxies(3)
         stage.server("i-1", writes(1), version=1)
         stage.runner.assign(assign([work()], min_version=2))
         await asyncio.sleep(6.0)
         self.assertEqual(self.returned(stage), [])
 
     @staged()
-    async def test_but_not_by_a_proxy_whose_state_is_old(self, stage: Stage) -> None:
-        stage.world.fronts(3)
+    async def test_a_missing_version_with_an_old_replica_returns_the_item(self, stage: Stage) -> None:
+        stage.world.add_proxies(3)
         stage.server("i-1", writes(1), version=1)
         stage.state_age_s = 5.0
         stage.runner.assign(assign([work()], min_version=2))
@@ -632,8 +632,8 @@
         self.assertEqual(self.returned(stage), [("i1", True)])
 
     @staged()
-    async def test_a_stuck_item_holds_up_none_of_another_need(self, stage: Stage) -> None:
-        stage.world.fronts(3)
+    async def test_a_stuck_item_does_not_block_items_with_other_requirements(self, stage: Stage) -> None:
+        stage.world.add_proxies(3)
         server = stage.server("i-1", writes(1), version=1)
         stage.runner.assign(assign([work("new")], "j1", min_version=2, left_ms=100))
         stage.runner.assign(assign([work("old")], "j2", min_version=1, left_ms=9000))
@@ -642,7 +642,7 @@
 
     @staged(single=True)
     async def test_a_text_goes_back_later_and_only_if_its_servers_are_gone(self, stage: Stage) -> None:
-        stage.world.fronts(3)
+        stage.world.add_proxies(3)
         server = stage.server("i-1", writes(5, until=2))
         stage.runner.assign(assign([work()]))
         await asyncio.sleep(0.05)
@@ -654,9 +654,9 @@
 
     @staged()
     async def test_after_a_while_an_item_is_not_bound_by_the_share(self, stage: Stage) -> None:
-        """Four proxies may run items, and the other three run none: the server must not stay a quarter full."""
+        """Several proxies may run items, but only this one does: its share must not leave the server mostly idle."""
         server = stage.server("i-1", silence, cap=32)
-        stage.world.fronts(4)
+        stage.world.add_proxies(4)
         await asyncio.sleep(0)
         stage.runner.fleet.set_runner_count(8)
         stage.runner.assign(assign([work(f"i{n}") for n in range(10)]))
@@ -677,7 +677,7 @@
 
     @staged(tries=3)
     async def test_a_returned_item_takes_its_count_along(self, stage: Stage) -> None:
-        stage.world.fronts(2)
+        stage.world.add_proxies(2)
 
         async def fail_once(call: Call) -> None:
             call.server.refuses = True
@@ -706,7 +706,7 @@
     async def test_a_share_of_all_slots_and_no_more(self, stage: Stage) -> None:
         for n in range(5):
             stage.server(f"i-{n}", silence, cap=12)
-        stage.world.fronts(1)
+        stage.world.add_proxies(1)
         await asyncio.sleep(0)
         self.assertEqual(stage.runner.slots, int(stage.runner.settings.cores * ITEMS_PER_CORE))
         self.assertEqual(stage.runner.fleet.runners, 1)
@@ -716,7 +716,7 @@
         self.assertEqual(len(running), stage.runner.slots)
         pings = [c for c in stage.endpoint.calls if isinstance(c, ProxyPing)]
         self.assertEqual((pings[-1].slots, pings[-1].free, pings[-1].jobs), (stage.runner.slots, 0, ["j1"]))
-        stage.world.fronts(4)
+        stage.world.add_proxies(4)
         await asyncio.sleep(0)
         self.assertEqual(stage.runner.fleet.runners, ceil(60 * RUNNER_SLOTS_SHARE / stage.runner.slots))
 
@@ -731,7 +731,7 @@
         self.assertLess(order.index("soon"), order.index("late3"))
 
     @staged()
-    async def test_what_fits_nowhere_yet_holds_no_slot(self, stage: Stage) -> None:
+    async def test_an_item_without_an_eligible_server_uses_no_slot(self, stage: Stage) -> None:
         server = stage.server("i-1", writes(2, 1), 1, cap=2)
         stage.runner.assign(assign([work(f"n{n}") for n in range(6)], "j1", 2, left_ms=1000))
         stage.runner.assign(assign([work(f"o{n}") for n in range(6)], "j2", 1, left_ms=9000))
@@ -746,11 +746,11 @@
 
     @staged()
     async def test_a_share_of_one_server(self, stage: Stage) -> None:
-        """After a change of version one server may be the only one that fits; other proxies send there as well."""
+        """After a version change one server may be the only eligible one, and other proxies send to it as well."""
         new = stage.server("i-0", silence, 2, cap=12)
         for n in range(1, 5):
             stage.server(f"i-{n}", silence, 1, cap=12)
-        stage.world.fronts(4)
+        stage.world.add_proxies(4)
         await asyncio.sleep(0)
         stage.runner.assign(assign([work(f"i{n}") for n in range(30)], min_version=2))
         await asyncio.sleep(1.0)
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -1,4 +1,4 @@
-"""What a proxy does on real connections: what the memory's network does not have."""
+"""Behaviour of a proxy on real sockets that the in-memory network does not reproduce."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.late_reader import LateReader, read_to_the_end
 from tests.proxy.proxy_support import SEAL
 
-LONG_BODY_S = 60.0  # on a busy machine 64 MB take long, and the time-out is not what is tested
+LONG_BODY_S = 60.0  # transferring 64 MB takes long on a busy machine, and the time-out is not under test
 
 
 def outbound(body: bytes = b"") -> Outbound:
@@ -71,8 +71,8 @@
         outcome = await self.exchange(Pool(asyncio.get_running_loop(), address)).run()
         self.assertEqual(outcome.execution, Execution.MAY_HAVE_EXECUTED)
 
-    async def test_what_has_not_left_whole_has_not_run(self) -> None:
-        """A server that does not read: the rest of the request is still here when the time is up."""
+    async def test_a_partly_sent_request_has_not_run(self) -> None:
+        """The server does not read, so part of the request is still unsent at the time-out."""
         with socket.socket() as listener:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             listener.bind(("127.0.0.1", 0))
@@ -81,8 +81,8 @@
             outcome = await self.exchange(pool, outbound(b"x" * 32_000_000), 0.1).run()
         self.assertEqual((outcome.execution, outcome.timed_out), (Execution.NOT_EXECUTED, True))
 
-    async def test_what_the_kernel_still_holds_of_a_given_up_request_never_arrives(self) -> None:
-        """The server reads only after the attempt was given up, as behind a path that was cut meanwhile."""
+    async def test_unsent_kernel_data_of_a_cancelled_request_never_arrives(self) -> None:
+        """The server reads only after the attempt was cancelled, as after a network partition."""
         body = b"x" * 400_000
         with LateReader() as reader:
             pool = Pool(asyncio.get_running_loop(), reader.address)
@@ -97,7 +97,7 @@
         self.assertTrue(reset)
 
     async def early(self, head: bytes) -> tuple[Outcome, Pool, bytes]:
-        """The outcome at a server that answers before it has read the body, and all that it ever reads."""
+        """Return the outcome at a server that answers before reading the body, and all bytes that the server reads."""
         got = bytearray()
         ended = asyncio.Event()
 
@@ -118,7 +118,7 @@
         return outcome, pool, bytes(got)
 
     async def test_an_early_answer_with_the_request_s_id_is_its_answer_and_ends_the_connection(self) -> None:
-        """Danger: only Not-Run says that it has not run; and no other bytes may come where its body is due."""
+        """Only Not-Run proves that the request has not run, and no other bytes may follow in place of its body."""
         outcome, pool, got = await self.early(b"HTTP/1.1 500 X\r\nRequest-Id: q\r\n")
         self.assertEqual((outcome.execution, outcome.status, outcome.body), (Execution.ANSWERED, 500, b"hi"))
         self.assertEqual((pool.idle, pool.connections), ([], set()))
@@ -160,8 +160,8 @@
         self.assertEqual(seen, [False, True])
         await ingress.shut_down(0.0, 1.0)
 
-    async def test_the_end_of_a_client_that_asked_for_much_ends_the_work_for_it(self) -> None:
-        """So much that it is not read on for now, and its end waits behind that."""
+    async def test_a_disconnect_behind_many_pipelined_requests_is_noticed(self) -> None:
+        """Reading is paused because of the pipelined requests, so the end of file is not read."""
         begun, ended = asyncio.Event(), asyncio.Event()
 
         async def handle(request: Any, client: Client) -> None:
--- a/tests/proxy/test_start.py
+++ b/tests/proxy/test_start.py
@@ -1,4 +1,4 @@
-"""A proxy right after its start: requests wait a little for the first configuration."""
+"""Requests that arrive right after a proxy's start wait a limited time for the first configuration."""
 
 from __future__ import annotations
 
