--- a/otterreach/balancer/__init__.py
+++ b/otterreach/balancer/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a sidecar load balancer for service-to-service calls."""
+"""Decision logic of a sidecar load balancer for service-to-service calls."""
 
 from otterreach.balancer.interface import Settings, SettingsError
 from otterreach.balancer.logic import Balancer
--- a/otterreach/balancer/draw.py
+++ b/otterreach/balancer/draw.py
@@ -1,4 +1,4 @@
-"""Weighted draws, and the order by a key that is the same everywhere."""
+"""Weighted random selection, and a hash that gives every sidecar the same order of endpoints for a key."""
 
 from __future__ import annotations
 
@@ -7,19 +7,20 @@
 
 
 def draw(random: Random, odds: Sequence[float]) -> int:
-    """The place of one, drawn with these odds: none below 0, their sum above 0; else ValueError.
+    """Return an index drawn at random in proportion to its odds.
 
-    It takes one number from `random`.
+    This is the weighted randomizing rule of Billard and Pasquale, "Agents with local and global servers under
+    uncertainty": with odds inverse to the expected response times, it spreads the requests of many agents
+    that do not communicate with each other. One number is taken from `random`.
 
-    The weighted randomizing rule of Billard and Pasquale, "Agents with local and global servers under
-    uncertainty": with the inverse of the expected response times as odds it spreads what many agents send
-    that know nothing of each other.
+    :param odds: relative probabilities, none below 0
+    :raises ValueError: the sum of the odds is not above 0
     """
     return random.choices(range(len(odds)), odds)[0]
 
 
-def mix(key: int, endpoint: int) -> int:
-    """A number that is the same at every sidecar and looks random."""
+def rendezvous_score(key: int, endpoint: int) -> int:
+    """Return the 64-bit hash of a key and an endpoint, which is the same in every sidecar."""
     mixed = (key ^ endpoint * 0x9E3779B97F4A7C15) & 0xFFFFFFFFFFFFFFFF
     mixed = (mixed ^ mixed >> 31) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
     return mixed ^ mixed >> 29
--- a/otterreach/balancer/interface.py
+++ b/otterreach/balancer/interface.py
@@ -1,6 +1,6 @@
-"""The decision module's interface: settings handed over at start, events in, actions out.
+"""Interface of the decision module: settings at start, events as input, actions as output.
 
-Times are integer nanoseconds. Endpoint, request and tenant ids are opaque.
+Times are integer nanoseconds. Ids of endpoints, requests and tenants are opaque.
 """
 
 from __future__ import annotations
@@ -11,19 +11,22 @@
 
 
 class SettingsError(ValueError):
-    """A required setting is absent or has the wrong type; the text names it."""
+    """A setting is missing, has the wrong type or is out of range; the message names it."""
 
 
 class Effect(Enum):
-    """What a repeat of a request of a class does."""
+    """Effect of executing a request of a class more than once."""
 
-    REPEATABLE = "repeatable"  # may run any number of times
-    BY_KEY = "by_key"  # a dedup group drops repeats of a key inside a window
-    ONCE = "once"  # must never run twice
+    REPEATABLE = "repeatable"  # idempotent: may be executed any number of times
+    BY_KEY = "by_key"  # the servers of a deduplication scope drop repeats of a key within a time window
+    ONCE = "once"  # must not be executed twice
 
 
 class Status(IntEnum):
-    """How an attempt ended, by its number on the wire. MOOT: it was not sent any more."""
+    """Result of an attempt, by its number on the wire.
+
+    MOOT: the attempt was not sent, since the request or its endpoint no longer allowed it.
+    """
 
     ERROR = 0
     OK = 1
@@ -35,13 +38,13 @@
     MOOT = 7
 
 
-MAX_FACTOR = 1e9  # of a settings' number without a unit: its product with a time stays a time
-MAX_OBSERVATIONS = 36  # in one message between sidecars, on the wire 7 bytes each of 256
+MAX_FACTOR = 1e9  # bound of settings without a unit: the product with a time stays a representable time
+MAX_OBSERVATIONS = 36  # per message between sidecars: 7 bytes each, in a message of at most 256 bytes
 NEVER_RAN = frozenset((Status.FULL, Status.CONNECT_FAILED, Status.MOOT))
 
 
 class EndpointState(IntEnum):
-    """What discovery says of an endpoint, by its number on the wire."""
+    """State of an endpoint as reported by discovery, by its number on the wire."""
 
     GONE = 0
     READY = 1
@@ -49,7 +52,7 @@
 
 
 class RosterForm(IntEnum):
-    """What a roster holds: nothing, changes, the whole list, or one from discovery's cache."""
+    """Content of a roster: nothing, changes, the complete list, or a complete list from discovery's cache."""
 
     FAILED = 0
     DELTA = 1
@@ -58,43 +61,43 @@
 
 
 class RequestClass(NamedTuple):
-    """A class of requests, as the settings have it."""
+    """Settings of a class of requests."""
 
     target_ns: int
     deadline_ns: int
     effect: Effect
-    worth: float = 1.0
-    late_worth: float = 0.0
+    value: float = 1.0
+    late_value: float = 0.0
     dedup_scope: str = "all"  # all, zone or cell
     dedup_window_ns: int = 0
     stream: bool = False
-    aim_stretch: float = 0.0
-    in_order: bool = False  # requests with one key run one at a time, in the order taken
+    target_stretch: float = 0.0
+    in_order: bool = False  # requests with the same key are executed one at a time, in order of arrival
 
 
 class Tenant(NamedTuple):
-    """A tenant: its share of the capacity, and its quota in requests per second."""
+    """Capacity share of a tenant, and its quota in requests per second."""
 
     share: float
     quota_per_s: float
 
 
 class Settings(NamedTuple):
-    """The settings handed over at start: the deployment's rules, allowances and prices."""
+    """Settings at start: the guarantees, permissions and prices of the deployment."""
 
     classes: tuple[RequestClass, ...]
     zone: int
     attempts_cap: int
     drain_grace_ns: int
-    cold_ns: int
+    warm_up_ns: int
     start_capacity: float
-    fall_multiple: float
-    fall_ns: int
+    collapse_multiple: float
+    collapse_window_ns: int
     fleet_size: int = 1
     self_index: int = 0
     answer_slack_ns: int = 0
     order_settle_ns: int = 0
-    ask_within_ns: int = 10_000_000_000
+    resubscribe_within_ns: int = 10_000_000_000
     resolution_ns: int = 1_000_000
     may_duplicate: bool = False
     may_cancel: bool = False
@@ -102,15 +105,18 @@
     may_message: bool = False
     connect_timeout_ns: int = 0
     discovery: str = "push"  # push or ask
-    report_how: str = "silent"  # piggyback, pull or silent
+    report_mode: str = "silent"  # piggyback, pull or silent
     report_columns: tuple[str, ...] = ()
-    warm_keys: bool = False
+    key_affinity: bool = False
     tenants: tuple[Tenant, ...] = ()
     price_cross_zone: float = 0.0
 
     @classmethod
     def from_dict(cls, raw: dict[str, Any]) -> Settings:
-        """Read the settings object; unknown keys are ignored, optional ones may be absent."""
+        """Parse the settings object. Unknown keys are ignored; optional keys may be absent.
+
+        :raises SettingsError: a setting is missing, has the wrong type or is out of range
+        """
         root = Reader(raw, "")
         allowed = root.child("allowed")
         rules = root.child("guarantees")
@@ -119,21 +125,21 @@
         family = root.child("family-info", required=False)
         classes = tuple(_read_class(c) for c in root.children("request-classes"))
         if not classes:
-            raise SettingsError("setting request-classes: at least one is needed")
+            raise SettingsError("setting request-classes: expected at least one class, got an empty list")
         return cls(
             classes=classes,
             zone=root.integer("zone", 0),
             attempts_cap=allowed.positive("attempts-cap"),
             drain_grace_ns=rules.duration("drain-grace-ns"),
-            cold_ns=rules.positive("cold-ns"),
+            warm_up_ns=rules.positive("cold-ns"),
             start_capacity=rules.factor("start-capacity", most=1.0),
-            fall_multiple=rules.factor("fall-multiple"),
-            fall_ns=rules.positive("fall-ns"),
+            collapse_multiple=rules.factor("fall-multiple"),
+            collapse_window_ns=rules.positive("fall-ns"),
             fleet_size=max(1, root.integer("fleet-size", 1)),
             self_index=root.integer("self-index", 0),
             answer_slack_ns=rules.duration("answer-slack-ns", 0),
             order_settle_ns=rules.duration("order-settle-ns", 0),
-            ask_within_ns=rules.duration("ask-within-ns", 10_000_000_000),
+            resubscribe_within_ns=rules.duration("ask-within-ns", 10_000_000_000),
             resolution_ns=root.duration("resolution-ns", 1_000_000),
             may_duplicate=allowed.flag("may-duplicate"),
             may_cancel=allowed.flag("cancel"),
@@ -141,9 +147,9 @@
             may_message=allowed.flag("peers"),
             connect_timeout_ns=allowed.duration("connect-timeout-ns", 0),
             discovery=root.text("discovery", "push"),
-            report_how=report.text("how", "silent"),
+            report_mode=report.text("how", "silent"),
             report_columns=tuple(str(c) for c in report.items("columns")),
-            warm_keys=family.flag("warm-keys"),
+            key_affinity=family.flag("warm-keys"),
             tenants=tuple(
                 Tenant(t.factor("share", 1.0), t.factor("quota-per-s", 0.0))
                 for t in root.children("tenants", required=False)
@@ -153,11 +159,11 @@
 
 
 class Reader:
-    """Typed access to a JSON object that names the key when something is wrong."""
+    """Typed access to a JSON object, with errors that name the path of the key."""
 
     def __init__(self, raw: Any, path: str) -> None:
         if not isinstance(raw, dict):
-            raise SettingsError(f"setting {path or '(whole)'}: an object is needed")
+            raise SettingsError(f"setting {path or '(root)'}: expected an object, got {type(raw).__name__}")
         self._raw = raw
         self._path = path
 
@@ -174,52 +180,52 @@
         return value
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """A number, without its fraction."""
+        """Return a number, truncated to an integer."""
         return int(self._get(key, (int, float), default))
 
     def positive(self, key: str) -> int:
-        """A whole number above 0."""
+        """Return an integer above 0."""
         value = self.integer(key)
         if value <= 0:
             raise SettingsError(f"setting {self._path}{key}: {value} is not above 0")
         return value
 
     def duration(self, key: str, default: int | None = None) -> int:
-        """A time of 0 or more."""
+        """Return a duration of 0 or more."""
         value = self.integer(key, default)
         if value < 0:
             raise SettingsError(f"setting {self._path}{key}: {value} is below 0")
         return value
 
     def number(self, key: str, default: float | None = None) -> float:
-        """A finite number."""
+        """Return a finite number."""
         return float(self._get(key, (int, float), default))
 
     def factor(self, key: str, default: float | None = None, most: float = MAX_FACTOR) -> float:
-        """A number from 0 to `most`."""
+        """Return a number from 0 to `most`."""
         value = self.number(key, default)
         if not 0 <= value <= most:
             raise SettingsError(f"setting {self._path}{key}: {value} is not between 0 and {most:g}")
         return value
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A string."""
+        """Return a string."""
         return str(self._get(key, (str,), default))
 
     def flag(self, key: str) -> bool:
-        """True or false; false if the key is absent."""
+        """Return a boolean; False if the key is absent."""
         return bool(self._get(key, (bool,), False))
 
     def items(self, key: str, required: bool = False) -> list[Any]:
-        """A list of anything."""
+        """Return a list of values of any type."""
         return list(self._get(key, (list,), None if required else []))
 
     def child(self, key: str, required: bool = True) -> Reader:
-        """The object under this key."""
+        """Return a reader of the object under the key."""
         return Reader(self._get(key, (dict,), None if required else {}), f"{self._path}{key}.")
 
     def children(self, key: str, required: bool = True) -> list[Reader]:
-        """The list of objects under this key."""
+        """Return readers of the objects in the list under the key."""
         rows = self.items(key, required)
         return [Reader(row, f"{self._path}{key}[{n}].") for n, row in enumerate(rows)]
 
@@ -232,12 +238,12 @@
         target_ns=row.positive("target-ns"),
         deadline_ns=row.positive("deadline-ns"),
         effect=Effect(effect),
-        worth=row.factor("worth", 1.0),
-        late_worth=row.factor("late-worth", 0.0),
+        value=row.factor("worth", 1.0),
+        late_value=row.factor("late-worth", 0.0),
         dedup_scope=row.text("dedup-scope", "all"),
         dedup_window_ns=row.duration("dedup-window-ns", 0),
         stream=row.flag("stream"),
-        aim_stretch=row.factor("aim-stretch", 0.0),
+        target_stretch=row.factor("aim-stretch", 0.0),
         in_order=row.flag("in-order"),
     )
 
@@ -246,7 +252,7 @@
 
 
 class Listed(NamedTuple):
-    """One endpoint as discovery lists it."""
+    """Entry of an endpoint in discovery's list."""
 
     endpoint: int
     weight: float
@@ -254,11 +260,11 @@
     kind: int
     zone: int
     state: int
-    started_ns: int  # 0: long ago
+    started_ns: int  # start time of the process; 0: unknown, and long enough ago to be warmed up
 
 
 class Roster(NamedTuple):
-    """An answer of discovery."""
+    """Update of the endpoint list from discovery."""
 
     version: int
     form: RosterForm
@@ -266,12 +272,12 @@
 
 
 class Request(NamedTuple):
-    """A request has arrived."""
+    """Arrival of a request."""
 
     request: int
-    class_index: int  # place in the settings' list of request classes
-    left_ns: int  # until the client gives this try up
-    hint_ns: int | None = None  # anticipated work, on a standard core
+    class_index: int  # index in the settings' list of request classes
+    left_ns: int  # time until the client's own time-out for this attempt
+    hint_ns: int | None = None  # expected execution time on a standard core
     key: int = 0
     tenant: int = 0
     is_retry: bool = False
@@ -279,7 +285,7 @@
 
 
 class FirstByte(NamedTuple):
-    """The first byte of a streamed answer has come."""
+    """Arrival of the first byte of a streamed response."""
 
     request: int
     endpoint: int
@@ -288,7 +294,7 @@
 
 
 class Outcome(NamedTuple):
-    """An attempt has ended. `finished`: its answer went to the client."""
+    """End of an attempt. `finished`: the client has its answer or has gone; no further attempt is needed."""
 
     request: int
     endpoint: int
@@ -300,19 +306,19 @@
 
 
 class ClientGone(NamedTuple):
-    """The client has given up its request."""
+    """The client has disconnected, or its request no longer needs an answer."""
 
     request: int
 
 
 class Timer(NamedTuple):
-    """A timer that was set has run out."""
+    """Expiry of a timer that was set."""
 
     token: int
 
 
 class ProbeResult(NamedTuple):
-    """A probe has ended."""
+    """Result of a load probe."""
 
     endpoint: int
     status: Status
@@ -321,19 +327,19 @@
 
 
 class EndpointObservation(NamedTuple):
-    """What one sidecar last learned of an endpoint, for another."""
+    """Latest measurements of an endpoint by one sidecar, shared with another."""
 
     endpoint: int
-    slowdown: float  # response times over what their requests usually take
+    slowdown: float  # ratio of response times to the expected times of their requests
     queue: float
     age_ns: int
 
 
 class PeerMessage(NamedTuple):
-    """What another sidecar has told."""
+    """Message from another sidecar."""
 
     sender: int
-    strain: float = 0.0  # waits of late: 0 as in an idle fleet, 1 all targets missed
+    latency_ratio: float = 0.0  # recent ratio of response time to latency target; 1: all targets missed
     observations: tuple[EndpointObservation, ...] = ()
 
 
@@ -348,54 +354,54 @@
 
     request: int
     endpoint: int
-    timeout_ns: int = 0  # 0: until the client gives up
+    timeout_ns: int = 0  # 0: until the client's own time-out
 
 
 class Refuse(NamedTuple):
-    """Final: not served, and trying again is harmless."""
+    """Final answer: the request was not served, and a retry by the client does no harm."""
 
     request: int
     retry_after_ns: int = 0
 
 
 class Fail(NamedTuple):
-    """Final: not served, nothing promised."""
+    """Final answer: the request failed, and may have been executed."""
 
     request: int
 
 
 class Cancel(NamedTuple):
-    """Give up an attempt that is under way."""
+    """Cancel an attempt in flight."""
 
     request: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
-    """Set a timer that comes back with its token."""
+    """Set a timer; its expiry is an event with the same token."""
 
     delay_ns: int
     token: int
 
 
 class Log(NamedTuple):
-    """Write a line for the operator."""
+    """Write a log line for the operator."""
 
     text: str
 
 
 class Fault(NamedTuple):
-    """Tell the simulator that the decision module has failed."""
+    """Report a failure of the decision module to the simulator."""
 
     text: str
 
 
 class Fetch(NamedTuple):
-    """Ask discovery for the whole list once."""
+    """Request the complete list from discovery once."""
 
 
 class Watch(NamedTuple):
-    """Subscribe to discovery's changes, or stop."""
+    """Subscribe to discovery's changes, or unsubscribe."""
 
     active: bool = True
 
@@ -410,12 +416,12 @@
     """Send a message to another sidecar."""
 
     peer: int  # -1: every peer
-    strain: float = 0.0
-    observations: tuple[EndpointObservation, ...] = ()  # at most MAX_SIGHTINGS: what a message holds
+    latency_ratio: float = 0.0
+    observations: tuple[EndpointObservation, ...] = ()  # at most MAX_OBSERVATIONS, the capacity of a message
 
 
 class Probe(NamedTuple):
-    """Ask an endpoint for its load."""
+    """Request the current load from an endpoint."""
 
     endpoint: int
 
--- a/otterreach/balancer/limits.py
+++ b/otterreach/balancer/limits.py
@@ -1,4 +1,4 @@
-"""What is refused on arrival: the waits seen, the room there is, and each tenant's share."""
+"""Load shedding on arrival: by response times, by the number of open requests, and by tenant share."""
 
 from __future__ import annotations
 
@@ -7,94 +7,103 @@
 import otterreach.balancer.interface as api
 from otterreach.balancer.state import PendingRequest, Rate, State
 
-TOLERATED_SHARE = 0.5  # of the target, that answers may take before requests are refused
-IDLE_ROOM = 0.25  # part of what answers of an idle fleet leave of the target
-STRAIN_ALPHA = 0.3  # waits are learned fast
-STRAIN_RANGE = 0.6  # part of the rest of the target, over which refusals rise to all: well before all is late
-MAX_REFUSED_SHARE = 0.95  # some requests go out whatever the waits, or nothing would be learned
-SPARE_REQUESTS = 4.0  # open requests a short memory may easily have missed
-EXCESS_ROOM = 0.5  # part of the room that is open to a tenant beyond its share
-SHARE_SLACK = 1.5  # by which usage differs from the shares anyhow
-MAX_VOTES = 100  # lead of a majority that tells the usual length of a client's try
-IDLE_DRIFT = 1e-4  # growth per answer of the least time known: doubles in some 7000 answers
-SHARE_ALPHA = 0.02  # the share of the target that answers take moves over some 50 answers
+TOLERATED_RATIO = 0.5  # ratio of response time to latency target above which requests are refused
+IDLE_HEADROOM = 0.25  # part of the target left by an idle fleet's answers that is tolerated in addition
+LATENCY_RATIO_ALPHA = 0.3  # smoothing factor of recent latency ratios: high, to follow an overload quickly
+# Part of the remaining latency target over which the refusal probability rises to 1. Below 1, so that
+# refusals reach their maximum well before all answers are late.
+REFUSAL_RANGE = 0.6
+MAX_REFUSED_SHARE = 0.95  # some requests are always sent, since the estimates need their answers
+SPARE_REQUESTS = 4.0  # open requests that are always allowed: the decaying answer rate may miss as many
+EXCESS_CAPACITY = 0.5  # part of the capacity that a tenant above its share may use
+SHARE_SLACK = 1.5  # tolerated excess over a tenant's share: usage varies in normal operation, too
+MAX_VOTES = 100  # bound of the majority vote for a class's typical client time-out
+IDLE_DRIFT = 1e-4  # growth per answer of the minimum ratio: it doubles in some 7000 answers
+MEAN_RATIO_ALPHA = 0.02  # smoothing factor of the mean latency ratio: averages some 50 answers
 
 
 class Limits(State):
-    """Refusals before a first attempt."""
+    """Refusal of requests before their first attempt."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         classes = settings.classes
-        # What is worth something when it is late may take longer.
-        late_worth = min(request_class.late_worth for request_class in classes)
-        self.tolerated_share = TOLERATED_SHARE + (1 - TOLERATED_SHARE) * late_worth
-        self.usual_left_ns = [(0, 0)] * len(classes)
+        # Late answers that still have a value justify longer response times.
+        late_value = min(request_class.late_value for request_class in classes)
+        self.tolerated_ratio = TOLERATED_RATIO + (1 - TOLERATED_RATIO) * late_value
+        self.typical_left_ns = [(0, 0)] * len(classes)
         self.tenant_rates = [Rate(self.half_life_ns) for _ in settings.tenants]
-        self.usual_share = 0.0  # of the target that answers take
-        self.least_share = 0.0  # the least of it
-        self.share_samples = 0
-        self.answered = Rate(self.tightest_ns)
-        self.strains: dict[int, tuple[float, int]] = {}  # by zone: as usual_share, of late; when
+        self.mean_latency_ratio = 0.0  # mean ratio of response time to latency target, at most 1
+        self.min_latency_ratio = 0.0  # minimum of that mean: the ratio of an idle fleet
+        self.latency_ratio_samples = 0
+        self.answer_rate = Rate(self.min_target_ns)
+        self.latency_ratios: dict[int, tuple[float, int]] = {}  # zone -> recent latency ratio, time of update
 
     def _time_waited_ns(self, event: api.Request, request_class: api.RequestClass) -> int:
-        """How long the client has waited before.
+        """Return the estimated time for which the client has waited in earlier attempts.
 
-        A try is given the class's usual time (by majority vote) or all that is left. Danger: in an overload
-        most work would go to retries that cannot be in time.
+        A client gives each attempt the class's typical time-out (found by majority vote), or all the time
+        that is left to it. Without this estimate, an overloaded fleet would spend most of its work on retries
+        that can't be answered in time.
         """
-        usual, votes = self.usual_left_ns[event.class_index]
-        usual = usual if votes else event.left_ns
-        same = abs(event.left_ns - usual) <= self.settings.resolution_ns
-        self.usual_left_ns[event.class_index] = (usual, min(votes + 1, MAX_VOTES) if same else votes - 1)
+        typical, votes = self.typical_left_ns[event.class_index]
+        typical = typical if votes else event.left_ns
+        same = abs(event.left_ns - typical) <= self.settings.resolution_ns
+        self.typical_left_ns[event.class_index] = (typical, min(votes + 1, MAX_VOTES) if same else votes - 1)
         return 0 if same else max(0, request_class.deadline_ns - event.left_ns)
 
-    def _is_overloaded(self, request: PendingRequest) -> bool:
-        """Whether to refuse it on arrival.
+    def _should_refuse(self, request: PendingRequest) -> bool:
+        """Return True if the request is to be refused on arrival.
 
-        Danger: past capacity all queues grow until every answer is late.
+        Above the fleet's capacity, queues would grow until every answer is late.
         """
         age = self.now - self.started
-        if age <= self.tightest_ns:  # a young sidecar has seen too few answers to know their rate
+        if age <= self.min_target_ns:  # too few answers yet to estimate their rate
             return False
-        part = EXCESS_ROOM if self._is_excess(request.event.tenant) else 1.0
-        # Danger: at a sidecar that sends little the room never fills. It refuses by the waits it sees.
-        idle_limit = self.least_share + (1 - self.least_share) * IDLE_ROOM
-        tolerated_share = min(max(self.tolerated_share, idle_limit), MAX_REFUSED_SHARE)
+        usable_share = EXCESS_CAPACITY if self._exceeds_share(request.event.tenant) else 1.0
+        # A sidecar with little traffic never reaches the limit of open requests: latencies count as well.
+        idle_limit = self.min_latency_ratio + (1 - self.min_latency_ratio) * IDLE_HEADROOM
+        tolerated_ratio = min(max(self.tolerated_ratio, idle_limit), MAX_REFUSED_SHARE)
         zones = {self.settings.zone: None} | dict.fromkeys(endpoint.zone for endpoint in self.ready)
-        odds = [self._refusal_odds(zone, tolerated_share) for zone in zones]
-        busy = self.random.random() * part < odds[0]
-        # Danger: one zone refuses what the next would serve. What is worth refusing here is worth crossing.
-        if busy and self.random.random() * part >= min(odds[1:], default=1.0):
-            busy = False
+        odds = [self._refusal_odds(zone, tolerated_ratio) for zone in zones]
+        overloaded = self.random.random() * usable_share < odds[0]
+        # A zone must not refuse what another zone would serve: the request may cross zones instead.
+        if overloaded and self.random.random() * usable_share >= min(odds[1:], default=1.0):
+            overloaded = False
             request.may_cross_zones = True
-        # By Little's law, with more requests open than (answers in time per second) x (time in the system)
-        # the last would wait too long. Beside that, a deviation of chance, and what a short memory hides.
-        rate = self.answered.read(self.now) / (1 - exp2(-age / self.answered.half_ns))
-        room = rate * self.tightest_ns * tolerated_share
-        room = (room + sqrt(room) + SPARE_REQUESTS) * part
-        if not busy and self.open > room:  # Danger: what is stuck at a stalled endpoint would fill the room
-            busy = sum(not other.done and self.now < other.due_at for other in self.pending.values()) > room
-        if busy:
-            waits = self._strain(self.settings.zone)
-            self._log("refusing", f"{self.open} open, room {room:.0f}, waits {waits:.0%} of targets")
-        return busy
-
-    def _refusal_odds(self, zone: int, tolerated_share: float) -> float:
-        """The part of the requests that this zone's waits call for refusing; below 0 for none."""
-        excess = (self._strain(zone) - tolerated_share) / (1 - tolerated_share)
-        return min(excess / STRAIN_RANGE, MAX_REFUSED_SHARE)
-
-    def _strain(self, zone: int, sample: float = 0.0, alpha: float = 0.0) -> float:
-        """Share of their targets that a zone's attempts took of late, moved toward a sample; it fades."""
-        strain, at = self.strains.get(zone, (0.0, 0))
-        strain *= exp2((at - self.now) / (4 * self.half_life_ns))
-        strain += alpha * (sample - strain)
-        self.strains[zone] = strain, self.now
-        return strain
-
-    def _is_excess(self, tenant: int) -> bool:
-        """Whether, by a draw, this falls on what its tenant asks beyond its share. Danger: a flood."""
+        # By Little's law, with more open requests than (rate of answers in time) x (tolerated response time)
+        # the last one would wait too long. The limit adds one standard deviation and a few spare requests.
+        rate = self.answer_rate.read(self.now) / (1 - exp2(-age / self.answer_rate.half_ns))
+        capacity = rate * self.min_target_ns * tolerated_ratio
+        capacity = (capacity + sqrt(capacity) + SPARE_REQUESTS) * usable_share
+        if not overloaded and self.open > capacity:
+            # Overdue requests don't count: those stuck at a stalled endpoint would use up the capacity.
+            overloaded = (
+                sum(not other.done and self.now < other.due_at for other in self.pending.values()) > capacity
+            )
+        if overloaded:
+            ratio = self._latency_ratio(self.settings.zone)
+            self._log("refusing", f"{self.open} open, limit {capacity:.0f}, latency {ratio:.0%} of targets")
+        return overloaded
+
+    def _refusal_odds(self, zone: int, tolerated_ratio: float) -> float:
+        """Return the share of requests to refuse by this zone's latency ratio; below 0 for none."""
+        excess = (self._latency_ratio(zone) - tolerated_ratio) / (1 - tolerated_ratio)
+        return min(excess / REFUSAL_RANGE, MAX_REFUSED_SHARE)
+
+    def _latency_ratio(self, zone: int, sample: float = 0.0, alpha: float = 0.0) -> float:
+        """Return the recent latency ratio of a zone's attempts, after adding a sample; it decays toward 0."""
+        ratio, at = self.latency_ratios.get(zone, (0.0, 0))
+        ratio *= exp2((at - self.now) / (4 * self.half_life_ns))
+        ratio += alpha * (sample - ratio)
+        self.latency_ratios[zone] = ratio, self.now
+        return ratio
+
+    def _exceeds_share(self, tenant: int) -> bool:
+        """Return True, at random, for the part of a tenant's requests that exceeds its share.
+
+        Without this, a flood from one tenant would use up the capacity of all others.
+        """
         if tenant >= len(self.tenant_rates):
             return False
         rates = [rate.read(self.now) for rate in self.tenant_rates]
@@ -102,14 +111,14 @@
         others = sum(rates) - rates[tenant]
         return self.random.random() * rates[tenant] * (1 - share) > others * share * SHARE_SLACK
 
-    def _learn_share(self, request: PendingRequest, took: int) -> None:
-        """What part of its target an answer took."""
+    def _update_mean_latency_ratio(self, request: PendingRequest, latency_ns: int) -> None:
+        """Update the mean and the minimum latency ratio by an answer."""
         if self.now <= request.due_at and not request.done:
-            self.answered.add(self.now)
-        self.share_samples += 1
-        samples = self.share_samples
-        share = min(took / request.request_class.target_ns, 1.0)
-        self.usual_share += max(SHARE_ALPHA, 1 / samples) * (share - self.usual_share)
-        least = self.least_share * (1 + IDLE_DRIFT) if samples * SHARE_ALPHA >= 1 else 1.0
-        # Danger: idle answers near the target are no overload.
-        self.least_share = min(least, self.usual_share)
+            self.answer_rate.add(self.now)
+        self.latency_ratio_samples += 1
+        samples = self.latency_ratio_samples
+        ratio = min(latency_ns / request.request_class.target_ns, 1.0)
+        self.mean_latency_ratio += max(MEAN_RATIO_ALPHA, 1 / samples) * (ratio - self.mean_latency_ratio)
+        least = self.min_latency_ratio * (1 + IDLE_DRIFT) if samples * MEAN_RATIO_ALPHA >= 1 else 1.0
+        # The minimum is the baseline: where even an idle fleet answers near the target, that is no overload.
+        self.min_latency_ratio = min(least, self.mean_latency_ratio)
--- a/otterreach/balancer/logic.py
+++ b/otterreach/balancer/logic.py
@@ -1,7 +1,7 @@
-"""The balancer: events in, actions out. Its types, events and actions: otterreach/balancer/interface.py.
+"""The balancer: handles events, returns actions (both defined in otterreach/balancer/interface.py).
 
-Where a request goes: routing.py; whether it is sent again: retries.py; what is refused: limits.py.
-A request has one attempt at a time.
+Endpoint selection is in routing.py, retries are in retries.py, load shedding is in limits.py.
+A request has at most one attempt in flight.
 """
 
 from __future__ import annotations
@@ -12,17 +12,19 @@
 
 import otterreach.balancer.interface as api
 from otterreach.balancer.interface import NEVER_RAN, RosterForm, Status
-from otterreach.balancer.limits import STRAIN_ALPHA, Limits
+from otterreach.balancer.limits import LATENCY_RATIO_ALPHA, Limits
 from otterreach.balancer.retries import Retries
 from otterreach.balancer.routing import Routing
 from otterreach.balancer.state import MAX_SLOWDOWN, Attempt, Endpoint, PendingRequest
 
-GOSSIP_PEERS = 4  # at a time; one of them also gets the endpoints: one sidecar's waits are mostly chance
-HOLD_CHECKS = 20  # a request with no eligible endpoint looks again this often within its target
+# Peers per round of gossip. All get the latency ratio, since that of a single sidecar is noisy; one also gets
+# the observations of endpoints.
+GOSSIP_PEERS = 4
+HOLD_CHECKS = 20  # checks per latency target for a request without an eligible endpoint
 
 
 class Balancer(Routing, Retries, Limits):
-    """One sidecar's decisions: call handle() with each event, carry out the actions in order."""
+    """Decision logic of one sidecar: call handle() with each event and perform the actions in order."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -39,39 +41,43 @@
         self.gossiped_at = 0
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Decide on an event.
+        """Handle an event.
 
-        :param now: of the sidecar's clock, in nanoseconds; it never goes back
-        :returns: the actions to carry out, in order
+        :param now: monotonic time of the sidecar, in nanoseconds
+        :returns: the actions to perform, in order
         """
         self.now = now
         self.actions = []
         self.handlers[type(event)](event)
-        while self.resumed:  # a loop: each may end and wake the next
+        while self.resumed:  # an attempt may end at once and resume the next
             self._attempt(self.resumed.pop())
         return self.actions
 
     def _on_roster(self, roster: api.Roster) -> None:
         if roster.form is RosterForm.FAILED:
-            # Danger: an unsubscribed sidecar is held to lists it never saw. Ask again, in good time.
-            self._log("discovery", f"a call failed, {len(self.ready)} endpoints of the last list in use")
-            self._set_timer("ask", int(self.settings.ask_within_ns * self.random.uniform(0.1, 0.4)))
+            # Without a subscription, the sidecar would be held to lists that it has not received. So it
+            # subscribes again, well within the time that the settings allow.
+            self._log("discovery", f"call failed, using {len(self.ready)} endpoints of the last list")
+            self._set_timer("ask", int(self.settings.resubscribe_within_ns * self.random.uniform(0.1, 0.4)))
             return
         self._update_list(roster)
         if not self.started:
             self.started = self.now
             if self.settings.discovery == "ask":
                 self.actions.append(api.Watch(True))
-            if self.settings.report_how == "pull" and self.settings.may_probe:
+            if self.settings.report_mode == "pull" and self.settings.may_probe:
                 self._set_timer("probe", self.half_life_ns // 10)
 
     def _gossip(self) -> None:
-        """Danger: one of many sidecars hears too little of any endpoint by itself."""
+        """Send the latency ratio and the latest observations to random peers, at most once a target.
+
+        In a large fleet, a single sidecar gets too few answers from any endpoint for reliable estimates.
+        """
         settings = self.settings
         if (
             not settings.may_message
             or settings.fleet_size < 2
-            or self.now - self.gossiped_at < self.tightest_ns
+            or self.now - self.gossiped_at < self.min_target_ns
         ):
             return
         self.gossiped_at = self.now
@@ -79,16 +85,18 @@
         peers = [(settings.self_index + self.random.randrange(1, size)) % size for _ in range(GOSSIP_PEERS)]
         newest = nlargest(api.MAX_OBSERVATIONS, self.ready, key=lambda endpoint: endpoint.slowdown_at)
         observations = tuple(self._observation(endpoint) for endpoint in newest if endpoint.slowdown_at)
-        self.actions.append(api.Tell(peers[0], self._strain(settings.zone), observations))
-        self.actions.extend(api.Tell(peer, self._strain(settings.zone)) for peer in peers[1:])  # a byte each
+        self.actions.append(api.Tell(peers[0], self._latency_ratio(settings.zone), observations))
+        self.actions.extend(
+            api.Tell(peer, self._latency_ratio(settings.zone)) for peer in peers[1:]
+        )  # 1 byte each
 
     def _observation(self, endpoint: Endpoint) -> api.EndpointObservation:
         age_ns = self.now - endpoint.slowdown_at
         return api.EndpointObservation(endpoint.id, endpoint.slowdown, endpoint.queue, age_ns)
 
     def _on_peer(self, message: api.PeerMessage) -> None:
-        """What a peer saw later than this sidecar takes the place of what it knew."""
-        self._strain(self.settings.zone, max(0.0, min(1.0, message.strain)), 0.5)
+        """Apply a peer's latency ratio, and its observations that are newer than this sidecar's own."""
+        self._latency_ratio(self.settings.zone, max(0.0, min(1.0, message.latency_ratio)), 0.5)
         for observed in message.observations:
             endpoint = self.endpoints.get(observed.endpoint)
             at = self.now - max(0, observed.age_ns)
@@ -96,7 +104,7 @@
                 continue
             started = endpoint.row.started_ns
             if at > max(endpoint.slowdown_at, started) and 0 < observed.slowdown < 1e9:
-                self._learn(endpoint, min(observed.slowdown, MAX_SLOWDOWN), at)
+                self._set_slowdown(endpoint, min(observed.slowdown, MAX_SLOWDOWN), at)
             if at > max(endpoint.queue_at, started) and 0 <= observed.queue < 1e9:
                 endpoint.queue = observed.queue
                 endpoint.queue_at = at
@@ -117,52 +125,53 @@
 
     def _attempt(self, request: PendingRequest) -> None:
         if request.done or request.has_open_attempt():
-            return  # woken twice: by a timer and by its turn
-        usual = self._usual_ns(request)
-        # Danger: one stuck request holds its key until all behind it are late. They leave while they may.
+            return  # already resumed, by its timer or by its place in the key's queue
+        expected_ns = self._expected_ns(request)
+        # A stuck request delays all others of its key. Those that can no longer be in time end early, while
+        # a refusal can still be answered in time.
         ahead = self.queued_by_key[request.key].index(request) if request.key else 0
         blocked = 0
         if request.key and not request.attempts:
             blocked = max(0, self.key_blocked_until.get(request.key, 0) - self.now)
-        left = request.limit - self.now - int(ahead * usual) - blocked
-        if left <= 0 or not request.attempts and self._is_overloaded(request):
+        left = request.limit - self.now - int(ahead * expected_ns) - blocked
+        if left <= 0 or not request.attempts and self._should_refuse(request):
             self._end(request)
         elif ahead or blocked:
             self._set_timer("hold", left if ahead else blocked, request)
         else:
-            self._send_or_hold(request, usual)
+            self._send_or_hold(request, expected_ns)
 
-    def _send_or_hold(self, request: PendingRequest, usual: float) -> None:
-        """Send it to an endpoint that is drawn; with none that may be sent to, look again soon."""
+    def _send_or_hold(self, request: PendingRequest, expected_ns: float) -> None:
+        """Send the request to an endpoint drawn at random; without an eligible one, retry after a delay."""
         candidates = self._harmless_endpoints(request, self._endpoints_in_use())
-        endpoint = self._draw(request, candidates, usual) if candidates else None
+        endpoint = self._draw(request, candidates, expected_ns) if candidates else None
         if endpoint:
-            self._send(request, endpoint, usual)
+            self._send(request, endpoint, expected_ns)
             return
-        self._log("held", f"none of {len(self.ready)} ready endpoints may be sent to")
+        self._log("held", f"none of {len(self.ready)} ready endpoints is eligible")
         interval = request.request_class.target_ns // HOLD_CHECKS
         self._set_timer("hold", min(interval, request.abandoned_at - self.now), request)
 
-    def _send(self, request: PendingRequest, endpoint: Endpoint, usual: float) -> None:
+    def _send(self, request: PendingRequest, endpoint: Endpoint, expected_ns: float) -> None:
         limit = request.abandoned_at if request.request_class.stream else request.limit
-        if early := self._early_timeout_ns(request, usual):
+        if early := self._early_timeout_ns(request, expected_ns):
             limit = self.now + early
         timeout_ns = limit - self.now if limit < request.abandoned_at else 0
         self.actions.append(api.Send(request.id, endpoint.id, timeout_ns))
-        attempt = Attempt(endpoint, self.now, usual)
+        attempt = Attempt(endpoint, self.now, expected_ns)
         endpoint.open_attempts[request.id, len(request.attempts)] = attempt
         request.attempts.append(attempt)
         endpoint.sent_since_report += 1
-        self.sent_work.add(self.now, usual)
+        self.sent_work.add(self.now, expected_ns)
 
     def _end(self, request: PendingRequest) -> None:
-        """The one final answer: a refusal where a retry is sure to be harmless, else a failure."""
+        """End the request unanswered: refused if a retry by the client does no harm, else failed."""
         is_harmless = self._is_harmless_to_repeat(request)
         self.actions.append(api.Refuse(request.id) if is_harmless else api.Fail(request.id))
         self._finish(request)
 
     def _finish(self, request: PendingRequest) -> None:
-        """Cancel what can no longer help; forget the request once its last attempt has ended."""
+        """Cancel the open attempt, and drop the request once its last attempt has ended."""
         if not request.done:
             self.open -= 1
             if request.has_open_attempt() and self.settings.may_cancel and not request.streaming:
@@ -192,11 +201,11 @@
             self._block_key(request.key)
         self._on_report(event)
         if event.status is Status.OK:
-            self._learn_share(request, event.latency_ns)
-            self._learn_usual(request, event.latency_ns)
-            self.answered_work.add(self.now, attempt.usual)
+            self._update_mean_latency_ratio(request, event.latency_ns)
+            self._update_class_means(request, event.latency_ns)
+            self.answered_work.add(self.now, attempt.expected_ns)
         if event.status is not Status.MOOT:
-            self._learn_from_attempt(request, attempt, event)
+            self._update_estimates(request, attempt, event)
         if event.finished or request.done:
             self._finish(request)
         elif self._may_resend(request):
@@ -204,31 +213,31 @@
         else:
             self._end(request)
 
-    def _learn_from_attempt(self, request: PendingRequest, attempt: Attempt, event: api.Outcome) -> None:
+    def _update_estimates(self, request: PendingRequest, attempt: Attempt, event: api.Outcome) -> None:
         endpoint = attempt.endpoint
-        took = float(event.latency_ns)
+        latency_ns = float(event.latency_ns)
         before = self._slowdown(endpoint)
         timed_out_late = event.status is Status.TIMEOUT and self.now >= request.due_at
-        share = 1.0 if timed_out_late else min(took / request.request_class.target_ns, 1.0)
+        share = 1.0 if timed_out_late else min(latency_ns / request.request_class.target_ns, 1.0)
         if event.status not in (Status.OK, Status.CANCELLED):
             self._log("failing", f"endpoint {endpoint.id}: {event.status.name}, slowdown {before:.1f}")
-            # Danger: a fast error is not a fast answer.
-            took = max(took, float(request.request_class.deadline_ns))
+            # A fast error must not count as a fast answer.
+            latency_ns = max(latency_ns, float(request.request_class.deadline_ns))
         if event.status in (Status.OK, Status.TIMEOUT):
-            # One bad endpoint among others is no overload.
-            alpha = STRAIN_ALPHA * min(1.0, self._typical_slowdown(endpoint) / before)
-            self._strain(endpoint.zone, share, alpha)
-        if self._learn_slowdown(request, attempt, event.status, took, before):
+            # A single slow endpoint is not an overload: its samples count less, by its slowdown.
+            alpha = LATENCY_RATIO_ALPHA * min(1.0, self._typical_slowdown(endpoint) / before)
+            self._latency_ratio(endpoint.zone, share, alpha)
+        if self._add_slowdown_sample(request, attempt, event.status, latency_ns, before):
             self._gossip()
 
     def _on_timer(self, event: api.Timer) -> None:
-        what, request_id = self.timers.pop(event.token, ("", 0))
-        if what == "ask":
+        purpose, request_id = self.timers.pop(event.token, ("", 0))
+        if purpose == "ask":
             self.actions.append(api.Watch(True))
-        elif what == "probe":
+        elif purpose == "probe":
             if self.ready:
                 oldest = min(self.ready, key=lambda endpoint: endpoint.queue_at)
                 self.actions.append(api.Probe(oldest.id))
             self._set_timer("probe", self.half_life_ns // 10)
-        elif request := self.pending.get(request_id):  # held
+        elif request := self.pending.get(request_id):  # held, or queued behind its key
             self._attempt(request)
--- a/otterreach/balancer/retries.py
+++ b/otterreach/balancer/retries.py
@@ -1,4 +1,4 @@
-"""Whether and where a request is sent again, and which requests of a key have to wait for each other."""
+"""Retries: their budget, the endpoints that may get them, and the order of requests with the same key."""
 
 from __future__ import annotations
 
@@ -6,34 +6,36 @@
 from otterreach.balancer.interface import Effect
 from otterreach.balancer.state import Endpoint, PendingRequest, State
 
-# re-sends per first attempt, and how many may be saved up
+# Retry budget: tokens earned per first attempt, and the most that can accumulate.
 RETRY_SHARE = 0.2
 RETRY_BURST = 50.0
-EARLY_TIMEOUT = 4.0  # usual times that an attempt may take before another: lost answers against waste
-# Usual times that must then be left: a further attempt with less is no better than waiting on.
+# Time-out of an attempt before the deadline, in expected times. Higher values delay the recovery from lost
+# answers; lower ones waste work on retries of requests that are merely slow.
+EARLY_TIMEOUT = 4.0
+# Expected times that must remain after an early time-out: with less, a retry is no better than waiting on.
 LEFT_AFTER_TIMEOUT = 3.0
 
 
 class Retries(State):
-    """Further attempts: their budget, and what repeats are harmless. The turns of requests with one key."""
+    """Retry budget, safety of retries, and serial execution of the requests of a key."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self.queued_by_key: dict[int, list[PendingRequest]] = {}  # by key, in the order taken
-        self.key_blocked_until: dict[int, int] = {}  # key -> until when, the first to end first
-        self.resumed: list[PendingRequest] = []  # their turn has come
+        self.queued_by_key: dict[int, list[PendingRequest]] = {}  # by key, in order of arrival
+        self.key_blocked_until: dict[int, int] = {}  # key -> end of the block, in order of the ends
+        self.resumed: list[PendingRequest] = []  # next of their key, to be attempted now
         self.retry_tokens = RETRY_BURST / 5
 
     def _fill_budget(self) -> None:
-        """A first attempt pays for a part of a further one."""
+        """Add the share of a retry that a first attempt earns."""
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_SHARE)
 
     def _harmless_endpoints(self, request: PendingRequest, ready: list[Endpoint]) -> list[Endpoint]:
-        """Those of the ready at which an attempt does no harm; tried ones only for want of others."""
+        """Return the ready endpoints where an attempt is safe; those already tried only as a last resort."""
         possibly_executed = request.possibly_executed()
         if possibly_executed and request.request_class.effect is Effect.BY_KEY:
-            # Danger: outside the group, or past its memory, a repeat is a second effect. A copy may need
-            # a connection's time-out and some batches to arrive.
+            # Outside the deduplication scope or after its window, a repeat would be executed a second time.
+            # `travel` is the time that the repeat may need to arrive: a connection time-out and some batches.
             settings = self.settings
             first = possibly_executed[0].endpoint.row
             travel = settings.connect_timeout_ns + 4 * settings.resolution_ns + settings.answer_slack_ns
@@ -46,14 +48,14 @@
         tried = {attempt.endpoint.id for attempt in request.attempts}
         return ([endpoint for endpoint in ready if endpoint.id not in tried] or ready) if tried else ready
 
-    def _early_timeout_ns(self, request: PendingRequest, usual: float) -> int:
-        """How long an attempt may take before another is made; 0: as long as there is.
+    def _early_timeout_ns(self, request: PendingRequest, expected_ns: float) -> int:
+        """Return the time-out after which the request is retried; 0 for no limit but the request's own.
 
-        Danger: at a silent endpoint, or where answers are lost, it would use up all the time there was to
-        recover in.
+        Without it, an attempt at a silent endpoint, or one whose answer is lost, would use up all the time in
+        which the request could still be retried.
         """
-        early = int(EARLY_TIMEOUT * usual)
-        if self.now + early + LEFT_AFTER_TIMEOUT * usual >= request.due_at:
+        early = int(EARLY_TIMEOUT * expected_ns)
+        if self.now + early + LEFT_AFTER_TIMEOUT * expected_ns >= request.due_at:
             return 0
         if len(request.attempts) + 1 >= self.settings.attempts_cap or self.retry_tokens < 1:
             return 0
@@ -61,7 +63,10 @@
         return early if is_repeatable else 0
 
     def _may_resend(self, request: PendingRequest) -> bool:
-        """Danger: retries feed an overload, and may repeat an effect. First attempts fill their budget."""
+        """Return True, and take a retry token, if the request may be attempted again.
+
+        A retry must neither repeat an effect nor add to an overload: first attempts earn the budget.
+        """
         runs_once = request.request_class.effect is Effect.ONCE
         if request.streaming or runs_once and request.possibly_executed():
             return False
@@ -71,7 +76,7 @@
         return True
 
     def _is_harmless_to_repeat(self, request: PendingRequest) -> bool:
-        """Whether the client may send it again."""
+        """Return True if a retry by the client does no harm."""
         return (
             not request.possibly_executed()
             or request.request_class.effect is Effect.REPEATABLE
@@ -84,7 +89,7 @@
             self.queued_by_key.setdefault(request.key, []).append(request)
 
     def _dequeue_by_key(self, request: PendingRequest) -> None:
-        """The next of its key may go."""
+        """Remove the request from its key's queue, and resume the next one."""
         if request.key:
             queue = self.queued_by_key[request.key]
             queue.remove(request)
@@ -93,7 +98,10 @@
                 del self.queued_by_key[request.key]
 
     def _block_key(self, key: int) -> None:
-        """Danger: what timed out or broke may run on beside the next request of its key."""
+        """Block the key: an attempt that timed out or was cut off may still be executing.
+
+        Without the block it would run concurrently with the next request of the key.
+        """
         self.key_blocked_until.pop(key, None)
         self.key_blocked_until[key] = self.now + self.settings.order_settle_ns
         while next(iter(self.key_blocked_until.values())) < self.now:
--- a/otterreach/balancer/routing.py
+++ b/otterreach/balancer/routing.py
@@ -1,7 +1,7 @@
-"""Where a request goes: what is known of each endpoint, the odds, and the caps on cold ones.
+"""Endpoint selection: estimates of each endpoint, selection odds, and caps on endpoints that warm up.
 
-The ordinary path (docs/design.md): w_i = (L_i + 1) * x_i for each eligible endpoint i, and one random
-draw with odds 1 / w_i. First attempts and retries use that same draw.
+The common case (docs/design.md): w_i = (L_i + 1) * x_i for each eligible endpoint i, and one random
+draw with odds 1 / w_i. First attempts and retries use the same draw.
 """
 
 from __future__ import annotations
@@ -9,42 +9,43 @@
 from math import exp2
 
 import otterreach.balancer.interface as api
-from otterreach.balancer.draw import draw, mix
+from otterreach.balancer.draw import draw, rendezvous_score
 from otterreach.balancer.interface import EndpointState, RosterForm, Status
 from otterreach.balancer.state import MAX_SLOWDOWN, Attempt, Endpoint, PendingRequest, Rate, State
 
-ALPHA = 0.3  # weight of a new response time: the paper finds one sample enough, so a short memory
-FAIL_ALPHA = 0.6  # the same of a failure: rarer than answers, and worth more
-KIND_ALPHA = 0.1  # a kind's mean moves over some 10 answers: it stands for endpoints without answers
-CLASS_ALPHA = 0.02  # a class's usual time moves over some 50 answers: slower than any endpoint's
-MIN_ENDPOINTS = 12  # endpoints in a sidecar's draw, however little it sends: some of each zone and kind
-CLASS_MEMORY = 8  # an endpoint's answers in one class are rarer, and remembered that much longer
-PRICE_WAIT = 20.0  # a price of a whole request's worth weighs like waiting this many targets
-KEY_AFFINITY = 0.6  # odds of the endpoint likely to have met a key, against those of all others together
-MIN_WARM_SHARE = 1e-6  # an endpoint that starts this moment may have no capacity at all, and is divided by
-COLD_SHARE = 0.6  # part of the cold allowance planned for: traffic is uneven, estimates are rough
+# Smoothing factors. An endpoint's is high: the paper finds a single sample sufficient.
+ALPHA = 0.3  # of an endpoint's response times
+FAIL_ALPHA = 0.6  # of its failures, which are rarer than answers and more significant
+KIND_ALPHA = 0.1  # of the mean of a kind, used for endpoints without answers: averages some 10 answers
+CLASS_ALPHA = 0.02  # of a class's expected time: averages some 50 answers, to change more slowly than x_i
+MIN_ENDPOINTS = 12  # endpoints in use even at a low request rate, so that each zone and kind has some
+CLASS_MEMORY = 8  # factor of the half-life for samples of a single class, which are rarer
+PRICE_WAIT = 20.0  # waiting time, in latency targets, that equals a price of one request's full value
+KEY_AFFINITY = 0.6  # odds of a key's preferred endpoint, relative to all other endpoints together
+MIN_CAPACITY_SHARE = 1e-6  # a divisor; an endpoint that has just started may have a capacity of 0
+# Planned part of the allowance during warm-up, below 1 since traffic is uneven and estimates are imprecise.
+WARM_UP_SHARE = 0.6
 
 
 class Routing(State):
-    """The estimates, and the draw by them."""
+    """Estimates of response times and load, and the random selection based on them."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         classes = settings.classes
         self.order_salt = self.random.getrandbits(64)
-        self.usual_ns = [
-            request_class.target_ns / 4 for request_class in classes
-        ]  # usual response time, learned
+        # Moving average of each class's response times.
+        self.mean_latency_ns = [request_class.target_ns / 4 for request_class in classes]
         self.answers_by_class = [0] * len(classes)
         self.mean_hint_ns = [0.0] * len(classes)
-        self.request_rate = Rate(4 * self.half_life_ns)  # a small sidecar's rate over less is mere chance
-        self.answered_work = Rate(settings.fall_ns)
-        self.sent_work = Rate(settings.fall_ns)
-        figures = [*settings.report_columns, "queue", "inflight"]  # past the end: not reported
+        self.request_rate = Rate(4 * self.half_life_ns)  # shorter: too noisy at a low rate
+        self.answered_work = Rate(settings.collapse_window_ns)
+        self.sent_work = Rate(settings.collapse_window_ns)
+        figures = [*settings.report_columns, "queue", "inflight"]  # index past the end: not reported
         self.load_column = figures.index("queue" if "queue" in settings.report_columns else "inflight")
         self.mean_queue = 0.0
         self.mean_weight = 1.0
-        self.slowdown_by_kind: dict[tuple[int, int], float] = {}  # mean x_i of a kind of machine in a zone
+        self.slowdown_by_kind: dict[tuple[int, int], float] = {}  # (kind, zone) -> mean x_i
 
     def _update_list(self, roster: api.Roster) -> None:
         if roster.form is not RosterForm.DELTA:
@@ -53,13 +54,14 @@
         for row in roster.entries:
             known = self.endpoints.pop(row.endpoint, None)
             if row.state != EndpointState.GONE:
-                # The same id with a new start is a new process: cold, and what was learned is void.
+                # The same id with another start time is a new process: it warms up, without estimates.
                 same = known if known and known.row.started_ns == row.started_ns else None
                 self.endpoints[row.endpoint] = same or Endpoint(row, self.settings)
                 self.endpoints[row.endpoint].update(row)
         self.ready = [endpoint for endpoint in self.endpoints.values() if endpoint.ready]
-        # Danger: hundreds of sidecars with a connection to every endpoint fill its table. Each has an order.
-        self.ready.sort(key=lambda endpoint: mix(self.order_salt, endpoint.id))
+        # Each sidecar uses the first endpoints of an order of its own: with connections from hundreds of
+        # sidecars, an endpoint's connection table would be full.
+        self.ready.sort(key=lambda endpoint: rendezvous_score(self.order_salt, endpoint.id))
         weight = sum(endpoint.weight for endpoint in self.ready)
         self.mean_weight = weight / max(1, len(self.ready)) or 1.0
 
@@ -67,55 +69,60 @@
         endpoint = self.endpoints.get(event.endpoint)
         load = event.load
         value = load[self.load_column] if self.load_column < len(load) else -1.0
-        if endpoint and 0 <= value < 1e9:  # not for nan, inf or nonsense
+        if endpoint and 0 <= value < 1e9:  # ignores nan, inf and values out of range
             endpoint.queue = value
             endpoint.queue_at = self.now
             endpoint.sent_since_report = 0
             self.mean_queue += ALPHA * (value - self.mean_queue)
 
-    def _draw(self, request: PendingRequest, candidates: list[Endpoint], usual: float) -> Endpoint | None:
-        """The design's rule: odds inverse to w_i = (L_i + 1) * x_i, raised by what the settings price."""
+    def _draw(
+        self, request: PendingRequest, candidates: list[Endpoint], expected_ns: float
+    ) -> Endpoint | None:
+        """Draw an endpoint with odds inverse to w_i = (L_i + 1) * x_i, raised by the cross-zone price.
+
+        :returns: None if all candidates are warming up and the draw falls on the share that they can't take
+        """
         settings = self.settings
         slowdowns = self.slowdown_by_kind.values()
-        took = usual * max(1.0, sum(slowdowns) / max(1, len(slowdowns)))  # of late
+        current_ns = expected_ns * max(1.0, sum(slowdowns) / max(1, len(slowdowns)))
         cross_zone_factor = (
-            1 + settings.price_cross_zone * PRICE_WAIT * request.request_class.target_ns / took
+            1 + settings.price_cross_zone * PRICE_WAIT * request.request_class.target_ns / current_ns
         )
         preferred = self._endpoint_of_key(request.event.key, candidates)
         preference = max(1.0, KEY_AFFINITY * len(candidates))
         odds = []
-        any_cold = False
+        any_warming_up = False
         for endpoint in candidates:
             weight = (self._load(endpoint) + 1) * self._slowdown(endpoint, request.event.class_index)
             if self.now < endpoint.warm_from:
-                self._update_warm_share(endpoint)
-                weight /= endpoint.warm_share
-                any_cold = True
+                self._update_capacity_share(endpoint)
+                weight /= endpoint.capacity_share
+                any_warming_up = True
             if endpoint.zone != settings.zone and not request.may_cross_zones:
                 weight *= cross_zone_factor
             odds.append(1 / max(weight / preference if endpoint is preferred else weight, 1e-9))
-        odds_of_none = self._cap_cold_endpoints(candidates, odds) if any_cold else 0.0
+        odds_of_none = self._cap_warming_endpoints(candidates, odds) if any_warming_up else 0.0
         index = draw(self.random, [*odds, odds_of_none])
         return candidates[index] if index < len(candidates) else None
 
-    def _update_warm_share(self, endpoint: Endpoint) -> None:
-        """How much of its capacity a cold endpoint has: the guaranteed least, or what it has shown."""
+    def _update_capacity_share(self, endpoint: Endpoint) -> None:
+        """Estimate the capacity share of an endpoint that warms up: guaranteed, or shown by its answers."""
         settings = self.settings
         age = max(0, self.now - endpoint.row.started_ns)
-        guaranteed = settings.start_capacity + (1 - settings.start_capacity) * age / settings.cold_ns
-        # Proof opens the whole allowance in place of the part planned for, and never more.
-        shown = min(1.0, 1 / endpoint.proven_slowdown, guaranteed / COLD_SHARE)
-        endpoint.warm_share = max(guaranteed, shown, MIN_WARM_SHARE)
+        guaranteed = settings.start_capacity + (1 - settings.start_capacity) * age / settings.warm_up_ns
+        # Fast answers raise the share from the planned part up to the full allowance, not beyond.
+        shown = min(1.0, 1 / endpoint.proven_slowdown, guaranteed / WARM_UP_SHARE)
+        endpoint.capacity_share = max(guaranteed, shown, MIN_CAPACITY_SHARE)
 
     def _endpoint_of_key(self, key: int, candidates: list[Endpoint]) -> Endpoint | None:
-        """The endpoint at which all sidecars of a zone gather a key, by highest-random-weight hashing."""
-        if not key or not self.settings.warm_keys:
+        """Return the preferred endpoint of a key for all sidecars of a zone, by rendezvous hashing."""
+        if not key or not self.settings.key_affinity:
             return None
         near = [endpoint for endpoint in candidates if endpoint.zone == self.settings.zone] or candidates
-        return max(near, key=lambda endpoint: mix(key, endpoint.id))
+        return max(near, key=lambda endpoint: rendezvous_score(key, endpoint.id))
 
     def _load(self, endpoint: Endpoint) -> float:
-        """L_i: the reported queue, faded by age toward the fleet's, and own sends since."""
+        """Return L_i: the reported queue, decayed by age toward the fleet's mean, plus own sends since."""
         open_attempts = len(endpoint.open_attempts)
         fade = exp2((endpoint.queue_at - self.now) / self.half_life_ns)
         sent = endpoint.sent_since_report
@@ -124,12 +131,12 @@
         return queue if queue > open_attempts else open_attempts
 
     def _slowdown(self, endpoint: Endpoint, class_index: int | None = None) -> float:
-        """x_i, fading toward the fleet's mean so that one bad sample cannot starve an endpoint.
+        """Return x_i, decayed toward the fleet's mean so that one bad sample cannot starve an endpoint.
 
-        Danger: one that fails a class and serves the others looks well by its mean: what its class knows
-        comes first.
+        Samples of the request's class take precedence: the mean over all classes hides an endpoint that fails
+        one class and serves the others.
         """
-        # As _typical_slowdown, without a call: this runs for each endpoint of each draw.
+        # Inlined _typical_slowdown: this runs for each endpoint of each draw.
         slowdown = self.slowdown_by_kind.get(endpoint.kind) or self.mean_weight / endpoint.weight
         if endpoint.slowdown_at:
             fade = exp2((endpoint.slowdown_at - self.now) / self.half_life_ns)
@@ -137,82 +144,86 @@
         if class_index in endpoint.slowdown_by_class:
             in_class, at = endpoint.slowdown_by_class[class_index]
             slowdown += (in_class - slowdown) * exp2((at - self.now) / (CLASS_MEMORY * self.half_life_ns))
-        if endpoint.open_attempts:  # Danger: a stalled endpoint sends no samples. Waiting for it is a sample.
+        # A stalled endpoint yields no samples: the age of its oldest open attempt counts as one.
+        if endpoint.open_attempts:
             oldest = next(iter(endpoint.open_attempts.values()))
-            slowdown = max(slowdown, min((self.now - oldest.sent) / oldest.usual, MAX_SLOWDOWN))
+            slowdown = max(slowdown, min((self.now - oldest.sent) / oldest.expected_ns, MAX_SLOWDOWN))
         return slowdown
 
     def _typical_slowdown(self, endpoint: Endpoint) -> float:
-        """The x_i of an endpoint of which nothing is known yet: the mean of its kind.
+        """Return the x_i of an endpoint without samples: the mean of its kind.
 
-        Danger: of many endpoints most have given no answer yet, and a slow kind would take a fast one's odds.
+        In a large fleet most endpoints have no samples yet; with equal values for all, slow kinds would be
+        chosen as often as fast ones.
         """
         return self.slowdown_by_kind.get(endpoint.kind) or self.mean_weight / endpoint.weight
 
     def _endpoints_in_use(self) -> list[Endpoint]:
-        """The first of this sidecar's own order: those that answer it often, as the design assumes."""
+        """Return the first endpoints in this sidecar's order, few enough that each is sampled often."""
         return self.ready[: MIN_ENDPOINTS + int(self.request_rate.read(self.now) * self.half_life_ns)]
 
-    def _cap_cold_endpoints(self, candidates: list[Endpoint], odds: list[float]) -> float:
-        """Cap the odds of cold endpoints: one that is sent too much falls over and stays down.
+    def _cap_warming_endpoints(self, candidates: list[Endpoint], odds: list[float]) -> float:
+        """Cap the odds of endpoints that warm up: one that gets too much work collapses and stays down.
+
+        Each one's share of this sidecar's draws is capped at a multiple of its proportional share of the
+        capacity; so the fleet's total is capped as well, however low each sidecar's rate. The cap applies to
+        the rate of answered work, since the rate of sent work may be any amount above the capacity.
 
-        Its share of a sidecar's draws is capped at a multiple of the part that it would bear were all alike,
-        so the fleet's sum is capped too, however little each sends. A share of what is answered: sent, it may
-        be any amount.
-        Returns the odds of sending nowhere, where all are cold.
+        :returns: the odds of choosing no endpoint, where all are warming up
         """
         settings = self.settings
         total = sum(odds)
         now = self.now
         capacities = [
-            endpoint.weight * (endpoint.warm_share if now < endpoint.warm_from else 1.0)
+            endpoint.weight * (endpoint.capacity_share if now < endpoint.warm_from else 1.0)
             for endpoint in candidates
         ]
         capacity = sum(capacities) or 1.0
         answered_share = min(1.0, self.answered_work.read(self.now) / (self.sent_work.read(self.now) or 1.0))
-        cap_per_capacity = total * COLD_SHARE * settings.fall_multiple * answered_share / capacity
+        cap_per_capacity = total * WARM_UP_SHARE * settings.collapse_multiple * answered_share / capacity
         removed = 0.0
         warm = []
         for index, endpoint in enumerate(candidates):
             if self.now >= endpoint.warm_from:
                 warm.append(index)
                 continue
-            excess = odds[index] - cap_per_capacity * endpoint.weight * endpoint.warm_share
+            excess = odds[index] - cap_per_capacity * endpoint.weight * endpoint.capacity_share
             if excess > 0:
                 removed = removed + excess
                 odds[index] = odds[index] - excess
         scale = 1 + removed / (sum(odds[index] for index in warm) or 1.0)
         for index in warm:
-            odds[index] *= scale  # so that the caps are shares of what is drawn
+            odds[index] *= scale  # keeps the caps correct as shares of the total
         return 0.0 if warm else removed
 
-    def _usual_ns(self, request: PendingRequest) -> float:
-        """What this request usually takes: its class's usual time, and what its hint adds to the class's."""
+    def _expected_ns(self, request: PendingRequest) -> float:
+        """Return the expected time: the class's mean, plus the difference of the hint to the mean hint."""
         class_index = request.event.class_index
-        usual_of_class = self.usual_ns[class_index]
-        usual = usual_of_class
+        expected_of_class = self.mean_latency_ns[class_index]
+        expected = expected_of_class
         hint = request.event.hint_ns
         if hint is not None and self.answers_by_class[class_index]:
-            usual = max(usual + hint - self.mean_hint_ns[class_index], usual / 4)
-        return max(1.0, min(usual, MAX_SLOWDOWN * usual_of_class))  # a hint may be any number
+            expected = max(expected + hint - self.mean_hint_ns[class_index], expected / 4)
+        return max(1.0, min(expected, MAX_SLOWDOWN * expected_of_class))  # a hint may be any number
 
-    def _learn_usual(self, request: PendingRequest, took: int) -> None:
-        """What requests of a class usually take."""
+    def _update_class_means(self, request: PendingRequest, latency_ns: int) -> None:
+        """Update the expected time and the mean hint of the request's class."""
         class_index = request.event.class_index
         self.answers_by_class[class_index] += 1
         alpha = max(CLASS_ALPHA, 1 / self.answers_by_class[class_index])
-        self.usual_ns[class_index] += alpha * (took - self.usual_ns[class_index])
-        if request.event.hint_ns is not None:  # Danger: means of different requests drift apart
+        self.mean_latency_ns[class_index] += alpha * (latency_ns - self.mean_latency_ns[class_index])
+        # Both means are taken over answered requests: over different sets they would drift apart.
+        if request.event.hint_ns is not None:
             self.mean_hint_ns[class_index] += alpha * (request.event.hint_ns - self.mean_hint_ns[class_index])
 
-    def _learn_slowdown(
-        self, request: PendingRequest, attempt: Attempt, status: Status, took: float, before: float
+    def _add_slowdown_sample(
+        self, request: PendingRequest, attempt: Attempt, status: Status, latency_ns: float, before: float
     ) -> bool:
-        """One sample of an endpoint's x_i, which was `before`; whether it said anything."""
+        """Add a sample to an endpoint's x_i, which was `before`. Return False if the sample was ignored."""
         endpoint = attempt.endpoint
-        sample = max(1e-9, min(took / attempt.usual, MAX_SLOWDOWN))
+        sample = max(1e-9, min(latency_ns / attempt.expected_ns, MAX_SLOWDOWN))
         if status is Status.CANCELLED and sample <= before:
-            return False  # given up early: says nothing
+            return False  # cancelled early: no information
         in_class = self._slowdown(endpoint, request.event.class_index)
         alpha = ALPHA if status is Status.OK else FAIL_ALPHA
         endpoint.proven_slowdown += alpha * (sample - endpoint.proven_slowdown)
@@ -220,10 +231,10 @@
             in_class + alpha * (sample - in_class),
             self.now,
         )
-        self._learn(endpoint, before + ALPHA * (sample - before), self.now)
+        self._set_slowdown(endpoint, before + ALPHA * (sample - before), self.now)
         return True
 
-    def _learn(self, endpoint: Endpoint, slowdown: float, at: int) -> None:
+    def _set_slowdown(self, endpoint: Endpoint, slowdown: float, at: int) -> None:
         endpoint.slowdown = slowdown
         endpoint.slowdown_at = at
         typical = self._typical_slowdown(endpoint)
--- a/otterreach/sidecar/__main__.py
+++ b/otterreach/sidecar/__main__.py
@@ -87,7 +87,7 @@
     Where lists are pushed, all that it has counts as told when it is back; where they are asked for, the settings say
     how long the last call is good for.
     """
-    bound_ns = settings.drain_grace_ns if settings.discovery == "push" else settings.ask_within_ns
+    bound_ns = settings.drain_grace_ns if settings.discovery == "push" else settings.resubscribe_within_ns
     return max(FIRST_WAIT_S, bound_ns / 1e9 * WAIT_SHARE)
 
 
--- a/otterreach/sidecar/server.py
+++ b/otterreach/sidecar/server.py
@@ -63,7 +63,7 @@
         raise InvalidCallError(HTTPStatus.NOT_FOUND, "no such class of requests")
     headers = request.headers
     effect = settings.classes[class_index].effect
-    keyed = len(parts) > 1 and (settings.warm_keys or settings.classes[class_index].in_order)
+    keyed = len(parts) > 1 and (settings.key_affinity or settings.classes[class_index].in_order)
     if not PLAIN.fullmatch(headers.get(b"x-trace-id", b"")):
         raise InvalidCallError(HTTPStatus.BAD_REQUEST, "X-Trace-Id is missing, or no plain text")
     if (request.method == b"GET") is not (effect is Effect.REPEATABLE):
--- a/tests/balancer/test_logic.py
+++ b/tests/balancer/test_logic.py
@@ -16,7 +16,7 @@
 from otterreach.balancer import interface as api
 from otterreach.balancer.interface import EndpointState, RosterForm, Status
 from otterreach.balancer.logic import Balancer
-from otterreach.balancer.routing import COLD_SHARE
+from otterreach.balancer.routing import WARM_UP_SHARE
 from otterreach.balancer.state import PendingRequest
 from tests.balancer.support import MS, SECOND, Sidecar, finals, listed, quiet, sends, settings, timers
 
@@ -529,12 +529,12 @@
             else:
                 car.outcome(send)
     car.request()
-    return car.balancer.endpoints[2].warm_share
+    return car.balancer.endpoints[2].capacity_share
 
 
 def test_a_cold_endpoints_own_answers_open_its_whole_allowance_and_no_more() -> None:
     """Danger: most of a fleet just replaced answered well within time and stood idle beside full queues."""
-    assert cold_ramp(12, 50 * MS) == pytest.approx(0.25 / COLD_SHARE, rel=0.02)
+    assert cold_ramp(12, 50 * MS) == pytest.approx(0.25 / WARM_UP_SHARE, rel=0.02)
     assert cold_ramp(12, 400 * MS) == pytest.approx(0.25, rel=0.02)  # as slow as was to be feared
     assert cold_ramp(12, 5 * MS, Status.ERROR) == pytest.approx(0.25, rel=0.02)  # proves nothing
     assert cold_ramp(1, 5 * MS) < 0.36  # one quick answer may be a light request
@@ -551,9 +551,9 @@
             req = car.balancer.pending.setdefault(-n, _pending(car))
             car.balancer._send(req, car.balancer.endpoints[1], 10e6)
             car.balancer.endpoints[1].open_attempts.clear()
-        car.balancer.endpoints[4].warm_share = 0.25
+        car.balancer.endpoints[4].capacity_share = 0.25
         odds = [1.0, 1.0, 1.0, 9.0]
-        car.balancer._cap_cold_endpoints(list(car.balancer.endpoints.values()), odds)
+        car.balancer._cap_warming_endpoints(list(car.balancer.endpoints.values()), odds)
         assert sum(odds) == pytest.approx(12.0)
         shares.append(odds[3] / 12)
     assert shares[1] < 0.75 * shares[0]
@@ -565,9 +565,9 @@
     car.serve(100)
     car.roster([listed(n, started_ns=car.now) for n in range(1, 5)])
     for e in car.balancer.endpoints.values():
-        e.warm_share = 0.25
+        e.capacity_share = 0.25
     odds = [1.0, 1.0, 1.0, 1.0]
-    nowhere = car.balancer._cap_cold_endpoints(list(car.balancer.endpoints.values()), odds)
+    nowhere = car.balancer._cap_warming_endpoints(list(car.balancer.endpoints.values()), odds)
     assert nowhere + sum(odds) == pytest.approx(4.0)
     assert nowhere >= 0
 
@@ -589,7 +589,7 @@
     car = Sidecar([listed(1)])
     car.serve(30)
     car.request(cls=2)
-    usual = car.balancer.usual_ns[2]
+    usual = car.balancer.mean_latency_ns[2]
     car.balancer.now += int(8 * usual)
     assert car.balancer._slowdown(car.balancer.endpoints[1]) == pytest.approx(8, rel=0.01)
 
--- a/tests/balancer/test_wire.py
+++ b/tests/balancer/test_wire.py
@@ -59,7 +59,7 @@
         boot(4, {}, seed=9),
     ]
     assert wire.decode_batch(len(records), b"".join(records)) == [
-        (-1, wire.Sheet(2, (api.Listed(11, 1.5, 3, 1, 2, 1, 77),))),
+        (-1, wire.EndpointList(2, (api.Listed(11, 1.5, 3, 1, 2, 1, 77),))),
         (4, wire.RosterRef(3, 1, 2)),
         (4, api.Request(1 << 51, 0, SECOND, 30 * MS, 99, 1, False, True)),
         (4, api.FirstByte(8, 11, 60, 1)),
@@ -68,8 +68,8 @@
         (4, api.Timer(21)),
         (4, api.ProbeResult(11, api.Status.OK, 60, (2.0,))),
         (4, api.PeerMessage(2)),  # what no release of this wire has sent says nothing
-        (4, wire.Down()),
-        (4, wire.Boot(9, b"{}")),
+        (4, wire.InstanceEnd()),
+        (4, wire.InstanceStart(9, b"{}")),
     ]
 
 
@@ -223,7 +223,7 @@
     [(instance, message)] = wire.decode_batch(1, body)
     assert isinstance(message, api.PeerMessage)
     assert (instance, message.sender, len(message.observations)) == (4, 9, api.MAX_OBSERVATIONS)
-    assert message.strain == pytest.approx(0.4, abs=0.003)
+    assert message.latency_ratio == pytest.approx(0.4, abs=0.003)
     for was, now in zip(told, message.observations, strict=False):
         assert now.endpoint == was.endpoint
         assert now.slowdown == pytest.approx(was.slowdown, rel=0.03)
