--- a/otterreach/sidecar/__init__.py
+++ b/otterreach/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: sockets, timers and framing round the decisions of `otterreach.balancer`."""
+"""Sidecar process: sockets, timers and HTTP framing around the decision logic in `otterreach.balancer`."""
--- a/otterreach/sidecar/__main__.py
+++ b/otterreach/sidecar/__main__.py
@@ -1,4 +1,4 @@
-"""Start, signals and the end of one sidecar. The log goes to standard error."""
+"""Entry point of the sidecar: start-up, signals and graceful shutdown. Logs go to standard error."""
 
 from __future__ import annotations
 
@@ -10,29 +10,32 @@
 from collections.abc import Callable
 
 from otterreach.balancer.interface import RosterForm, Settings
-from otterreach.sidecar.config import Address, Config, ConfigError, discovery_in, load
-from otterreach.sidecar.discovery import FIRST_WAIT_S, Watch
+from otterreach.sidecar.config import Address, Config, ConfigError, load, read_discovery_address
+from otterreach.sidecar.discovery import INITIAL_BACKOFF_S, Watch
 from otterreach.sidecar.endpoints import Endpoints
 from otterreach.sidecar.server import Server
 from otterreach.sidecar.sidecar import Sidecar
 
-ACCEPT_S = 0.5  # after SIGTERM: new connections go on coming for up to 0.4 s
-# After SIGTERM the platform may kill once the longest deadline is over, which it counts as 3 s where it is
-# longer, and 0.7 s more.
-KILL_COUNTS_S = 3.0
-KILL_AFTER_S = 0.7
+ACCEPT_GRACE_S = 0.5  # listening time after SIGTERM: new connections arrive for up to 0.4 s
+# The platform may send SIGKILL at this time after SIGTERM: the longest deadline, of which it counts at most
+# MAX_KILL_DEADLINE_S, plus KILL_GRACE_S. Answers are due KILL_RESERVE_S earlier.
+MAX_KILL_DEADLINE_S = 3.0
+KILL_GRACE_S = 0.7
 KILL_RESERVE_S = 0.1
-LIST_S = 10.0  # at the start, for a list newer than `known`, where lists are pushed; 30 s are allowed in all
-WAIT_SHARE = 0.5  # of the time in which news must be known
-COLLECT = (10_000, 20, 20)  # cycles are rare here: parsers let go of themselves
-SPARE_SOCKETS = 32  # descriptors for all but clients and endpoints, and for those on their way out
-CLIENTS_SHARE = 0.6  # of the others: many at rest beside those busy, of which each needs one to an endpoint
+# Time to wait at start-up for a list newer than `known`, with pushed lists. The platform allows 30 s for the start.
+FIRST_LIST_TIMEOUT_S = 10.0
+BACKOFF_SHARE = 0.5  # longest backoff, as part of the time in which an update must be received
+GC_THRESHOLDS = (10_000, 20, 20)  # high, since reference cycles are rare: parsers break theirs
+RESERVED_SOCKETS = 32  # file descriptors for other uses, and for connections that are closing
+# Part of the remaining descriptors for clients. Many client connections are idle; each busy one also needs a connection
+# to an endpoint.
+CLIENT_SHARE = 0.6
 
 
 class Signals:
-    """What the platform asks for while the program runs.
+    """Events for the signals of the platform.
 
-    They exist before anything else does, so that a SIGHUP at an awkward moment waits instead of killing the process.
+    They are installed before anything else, so that an early SIGHUP is handled later instead of ending the process.
     """
 
     def __init__(self) -> None:
@@ -40,7 +43,7 @@
         self.reload = asyncio.Event()
 
     def install(self) -> None:
-        """Have the running loop set the events."""
+        """Install the signal handlers in the running event loop."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop.set)
@@ -48,65 +51,70 @@
 
 
 async def run(config: Config, signals: Signals, on_listening: Callable[[Address], None]) -> None:
-    """Run one sidecar until a signal to stop, and until all requests that it accepted are answered."""
+    """Run a sidecar until a stop signal, and until all accepted requests are answered.
+
+    :param on_listening: called with the address in use once the sidecar listens
+    """
     loop = asyncio.get_running_loop()
     settings = config.settings
-    sockets = max(16, config.sockets - SPARE_SOCKETS)
-    most = int(sockets * CLIENTS_SHARE)
-    endpoints = Endpoints(settings.report_columns, settings.connect_timeout_ns, config.keepalive_ns, sockets - most)
+    sockets = max(16, config.sockets - RESERVED_SOCKETS)
+    max_clients = int(sockets * CLIENT_SHARE)
+    endpoints = Endpoints(
+        settings.report_columns, settings.connect_timeout_ns, config.keepalive_ns, sockets - max_clients
+    )
     sidecar = Sidecar(config, endpoints)
-    sidecar.listed(config.known, RosterForm.CACHED)
-    loop.call_later(LIST_S, sidecar.go_by_known)
+    sidecar.update_endpoints(config.known, RosterForm.CACHED)
+    loop.call_later(FIRST_LIST_TIMEOUT_S, sidecar.accept_current_list)
     watch = Watch(
         config.discovery,
         config.names,
         config.known.revision,
-        sidecar.listed,
-        sidecar.go_by_known,
-        _longest_wait(settings),
+        sidecar.update_endpoints,
+        sidecar.accept_current_list,
+        _max_backoff_s(settings),
     )
     tasks = [loop.create_task(watch.run()), loop.create_task(endpoints.sweep())]
     tasks.append(loop.create_task(_reload(config.path, watch, signals.reload)))
-    server = Server(sidecar, config.names, settings, most)
+    server = Server(sidecar, config.names, settings, max_clients)
     tasks.append(loop.create_task(server.sweep()))
     try:
         on_listening(server.listen(config.listen))
     except OSError as error:
         raise ConfigError(f"LB_LISTEN: {error}") from None
-    gc.freeze()  # what start-up made stays for good: no collection need look at it
-    gc.set_threshold(*COLLECT)
+    gc.freeze()  # objects of the start-up are permanent and need no further collection
+    gc.set_threshold(*GC_THRESHOLDS)
     await signals.stop.wait()
-    await server.stop(ACCEPT_S, *_ending(settings))
+    await server.stop(ACCEPT_GRACE_S, *_answer_deadlines_s(settings))
     for task in tasks:
         task.cancel()
 
 
-def _longest_wait(settings: Settings) -> float:
-    """Between two calls to discovery.
+def _max_backoff_s(settings: Settings) -> float:
+    """Return the longest backoff between two calls to discovery, in seconds.
 
-    Where lists are pushed, all that it has counts as told when it is back; where they are asked for, the settings say
-    how long the last call is good for.
+    With pushed lists, all updates count as received when discovery is available again. With requested lists, the
+    settings define how long the last call is valid.
     """
     bound_ns = settings.drain_grace_ns if settings.discovery == "push" else settings.resubscribe_within_ns
-    return max(FIRST_WAIT_S, bound_ns / 1e9 * WAIT_SHARE)
+    return max(INITIAL_BACKOFF_S, bound_ns / 1e9 * BACKOFF_SHARE)
 
 
-def _ending(settings: Settings) -> tuple[float, float]:
-    """How long after SIGTERM the last answers are due: to what comes from then on, and to all."""
-    within_s = max(ACCEPT_S + KILL_RESERVE_S, max(c.deadline_ns for c in settings.classes) / 1e9)
-    killed_s = min(within_s, KILL_COUNTS_S) + KILL_AFTER_S
+def _answer_deadlines_s(settings: Settings) -> tuple[float, float]:
+    """Return the seconds after SIGTERM until answers are due: to requests that arrive later, and to all requests."""
+    within_s = max(ACCEPT_GRACE_S + KILL_RESERVE_S, max(c.deadline_ns for c in settings.classes) / 1e9)
+    killed_s = min(within_s, MAX_KILL_DEADLINE_S) + KILL_GRACE_S
     return min(within_s, killed_s - KILL_RESERVE_S), within_s
 
 
-async def _reload(path: str, watch: Watch, asked: asyncio.Event) -> None:
-    """New configurations: of what the file says only discovery's address can change under way."""
+async def _reload(path: str, watch: Watch, requested: asyncio.Event) -> None:
+    """Reload the configuration on request. Only discovery's address can change at run time."""
     while True:
-        await asked.wait()
-        asked.clear()
+        await requested.wait()
+        requested.clear()
         try:
-            watch.move(discovery_in(path))
-        except ConfigError as error:  # Danger: a bad file must cost a log line, not the sidecar
-            print(f"sidecar: not reloaded: {error}"[:300], file=sys.stderr)
+            watch.set_address(read_discovery_address(path))
+        except ConfigError as error:  # an invalid file must not end the sidecar
+            print(f"sidecar: configuration not reloaded: {error}"[:300], file=sys.stderr)
 
 
 async def _until_signalled() -> None:
@@ -115,12 +123,13 @@
     try:
         await run(load(os.environ), signals, lambda _: None)
     finally:
-        # Danger: the closing loop gives signals back their deadly defaults. What comes now finds us leaving.
+        # The closing event loop restores the default signal handlers, which end the process with a failure status.
+        # Signals during the shutdown are therefore blocked.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
 
 
 def main() -> int:
-    """Run the sidecar; 2 if its configuration can't be read."""
+    """Run the sidecar; return 2 if its configuration is invalid."""
     try:
         asyncio.run(_until_signalled())
     except ConfigError as error:
--- a/otterreach/sidecar/config.py
+++ b/otterreach/sidecar/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a sidecar: environment and JSON, read once into frozen types."""
+"""Configuration of a sidecar: environment variables and a JSON file, parsed into frozen types."""
 
 from __future__ import annotations
 
@@ -13,30 +13,33 @@
 from otterreach.balancer import Settings, SettingsError
 from otterreach.balancer.interface import EndpointState, Listed
 
-STATES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.GONE}
+ENDPOINT_STATES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.GONE}
 
 
 class ConfigError(ValueError):
-    """The text names the variable or key."""
+    """An invalid configuration; the message names the variable or key."""
 
 
 class Address(NamedTuple):
-    """A host and a port."""
+    """Host and port of a TCP address."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: Any) -> Address:
-        """From `host:port`; ValueError for anything else."""
+        """Parse `host:port`.
+
+        :raises ValueError: the value has another form
+        """
         host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
         if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
-            raise ValueError(f"{text!r} is no host:port")
+            raise ValueError(f"expected host:port, got {text!r}")
         return cls(host, int(port))
 
 
 class Member(NamedTuple):
-    """One entry of discovery's list; `row.endpoint` is still 0, as numbers are the driver's to give."""
+    """Entry of discovery's list. `row.endpoint` is 0 until the sidecar assigns a number."""
 
     id: str
     address: Address
@@ -44,7 +47,7 @@
 
 
 class MemberList(NamedTuple):
-    """What discovery says: changes, or the complete list, at a revision of its own."""
+    """Update from discovery: changes or a complete list, with discovery's revision."""
 
     revision: int
     complete: bool
@@ -53,19 +56,22 @@
 
 @dataclass(frozen=True)
 class Names:
-    """Places of names in the settings' lists.
+    """Indexes of names in the settings' lists.
 
-    An unknown zone, kind or tenant gets the place past the end: the module then treats it as none that it knows.
+    Unknown zones, kinds and tenants get the index past the end of the list, which the balancer treats as unknown.
     """
 
     classes: dict[str, int]
     tenants: dict[str, int]
     zones: dict[str, int]
     kinds: dict[str, int]
-    epoch_ns: int  # Unix time less monotonic time. Taken once, or one start would look like many
+    clock_offset_ns: int  # Unix time minus monotonic time, computed once: a varying value would make a start time vary
+
+    def parse_member_list(self, raw: Any) -> MemberList:
+        """Parse and validate a JSON object of discovery.
 
-    def member_list(self, raw: Any) -> MemberList:
-        """Discovery's JSON object, checked; ValueError says what is wrong with it."""
+        :raises ValueError: the object is invalid
+        """
         try:
             members = tuple(self._member(entry) for entry in raw["members"])
             return MemberList(int(raw["revision"]), raw["complete"] is True, members)
@@ -73,12 +79,12 @@
             raise ValueError(f"{type(error).__name__}: {error}") from None
 
     def _member(self, raw: dict[str, Any]) -> Member:
-        state = STATES[raw["phase"]]
-        # Danger: what is gone may be listed by its id alone, and must go all the same.
+        state = ENDPOINT_STATES[raw["phase"]]
+        # A removed member may be listed by its id alone, and must still be removed.
         gone = state == EndpointState.GONE
         address = Address("", 0) if gone else Address.parse(raw["host_port"])
         since_ms = int(raw.get("up_since_ms", 0))
-        started = max(1, since_ms * 1_000_000 - self.epoch_ns) if since_ms else 0
+        started = max(1, since_ms * 1_000_000 - self.clock_offset_ns) if since_ms else 0
         zone = self.zones.get(raw.get("locality", ""), len(self.zones))
         kind = self.kinds.get(raw.get("flavor", ""), len(self.kinds))
         weight = float(raw.get("size", 1.0))
@@ -88,9 +94,9 @@
 
 @dataclass(frozen=True)
 class Config:
-    """The sidecar's configuration, as read at its start."""
+    """Configuration of the sidecar at its start."""
 
-    path: str  # of the file, to read again when it is replaced
+    path: str  # of the configuration file, which is read again on SIGHUP
     name: str
     listen: Address
     discovery: Address
@@ -99,20 +105,23 @@
     keepalive_ns: int
     settings: Settings
     names: Names
-    known: MemberList
+    known: MemberList  # list to start with, which may be older than discovery's
 
 
 def load(env: Mapping[str, str]) -> Config:
-    """The whole configuration, or a ConfigError that names what is missing or wrong."""
+    """Read the complete configuration.
+
+    :raises ConfigError: a variable or key is missing or invalid
+    """
     path = _variable(env, "LB_CONFIG")
-    raw = _read(path)
+    raw = _read_file(path)
     if not isinstance(raw.get("settings"), dict):
-        raise ConfigError("LB_CONFIG: key settings: an object is needed")
+        raise ConfigError("LB_CONFIG: key settings: expected an object")
     try:
         settings = Settings.from_dict(raw["settings"])
     except (SettingsError, ValueError, OverflowError) as error:
         raise ConfigError(f"LB_CONFIG: {error}") from None
-    names = _names(raw["settings"])
+    names = _build_names(raw["settings"])
     return Config(
         path=path,
         name=_variable(env, "LB_NAME"),
@@ -123,34 +132,37 @@
         keepalive_ns=_number(raw["settings"], "allowed", "keepalive-ns", 15_000_000_000),
         settings=settings,
         names=names,
-        known=_known(names, raw.get("known")),
+        known=_parse_known(names, raw.get("known")),
     )
 
 
-def discovery_in(path: str) -> Address:
-    """The address of discovery that the file names now, or a ConfigError."""
+def read_discovery_address(path: str) -> Address:
+    """Read the address of discovery from the configuration file.
+
+    :raises ConfigError: the file or the key is invalid
+    """
     try:
-        return Address.parse(_read(path).get("discovery"))
+        return Address.parse(_read_file(path).get("discovery"))
     except ConfigError:
         raise
     except ValueError as error:
         raise ConfigError(f"LB_CONFIG: key discovery: {error}") from None
 
 
-def _read(path: str) -> dict[str, Any]:
+def _read_file(path: str) -> dict[str, Any]:
     try:
         with Path(path).open("rb") as file:
             raw = json.load(file)
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"LB_CONFIG: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigError("LB_CONFIG: an object is needed")
+        raise ConfigError(f"LB_CONFIG: expected a JSON object, got {type(raw).__name__}")
     return raw
 
 
 def _variable(env: Mapping[str, str], name: str) -> str:
     if not env.get(name):
-        raise ConfigError(f"{name}: not set")
+        raise ConfigError(f"{name}: environment variable is not set")
     return env[name]
 
 
@@ -167,39 +179,39 @@
     try:
         return int(raw, 16)
     except (TypeError, ValueError):
-        raise ConfigError(f"LB_CONFIG: key seed: {raw!r} is no hexadecimal number") from None
+        raise ConfigError(f"LB_CONFIG: key seed: expected a hexadecimal string, got {raw!r}") from None
 
 
 def _number(raw: dict[str, Any], parent: str, key: str, default: int) -> int:
-    """A whole number above 0; 0, as on the wire, stands for none given."""
-    place = raw.get(parent) or {}
-    if not isinstance(place, dict):
-        raise ConfigError(f"LB_CONFIG: key {parent}: an object is needed")
-    value = place.get(key) or default
+    """Return an integer above 0; a value of 0 means not set, as on the wire."""
+    section = raw.get(parent) or {}
+    if not isinstance(section, dict):
+        raise ConfigError(f"LB_CONFIG: key {parent}: expected an object, got {type(section).__name__}")
+    value = section.get(key) or default
     if isinstance(value, bool) or not isinstance(value, int | float) or not 1 <= value < math.inf:
-        raise ConfigError(f"LB_CONFIG: key {parent}.{key}: {value!r} is no number above 0")
+        raise ConfigError(f"LB_CONFIG: key {parent}.{key}: expected a number above 0, got {value!r}")
     return int(value)
 
 
-def _names(raw: dict[str, Any]) -> Names:
-    def places(key: str, named: bool) -> dict[str, int]:
-        """The index of each name in one of the lists of the settings."""
+def _build_names(raw: dict[str, Any]) -> Names:
+    def indexes(key: str, is_object: bool) -> dict[str, int]:
+        """Return the index of each name in one of the settings' lists."""
         try:
             rows = raw.get(key) or []
-            return {row["name"] if named else str(row): n for n, row in enumerate(rows)}
+            return {row["name"] if is_object else str(row): n for n, row in enumerate(rows)}
         except (KeyError, TypeError):
-            raise ConfigError(f"LB_CONFIG: key settings.{key}: names are needed") from None
+            raise ConfigError(f"LB_CONFIG: key settings.{key}: expected a list with names") from None
 
-    epoch_ns = time.time_ns() - time.monotonic_ns()
-    classes = places("request-classes", True)
-    tenants = places("tenants", True)
-    return Names(classes, tenants, places("zones", False), places("skus", False), epoch_ns)
+    clock_offset_ns = time.time_ns() - time.monotonic_ns()
+    classes = indexes("request-classes", True)
+    tenants = indexes("tenants", True)
+    return Names(classes, tenants, indexes("zones", False), indexes("skus", False), clock_offset_ns)
 
 
-def _known(names: Names, raw: Any) -> MemberList:
+def _parse_known(names: Names, raw: Any) -> MemberList:
     if raw is None:
         return MemberList(0, True, ())
     try:
-        return names.member_list(raw)
+        return names.parse_member_list(raw)
     except ValueError as error:
         raise ConfigError(f"LB_CONFIG: key known: {error}") from None
--- a/otterreach/sidecar/http1.py
+++ b/otterreach/sidecar/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 parsing and framing, the same for clients, endpoints and discovery. No sockets here."""
+"""HTTP/1.1 parsing and framing for connections to clients, endpoints and discovery, independent of sockets."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 import httptools
 
-MAX_BODY = 64 * 1024  # what the protocol allows a body
-MAX_ANSWER = 16 * MAX_BODY  # good answers of five times as much were seen; yet a bound: memory is
+MAX_BODY = 64 * 1024  # limit of the protocol for request bodies
+MAX_ANSWER = 16 * MAX_BODY  # valid responses of 5 times MAX_BODY occur; the limit bounds the memory
 MAX_HEAD = 16 * 1024
-CHUNKED = 8  # bytes in the smallest chunks cost six each, as they come
+MAX_CHUNK_OVERHEAD = 8  # raw bytes per byte of the body: a chunk of one byte takes six
 BODILESS = (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED)
 PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
-# A message with two of these could mean one thing here and another thing further on.
-SINGLE = frozenset(
+# A message that repeats one of these headers could be interpreted differently by the next server.
+SINGLE_VALUE_HEADERS = frozenset(
     (b"content-length", b"transfer-encoding", b"host", b"x-trace-id", b"idempotency-key", b"x-expires-in-ms")
 )
 
 
 class Request(NamedTuple):
-    """A request as it came."""
+    """A complete request."""
 
     method: bytes
-    target: bytes  # path and query, as they came
+    target: bytes  # path and query, not decoded
     headers: dict[bytes, bytes]  # names in lower case
     body: bytes
     keep_alive: bool
 
 
 class Response(NamedTuple):
-    """A complete answer."""
+    """A complete response."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -41,12 +41,12 @@
 
 
 class Bounds(NamedTuple):
-    """What a message may have, in bytes, and which of its headers may stand only once."""
+    """Size limits of a message in bytes, and the handling of repeated headers."""
 
     body: int = MAX_BODY
     head: int = MAX_HEAD
-    single: frozenset[bytes] = SINGLE
-    joins: bool = False  # the values of a header that stands several times are joined; else the first counts
+    single: frozenset[bytes] = SINGLE_VALUE_HEADERS  # headers that may occur only once
+    joins: bool = False  # True: the values of a repeated header are joined; False: the first one is used
     head_error: int = HTTPStatus.REQUEST_ENTITY_TOO_LARGE  # the status for a head that is too large
 
 
@@ -55,10 +55,10 @@
 
 
 class _Message:
-    """What both directions collect, within bounds.
+    """State of a request or response while it is parsed, within the size limits.
 
-    Danger: the parser gathers a header's name and value before it tells of them, so what counts is the bytes that went
-    in, not those that came out.
+    The limits apply to the bytes fed into the parser: httptools buffers a header's name and value until both are
+    complete, so the sizes seen by its callbacks don't bound the memory.
     """
 
     __slots__ = ("ambiguous", "body", "body_size", "bounds", "head_size", "headers", "in_head", "raw_size")
@@ -75,33 +75,33 @@
 
     @property
     def head_too_large(self) -> bool:
-        """Whether the head is longer than allowed."""
+        """True if the head exceeds its size limit."""
         return self.head_size > self.bounds.head or self.in_head and self.raw_size > self.bounds.head
 
     @property
     def too_large(self) -> bool:
-        """Whether any part is longer than allowed."""
-        most = self.bounds.body
-        raw_most = self.bounds.head + CHUNKED * most
-        return self.body_size > most or self.head_too_large or self.raw_size > raw_most
+        """True if the head, the body or the raw message exceeds its size limit."""
+        max_body = self.bounds.body
+        max_raw = self.bounds.head + MAX_CHUNK_OVERHEAD * max_body
+        return self.body_size > max_body or self.head_too_large or self.raw_size > max_raw
 
     @property
     def length(self) -> int:
-        """As declared; the parser has seen to it that it is a number."""
+        """The Content-Length, or 0 without one. httptools has verified that it is a number."""
         declared = self.headers.get(b"content-length")
         return int(declared) if declared else 0
 
     @property
     def framed(self) -> bool:
-        """Whether the headers tell where the body ends."""
+        """True if the headers define the end of the body."""
         return b"content-length" in self.headers or b"transfer-encoding" in self.headers
 
     def add_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header."""
+        """Add a header. Trailers are ignored."""
         name = name.lower()
         value = value or b""
         self.head_size += len(name) + len(value)
-        if self.in_head:  # trailers come too late to mean anything
+        if self.in_head:  # not a trailer
             if name not in self.headers:
                 self.headers[name] = value
             elif name in self.bounds.single:
@@ -110,13 +110,13 @@
                 self.headers[name] += (b"; " if name == b"cookie" else b", ") + value
 
     def add_body(self, data: bytes) -> None:
-        """Collect a part of the body, up to the bound."""
+        """Add a part of the body, up to the size limit."""
         self.body_size += len(data)
         if self.body_size <= self.bounds.body:
             self.body.append(data)
 
     def end_head(self) -> None:
-        """The head is complete: refuse what could mean two things."""
+        """Complete the head, and mark a message with ambiguous framing."""
         self.in_head = False
         coding = self.headers.get(b"transfer-encoding")
         if coding is not None and (coding.lower() != b"chunked" or b"content-length" in self.headers):
@@ -124,50 +124,53 @@
 
 
 class RequestParser:
-    """Bytes in, whole requests out. After `error` (the status to answer) the stream is of no more use."""
+    """Incremental parser of requests. Once `error` (the status of the response) is set, no more input is parsed."""
 
-    def __init__(self, most: int = MAX_BODY, most_head: int = MAX_HEAD, bounds: Bounds | None = None) -> None:
+    def __init__(self, max_body: int = MAX_BODY, max_head: int = MAX_HEAD, bounds: Bounds | None = None) -> None:
         self.error = 0
         self.wants_continue = False
-        self._bounds = bounds or Bounds(most, most_head)
-        self._done: list[Request] = []
+        self._bounds = bounds or Bounds(max_body, max_head)
+        self._completed: list[Request] = []
         self._message = _Message(self._bounds)
         self._target = b""
-        self._begun = False
+        self._started = False
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
 
     @property
     def partial(self) -> bool:
-        """Part of a request has come."""
-        return self._begun or self._message.raw_size > 0
+        """True if part of a request has been received."""
+        return self._started or self._message.raw_size > 0
 
     @property
     def in_head(self) -> bool:
-        """Part of a request has come, and its head is not whole."""
+        """True if part of a request has been received and its head is incomplete."""
         return self.partial and self._message.in_head
 
     def close(self) -> None:
-        """Let go of the parser: it and its callbacks hold one another, and would wait for the collector."""
+        """Release the httptools parser, which forms a reference cycle with its callbacks.
+
+        Without this, the memory would be freed only by the garbage collector.
+        """
         self._parser = None
 
     def feed(self, data: bytes) -> list[Request]:
-        """The requests that these bytes complete; those before a fault in the bytes still count."""
+        """Parse bytes and return the requests that they complete, including those before an error in the bytes."""
         if not self.error and self._parser:
             before = self._message
             try:
                 self._parser.feed_data(data)
-            except (httptools.HttpParserError, httptools.HttpParserUpgrade):  # no upgrade is to be had
+            except (httptools.HttpParserError, httptools.HttpParserUpgrade):  # upgrades aren't supported
                 self.error = self.error or HTTPStatus.BAD_REQUEST
-                # Danger: a length that doesn't fit what follows. What came in one piece with the fault is
-                # one message of which nobody knows where it ends, and may hide another.
-                if self._done:
-                    self._done.pop()
+                # The error may come from a wrong Content-Length, so the end of the request before it, in the
+                # same bytes, is uncertain: it may hide another request and is dropped.
+                if self._completed:
+                    self._completed.pop()
             if before is self._message:
                 before.raw_size += len(data)
             if self._message.too_large:
                 self.error = self.error or self._too_large()
-        done = self._done
-        self._done = []
+        done = self._completed
+        self._completed = []
         return done
 
     def _too_large(self) -> int:
@@ -175,20 +178,20 @@
         return message.bounds.head_error if message.head_too_large else HTTPStatus.REQUEST_ENTITY_TOO_LARGE
 
     def on_message_begin(self) -> None:
-        """httptools: a request begins."""
-        self._begun = True
+        """Start a request (callback of httptools)."""
+        self._started = True
 
     def on_url(self, url: bytes) -> None:
-        """httptools: a part of the target."""
+        """Add a part of the target (callback of httptools)."""
         self._target += url
         self._message.head_size += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """httptools: a header."""
+        """Add a header (callback of httptools)."""
         self._message.add_header(name, value)
 
     def on_headers_complete(self) -> None:
-        """httptools: the head is complete."""
+        """Check the complete head (callback of httptools)."""
         message = self._message
         message.end_head()
         if message.ambiguous:
@@ -199,11 +202,11 @@
             self.wants_continue = True
 
     def on_body(self, data: bytes) -> None:
-        """httptools: a part of the body."""
+        """Add a part of the body (callback of httptools)."""
         self._message.add_body(data)
 
     def on_message_complete(self) -> None:
-        """httptools: the request is complete."""
+        """Complete a request (callback of httptools)."""
         message = self._message
         parser = self._parser
         if message.too_large:
@@ -211,18 +214,19 @@
         if parser and not self.error:
             body = b"".join(message.body)
             keep = parser.should_keep_alive()
-            self._done.append(Request(parser.get_method(), self._target, message.headers, body, keep))
+            self._completed.append(Request(parser.get_method(), self._target, message.headers, body, keep))
         self._message = _Message(self._bounds)
         self._target = b""
-        self._begun = False
+        self._started = False
         self.wants_continue = False
 
 
 class ResponseParser:
-    """Bytes in, one response out; a body may be handed on as it comes (discovery's watch).
+    """Incremental parser of a single response.
 
-    `on_head` is called with the status and the headers of the answer. `must_frame`: a body that only the end of the
-    connection would end is broken, also where it is handed on.
+    `on_body` receives the parts of the body as they arrive, in place of collecting them (as for discovery's watch).
+    `on_head` is called with the status and the headers of the response. `must_frame`: a response without
+    Content-Length or chunked encoding, whose body would end with the connection, is broken, even with `on_body`.
     """
 
     def __init__(
@@ -233,9 +237,9 @@
         must_frame: bool = False,
     ) -> None:
         self.response: Response | None = None
-        self.status = 0  # once the head is whole
+        self.status = 0  # 0 until the head is complete
         self.broken = False
-        self._sink = on_body
+        self._on_body = on_body
         self._on_head = on_head
         self._bounds = bounds
         self._must_frame = must_frame
@@ -243,26 +247,27 @@
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
 
     def close(self) -> None:
-        """As for requests; this one is made anew for every answer."""
+        """Release the httptools parser, as in RequestParser.close. There is one parser per response."""
         self._parser = None
 
     def feed(self, data: bytes) -> Response | None:
-        """The response, once it is whole."""
+        """Parse bytes and return the response once it is complete."""
         if self._parser and not self.broken:
             try:
                 self._parser.feed_data(data)
             except (httptools.HttpParserError, httptools.HttpParserUpgrade):
                 self._mark_broken()
-            # Announcements (1xx) and the answer's own head share one allowance: either may go on for ever.
+            # Interim responses (1xx) and the final head share one limit, since either may be endless.
             self._message.raw_size += len(data)
-            if self.response is None and self._message.too_large and not (self._sink and self.status):
+            if self.response is None and self._message.too_large and not (self._on_body and self.status):
                 self.broken = True
         return None if self.broken else self.response
 
     def end(self) -> Response | None:
-        """The connection has ended in order: with no framing, that is what ends the body.
+        """Handle an orderly end of the connection, which completes a body without framing.
 
-        Danger: so does being cut short, and the two look alike. Only what serves nobody may end like this.
+        A truncated body can't be told apart from a complete one here. So only responses other than 200, whose body is
+        not passed to a client, may end this way.
         """
         message = self._message
         if self.response is None and self.status > HTTPStatus.OK and not message.framed and not self.broken:
@@ -272,21 +277,21 @@
     def _mark_broken(self) -> None:
         if self.response is None:
             self.broken = True
-        else:  # good as it is, but the connection brings more than belongs to it
+        else:  # the response is valid, but the connection carries more data than belongs to it
             self.response = self.response._replace(keep_alive=False)
 
     def on_message_begin(self) -> None:
-        """httptools: an answer begins."""
+        """Start a response (callback of httptools)."""
         if self.response is not None:
             self._mark_broken()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """httptools: a header."""
+        """Add a header (callback of httptools)."""
         if self.response is None:
             self._message.add_header(name, value)
 
     def on_headers_complete(self) -> None:
-        """httptools: the head is complete."""
+        """Check the complete head (callback of httptools)."""
         if self.response is not None or self._parser is None:
             return
         message = self._message
@@ -294,40 +299,40 @@
         message.end_head()
         if self.status < HTTPStatus.OK:
             return
-        if self._must_frame or self._sink is None:
-            self.broken = self.broken or message.ambiguous or not message.framed and self._needs_frame
-        if self._sink is None:
+        if self._must_frame or self._on_body is None:
+            self.broken = self.broken or message.ambiguous or not message.framed and self._needs_framing
+        if self._on_body is None:
             self.broken = self.broken or message.length > message.bounds.body
         if self._on_head and not self.broken:
             self._on_head(self.status, message.headers)
 
     @property
-    def _needs_frame(self) -> bool:
+    def _needs_framing(self) -> bool:
         return self.status not in BODILESS if self._must_frame else self.status == HTTPStatus.OK
 
     def on_body(self, data: bytes) -> None:
-        """httptools: a part of the body."""
+        """Add a part of the body (callback of httptools)."""
         if self.response is not None:
-            return  # Danger: of another answer, right behind this one
-        if self._sink:
-            self._sink(data)
+            return  # belongs to another response that follows this one
+        if self._on_body:
+            self._on_body(data)
         else:
             self._message.add_body(data)
 
     def on_message_complete(self) -> None:
-        """httptools: the answer is complete."""
+        """Complete a response (callback of httptools)."""
         if self.response is not None or self._parser is None:
             return
         if self.status == HTTPStatus.SWITCHING_PROTOCOLS:
             self.broken = True
-        elif self.status < HTTPStatus.OK:  # 100 Continue and its like announce, they do not answer
+        elif self.status < HTTPStatus.OK:  # interim response, such as 100 Continue
             self.status = 0
             raw_size = self._message.raw_size
             self._message = _Message(self._bounds)
             self._message.raw_size = raw_size
         elif not self.broken:
             message = self._message
-            # Danger: bytes past the bound were not kept; what is left would pass for the whole.
+            # Bytes above the size limit were dropped: the truncated body must not pass for a complete one.
             self.broken = message.too_large
             body = b"".join(message.body)
             keep = self._parser.should_keep_alive()
@@ -335,7 +340,7 @@
 
 
 def encode_request(request: Request, host: bytes, headers: dict[bytes, bytes]) -> bytes:
-    """A request in one piece, so that it leaves in one packet where it fits."""
+    """Encode a request as one byte string, so that a small one is sent in a single packet."""
     lines = [request.method + b" " + request.target + b" HTTP/1.1", b"Host: " + host]
     lines += [name + b": " + value for name, value in headers.items()]
     if request.body or request.method != b"GET":
@@ -344,7 +349,7 @@
 
 
 def encode_response(status: int, body: bytes = b"", retry_after_s: float = 0.0, close: bool = False) -> bytes:
-    """The bytes of an answer with this status, these headers and this body."""
+    """Encode a response."""
     head = b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n" % (status, PHRASES[status], len(body))
     if retry_after_s > 0:
         head += b"Retry-After: %.3f\r\n" % retry_after_s
@@ -353,9 +358,12 @@
     return head + b"\r\n" + body
 
 
-@lru_cache(maxsize=64)  # an endpoint repeats its report in every answer until it has a new one
+@lru_cache(maxsize=64)  # an endpoint repeats its last report in each response
 def parse_load(value: bytes | None, columns: tuple[str, ...]) -> tuple[float, ...]:
-    """`TEXT inflight=7, queue=2` in the order of the columns; nothing if any of it is not as it should be."""
+    """Parse a load report such as `TEXT inflight=7, queue=2`.
+
+    :returns: the values in the order of the columns; empty if a column is missing or the report is malformed
+    """
     kind, _, rest = (value or b"").strip().partition(b" ")
     if kind.upper() != b"TEXT":
         return ()
--- a/otterreach/sidecar/server.py
+++ b/otterreach/sidecar/server.py
@@ -1,4 +1,4 @@
-"""The application's side: connections in, requests to the driver, one final answer each."""
+"""HTTP server for the application: accepts connections, submits requests to the sidecar, and writes the answers."""
 
 from __future__ import annotations
 
@@ -21,39 +21,42 @@
 from otterreach.sidecar.transport import AcceptedConnection
 
 BACKLOG = 512
-MOST_PIPELINED = 8  # requests read ahead on one connection
-HALF_WRITTEN_S = 1.0  # after the listener has closed, and no longer
-STOP_LOOK_S = 0.01  # at the end: between two looks at what is still open
-FLUSH_S = 0.05  # at the very end: for the last answers to leave
-ACCEPT_PAUSE_S = 0.05  # with no descriptor left
-READ_NS = 1_000_000  # a request that waited no longer has not waited
-LINGER_S = 1.0  # to let a client read why it was cut off
-SWALLOW_PAUSE_S = 0.004  # between two reads of what nobody wants any more
-IDLE_TIMEOUT_S = 2.1  # for a first request
-HALF_SENT_S = 2.6  # for the rest of a request: good clients may be slow, bad ones are owed an end within 3 s
-KEPT_S = 10.0  # at rest after an answer
-UNREAD_S = 10.0  # an answer that its client does not read
-SWEEP_S = 0.1
-ASK_S = 0.2  # one that means to ask has done so by then
-LOOK = 16  # at so many, to find one that may go
-ACCEPTED_AT_ONCE = 8
-LONGEST_WAIT_MS = 3_600_000
+MAX_PIPELINED = 8  # requests read ahead per connection
+PARTIAL_REQUEST_GRACE_S = 1.0  # at shutdown: time for the rest of a request after the listener has closed
+STOP_POLL_S = 0.01  # at shutdown: interval of checks for open connections
+FLUSH_S = 0.05  # at shutdown: time to send the last answers
+ACCEPT_RETRY_S = 0.05  # pause after running out of file descriptors
+MIN_QUEUE_WAIT_NS = 1_000_000  # shorter waits behind pipelined requests are not subtracted from the request's time
+LINGER_S = 1.0  # time for a client to read the reason before its connection is closed
+DISCARD_PAUSE_S = 0.004  # between reads of data that is discarded
+FIRST_REQUEST_TIMEOUT_S = 2.1  # of a new connection without data
+REQUEST_TIMEOUT_S = 2.6  # for the rest of a request: allows for slow clients, and ends hostile ones within 3 s
+KEEPALIVE_S = 10.0  # of a connection that is idle after an answer
+WRITE_TIMEOUT_S = 10.0  # of an answer that the client doesn't read
+SWEEP_INTERVAL_S = 0.1
+FIRST_REQUEST_GRACE_S = 0.2  # of a new connection, before it may be evicted; clients normally send at once
+EVICTION_SCAN = 16  # connections of each kind that are checked for eviction
+ACCEPT_BATCH = 8  # connections accepted per iteration of the event loop
+MAX_TIMEOUT_MS = 3_600_000
 NEVER_NS = 2**63
 
 
-PLAIN = re.compile(rb"[!-~]{1,200}")  # nothing else goes into an endpoint's head
+PLAIN = re.compile(rb"[!-~]{1,200}")  # the only header values that are forwarded to endpoints
 
 
 class InvalidCallError(ValueError):
-    """A well-formed request that asks for nothing we have; carries the status to answer."""
+    """A well-formed HTTP request that is not a valid call; carries the status of the answer."""
 
     def __init__(self, status: HTTPStatus, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
-def read_call(request: http1.Request, names: Names, settings: Settings) -> Call:
-    """A request in the module's terms, or InvalidCallError: what does not fit the protocol is not passed on."""
+def parse_call(request: http1.Request, names: Names, settings: Settings) -> Call:
+    """Validate a request and return it with its parameters for the balancer.
+
+    :raises InvalidCallError: the request violates the protocol and must not be forwarded
+    """
     if request.method not in (b"GET", b"POST"):
         raise InvalidCallError(HTTPStatus.METHOD_NOT_ALLOWED, "GET and POST are served")
     parts = [part for part in request.target.partition(b"?")[0].split(b"/") if part]
@@ -76,7 +79,7 @@
             raise InvalidCallError(HTTPStatus.BAD_REQUEST, "Idempotency-Key does not fit the class")
     left_ns = settings.classes[class_index].deadline_ns
     if (left_ms := _number(headers, b"x-expires-in-ms")) is not None:
-        left_ns = min(left_ms, LONGEST_WAIT_MS) * 1_000_000
+        left_ns = min(left_ms, MAX_TIMEOUT_MS) * 1_000_000
     hint_us = _number(headers, b"x-size-hint")
     return Call(
         request=request,
@@ -84,7 +87,7 @@
         tenant=names.tenants.get(headers.get(b"x-customer", b"").decode("latin-1"), len(names.tenants)),
         left_ns=left_ns,
         hint_ns=None if hint_us is None else hint_us * 1000,
-        key=_key(parts[-1]) if keyed else 0,  # a digest is not cheap: only where it decides something
+        key=_hash_key(parts[-1]) if keyed else 0,  # the digest is expensive: computed only if used
         is_retry=headers.get(b"x-second-try") == b"1",
     )
 
@@ -98,13 +101,13 @@
     return int(value)
 
 
-def _key(part: bytes) -> int:
-    """The same number at every sidecar; never 0, which means none."""
+def _hash_key(part: bytes) -> int:
+    """Return a hash of the key that is the same in every sidecar, and never 0, which means no key."""
     return int.from_bytes(hashlib.blake2b(part, digest_size=8).digest(), "big") or 1
 
 
 class ClientConnection(AcceptedConnection):
-    """One connection of the application. It is read all the time: its end is how a client goes away.
+    """A connection of the application, which is read continuously to detect that the client closes it.
 
     More than 20 methods: asyncio's callbacks, answers and time-outs all act on the state of the one connection.
     """
@@ -113,110 +116,110 @@
         super().__init__()
         self._server = server
         self._parser = http1.RequestParser()
-        self._queue: deque[tuple[http1.Request, int]] = deque()  # with when it came
+        self._queue: deque[tuple[http1.Request, int]] = deque()  # request, arrival time
         self._busy = False
         self._closing = False
         self._keep_alive = True
-        self._current = 0  # the driver's id of the request being worked on
-        self._trace_id = b""  # of the same, while it is open
-        self.served = False  # a request has come on it
-        self.quiet_since = time.monotonic()  # since when no request is open, nor more of one has begun
+        self._current = 0  # the sidecar's id of the open request
+        self._trace_id = b""  # of the open request
+        self.served = False  # a request has been received
+        self.idle_since = time.monotonic()  # since when no request is open or being received
 
     @property
     def idle(self) -> bool:
-        """Between requests, and nothing on its way out."""
+        """True if no request is open, queued or partly received."""
         return not (self._closing or self._busy or self._queue or self._parser.partial)
 
     @property
-    def owed(self) -> bool:
-        """Its end must wait: a request is being answered, or an answer is still on its way out."""
+    def must_stay_open(self) -> bool:
+        """True if the connection must stay open: a request is open or queued, or the last answer is being sent."""
         return self._closing or self._busy or bool(self._queue)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A client has connected."""
+        """Register the connection of a client."""
         super().connection_made(transport)
-        self._server.arrive(self)
+        self._server.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come, and start the next request if none is open."""
+        """Parse received data, and start the next request if none is open."""
         if self._closing or self._parser.error:
-            self._swallow()
+            self._discard_input()
             return
         now = time.monotonic_ns()
-        fresh = not self._parser.partial
+        no_partial = not self._parser.partial
         self._queue.extend((request, now) for request in self._parser.feed(data))
-        if fresh and not self._busy:
-            self.quiet_since = now / 1e9
+        if no_partial and not self._busy:
+            self.idle_since = now / 1e9
         if self._parser.wants_continue and self._transport and not self._busy:
             self._parser.wants_continue = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        if len(self._queue) > MOST_PIPELINED and self._transport:
+        if len(self._queue) > MAX_PIPELINED and self._transport:
             self._transport.pause_reading()
-        self._next()
+        self._process_queue()
 
-    def _swallow(self) -> None:
-        """Danger: one that goes on sending at full speed after its error would take all of the CPU."""
+    def _discard_input(self) -> None:
+        """Discard received data, with a pause: a client sending at full speed after its error would use all CPU."""
         if self._transport and not self._transport.is_closing():
             self._transport.pause_reading()
-            asyncio.get_running_loop().call_later(SWALLOW_PAUSE_S, self._resume)
+            asyncio.get_running_loop().call_later(DISCARD_PAUSE_S, self._resume_reading)
 
-    def _resume(self) -> None:
+    def _resume_reading(self) -> None:
         if self._transport and not self._transport.is_closing():
             self._transport.resume_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The client has gone: give up its open request."""
+        """Give up the open request: the client has gone."""
         self._closing = True
-        self._server.forget(self)
+        self._server.remove(self)
         self._parser.close()
         self._queue.clear()
         self._release_trace_id()
         if self._busy and self._current:
             self._server.sidecar.client_gone(self._current)
 
-    def _next(self) -> None:
-        """Work on what has been read, in order. A loop: an answer may come at once."""
+    def _process_queue(self) -> None:
+        """Process the queued requests in order. A loop, since a request may be answered immediately."""
         while not self._busy and not self._closing:
             if not self._queue:
                 if self._parser.error:
                     self._reject(Answer(self._parser.error))
                 return
-            request, came_ns = self._queue.popleft()
-            if self._transport and len(self._queue) <= MOST_PIPELINED:
+            request, arrived_ns = self._queue.popleft()
+            if self._transport and len(self._queue) <= MAX_PIPELINED:
                 self._transport.resume_reading()
             self._busy = True
             self._current = 0
             self._keep_alive = request.keep_alive
             self.served = True
-            self._server.work(self)
-            self._work_on(request, came_ns)
+            self._server.mark_busy(self)
+            self._process(request, arrived_ns)
 
-    def _work_on(self, request: http1.Request, came_ns: int) -> None:
+    def _process(self, request: http1.Request, arrived_ns: int) -> None:
         if request.target.partition(b"?")[0] == b"/healthz":
             self._answer(Answer(200 if self._server.sidecar.ready else 503))
             return
-        if self._server.crowded:
+        if self._server.over_limit:
             self._keep_alive = False
             self._answer(Answer(503, b"too many connections\n"))
             return
         try:
-            call = read_call(request, self._server.names, self._server.settings)
+            call = parse_call(request, self._server.names, self._server.settings)
             self._take_trace_id(request.headers[b"x-trace-id"])
         except InvalidCallError as error:
             self._reject(Answer(error.status, f"{error}\n".encode()))
             return
         now = time.monotonic_ns()
-        waited_ns = now - came_ns  # behind others that the client sent ahead of it
-        left_ns = call.left_ns - (waited_ns if waited_ns > READ_NS else 0)
-        call = call._replace(left_ns=max(0, min(left_ns, self._server.last_ns - now)))
-        current = self._server.sidecar.take(call, self._answer_and_go_on, self.left)
+        waited_ns = now - arrived_ns  # behind pipelined requests of the same connection
+        left_ns = call.left_ns - (waited_ns if waited_ns > MIN_QUEUE_WAIT_NS else 0)
+        call = call._replace(left_ns=max(0, min(left_ns, self._server.answer_deadline_ns - now)))
+        current = self._server.sidecar.submit(call, self._answer_and_continue, self.client_left)
         if self._busy:
             self._current = current
 
     def _take_trace_id(self, trace_id: bytes) -> None:
-        """Register the id of a request; one that is open already is refused.
+        """Register the trace id of a request; an id of another open request is rejected.
 
-        With the id of another, one client could get the other's answer, or an endpoint run one effect twice.
+        With a shared id, a client could get the other's answer, or an endpoint could execute an effect twice.
         """
         if trace_id in self._server.open_ids:
             raise InvalidCallError(HTTPStatus.CONFLICT, "a request with this X-Trace-Id is open")
@@ -228,169 +231,179 @@
             self._server.open_ids.discard(self._trace_id)
             self._trace_id = b""
 
-    def _answer_and_go_on(self, answer: Answer) -> None:
+    def _answer_and_continue(self, answer: Answer) -> None:
         self._answer(answer)
-        if self._current:  # else _next is still at work, further down the stack
+        if self._current:  # else _process_queue is still running and called this
             self._current = 0
-            self._next()
+            self._process_queue()
 
     def _answer(self, answer: Answer) -> None:
         self._busy = False
         self._release_trace_id()
         if self._closing or not self._transport:
             return
-        # Danger: what was read behind it is taken too, and is still owed its answer.
+        # Pipelined requests that were already read are accepted, too, and must be answered before the close.
         close = not self._keep_alive or self._server.stopping and not self._queue
         self._transport.write(http1.encode_response(*answer, close))
         if close:
             self._closing = True
             self._transport.close()
-        self._server.rest(self)
+        self._server.mark_idle(self)
 
     def _reject(self, answer: Answer) -> None:
-        """An error, and the end of the connection: kept, it would bring the same again at once.
+        """Answer with an error and close the connection.
 
-        Danger: closing with input unread resets it, and the client never reads the answer. So end our side, and wait
-        for the client's end a little.
+        Closing a socket with unread input resets it, and the client could not read the answer. So only the sending side
+        is closed, and the client gets a short time to close its side.
         """
         self._busy = False
         self._closing = True
         self._queue.clear()
-        self._server.rest(self)
+        self._server.mark_idle(self)
         if self._transport:
             self._transport.write(http1.encode_response(*answer, True))
             self._transport.write_eof()
 
-    def look(self) -> None:
-        """Danger: while reading pauses the loop is not told of the client's end."""
-        if self._transport and not self._transport.is_reading() and self.left():
+    def check_client(self) -> None:
+        """Check for a close by the client, which the event loop doesn't report while reading is paused."""
+        if self._transport and not self._transport.is_reading() and self.client_left():
             self.abort()
 
     def expire(self, now: float) -> None:
-        """No request is open here.
+        """Apply the time-outs of a connection without an open request.
 
-        Danger: what says nothing, stops halfway or goes on sending after its error would hold a descriptor for ever.
+        Clients that send nothing, stop inside a request, or keep sending after an error would otherwise hold a file
+        descriptor indefinitely.
         """
-        quiet = now - self.quiet_since
-        if self._closing or self._stuck:
-            if quiet > (UNREAD_S if self._stuck else LINGER_S):  # a slow reader still gets its answer
+        quiet = now - self.idle_since
+        if self._closing or self._has_unread_answer:
+            # Slow readers have more time to read the answer.
+            if quiet > (WRITE_TIMEOUT_S if self._has_unread_answer else LINGER_S):
                 self.abort()
         elif self._parser.partial:
-            if quiet > HALF_SENT_S:
+            if quiet > REQUEST_TIMEOUT_S:
                 self._reject(Answer(HTTPStatus.REQUEST_TIMEOUT))
-        elif quiet > (KEPT_S if self.served else IDLE_TIMEOUT_S):
+        elif quiet > (KEEPALIVE_S if self.served else FIRST_REQUEST_TIMEOUT_S):
             self.close_if_idle()
 
     @property
-    def _stuck(self) -> bool:
-        """An answer waits to be read by its client."""
+    def _has_unread_answer(self) -> bool:
+        """True if part of an answer has not been read by the client."""
         return bool(self._transport and self._transport.get_write_buffer_size())
 
-    def left(self) -> bool:
-        """The client has gone.
+    def client_left(self) -> bool:
+        """Return True if the client has gone.
 
-        Danger: while reading pauses, and in a loop that is behind, its end waits in the kernel, maybe behind more
-        requests, and what it asked would still be sent on.
+        While reading is paused, or in a delayed event loop, the client's close waits in the kernel, possibly behind
+        more requests. Without this check, its request would still be forwarded.
         """
         return self._closing or self.ended
 
     def abort(self) -> None:
-        """Close at once, with a reset."""
+        """Close the connection immediately, with a reset."""
         self._closing = True
         if self._transport:
             self._transport.abort()
 
     def close_if_idle(self) -> None:
-        """Danger: a request may wait in the kernel, and would be lost with its connection."""
+        """Close the connection if it is idle and no data is unread: a request in the kernel would be lost."""
         if self.idle and self._transport and not self.unread:
             self._closing = True
             self._transport.close()
 
-    def leave(self, late: bool) -> None:
-        """The program ends.
+    def shut_down(self, late: bool) -> None:
+        """Close the connection at shutdown once that is safe.
 
-        `late`: what has not asked by now, or not to the end, is waited for no longer. Danger: a client sends again what
-        crosses the end of a kept connection, not of a new one.
+        Clients retry a request that crosses the close of a kept-alive connection, but not that of a new connection. So
+        a new one stays open until its first request is answered.
+
+        :param late: stop waiting for new connections without a request, and for partly received requests
         """
         if self.idle and (self.served or late):
             self.close_if_idle()
-        elif late and self._parser.partial and not self.owed:
+        elif late and self._parser.partial and not self.must_stay_open:
             self._reject(Answer(HTTPStatus.SERVICE_UNAVAILABLE))
 
 
 class Server:
-    """The listener. It accepts by itself, so that nothing queued is reset when it closes."""
+    """Listener and its connections.
 
-    def __init__(self, sidecar: Sidecar, names: Names, settings: Settings, most: int) -> None:
+    It accepts connections itself, not through asyncio, so that none in the backlog is reset at shutdown.
+    """
+
+    def __init__(self, sidecar: Sidecar, names: Names, settings: Settings, max_connections: int) -> None:
         self.sidecar = sidecar
         self.names = names
         self.settings = settings
         self.stopping = False
-        self.last_ns = NEVER_NS  # by then every request has to be answered
-        self.open_ids: set[bytes] = set()  # trace ids of the requests being worked on
-        self._working: set[ClientConnection] = set()
-        # With no request open, in the order in which they fell quiet: new ones, and those served before.
-        self._unproven: dict[ClientConnection, None] = {}
-        self._kept: dict[ClientConnection, None] = {}
-        self._arriving = 0  # accepted, and not yet a connection
-        self._most = most
+        self.answer_deadline_ns = NEVER_NS  # monotonic time by which every request has to be answered
+        self.open_ids: set[bytes] = set()  # trace ids of the open requests
+        self._active: set[ClientConnection] = set()
+        # Connections without an open request, in the order in which they became idle: before and after their first one.
+        self._new: dict[ClientConnection, None] = {}
+        self._kept_alive: dict[ClientConnection, None] = {}
+        self._setting_up = 0  # accepted sockets whose connection is being set up
+        self._max_connections = max_connections
         self._listener: socket.socket | None = None
         self._accepting: set[asyncio.Task[None]] = set()
 
     @property
     def connections(self) -> list[ClientConnection]:
-        """All connections of clients."""
-        return [*self._unproven, *self._kept, *self._working]
+        """All connections of clients, idle or busy."""
+        return [*self._new, *self._kept_alive, *self._active]
 
     @property
     def _count(self) -> int:
-        return len(self._unproven) + len(self._kept) + len(self._working) + self._arriving
+        return len(self._new) + len(self._kept_alive) + len(self._active) + self._setting_up
 
     @property
-    def crowded(self) -> bool:
-        """Too near the limit on descriptors: the newest are sent away, for without any nothing works.
+    def over_limit(self) -> bool:
+        """True if busy connections exceed their limit: further requests are rejected to keep descriptors available.
 
-        Danger: those at rest make room when they must. Counted here, they would have every request refused.
+        Idle connections are evicted when needed. If they counted here, all requests would be rejected.
         """
-        return len(self._working) > self._most
-
-    def arrive(self, connection: ClientConnection) -> None:
-        """A connection that was being accepted is open."""
-        self._arriving -= 1
-        self.rest(connection)
-
-    def work(self, connection: ClientConnection) -> None:
-        """A request is open on it: it must stay."""
-        self._unproven.pop(connection, None)
-        self._kept.pop(connection, None)
-        self._working.add(connection)
-
-    def rest(self, connection: ClientConnection) -> None:
-        """No request is open on it (any more)."""
-        self.forget(connection)
-        connection.quiet_since = time.monotonic()
-        (self._kept if connection.served else self._unproven)[connection] = None
-
-    def forget(self, connection: ClientConnection) -> None:
-        """The connection has ended."""
-        self._unproven.pop(connection, None)
-        self._kept.pop(connection, None)
-        self._working.discard(connection)
+        return len(self._active) > self._max_connections
+
+    def add(self, connection: ClientConnection) -> None:
+        """Add a connection that has been set up."""
+        self._setting_up -= 1
+        self.mark_idle(connection)
+
+    def mark_busy(self, connection: ClientConnection) -> None:
+        """Mark a connection as busy; busy connections are not evicted."""
+        self._new.pop(connection, None)
+        self._kept_alive.pop(connection, None)
+        self._active.add(connection)
+
+    def mark_idle(self, connection: ClientConnection) -> None:
+        """Mark a connection as idle."""
+        self.remove(connection)
+        connection.idle_since = time.monotonic()
+        (self._kept_alive if connection.served else self._new)[connection] = None
+
+    def remove(self, connection: ClientConnection) -> None:
+        """Remove a connection."""
+        self._new.pop(connection, None)
+        self._kept_alive.pop(connection, None)
+        self._active.discard(connection)
 
     def listen(self, address: Address) -> Address:
-        """Listen at this address; port 0 takes a free one. Returns the address in use."""
+        """Listen at an address, with a free port for port 0, and return the address in use."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setblocking(False)
         listener.bind(address)
         listener.listen(BACKLOG)
         self._listener = listener
-        self._watch_listener()
+        self._resume_accepting()
         return Address(*listener.getsockname())
 
     def _accept(self) -> None:
-        """A few at a time: each may need room made for it, and that is free only after a turn of the loop."""
-        for _ in range(ACCEPTED_AT_ONCE):
+        """Accept a few connections.
+
+        Each may require an eviction, whose descriptor is freed only in a later iteration of the event loop.
+        """
+        for _ in range(ACCEPT_BATCH):
             if not self._accept_one():
                 return
 
@@ -403,83 +416,87 @@
         if not self._listener:
             return False
         try:
-            connected, _ = self._listener.accept()
+            client_socket, _ = self._listener.accept()
         except (BlockingIOError, InterruptedError, ConnectionError):
             return False
         except OSError as error:
-            # Danger: with no descriptor left the listener stays readable, and the loop would spin.
+            # Without free descriptors the listener stays readable: the event loop would spin without a pause.
             print(f"server: {error}", file=sys.stderr)
             loop.remove_reader(self._listener)
-            loop.call_later(ACCEPT_PAUSE_S, self._watch_listener)
+            loop.call_later(ACCEPT_RETRY_S, self._resume_accepting)
             return False
-        if self._count >= self._most:
+        if self._count >= self._max_connections:
             self._evict_connection()
-        connected.setblocking(False)
-        self._arriving += 1
-        task = loop.create_task(self._serve(connected))
+        client_socket.setblocking(False)
+        self._setting_up += 1
+        task = loop.create_task(self._serve(client_socket))
         self._accepting.add(task)
         task.add_done_callback(self._accepting.discard)
         return True
 
     def _evict_connection(self) -> None:
-        """Danger: hundreds that connect and say nothing would crowd out those that ask.
+        """Close an idle connection without unread data.
 
-        Whoever means to ask does so at once: so the oldest that have not, then those longest at rest, and the newest
-        only if there is nothing else. One whose request waits unread is passed over.
+        Otherwise, hundreds of silent connections would displace active clients. Clients normally send their request at
+        once, so the oldest connections without one are closed first, then the longest idle, and new ones last.
         """
-        latest = time.monotonic() - ASK_S
-        silent = (c for c in self._unproven if c.quiet_since < latest)
-        for connection in chain(islice(silent, LOOK), islice(self._kept, LOOK), islice(self._unproven, LOOK)):
+        latest = time.monotonic() - FIRST_REQUEST_GRACE_S
+        silent = (c for c in self._new if c.idle_since < latest)
+        for connection in chain(
+            islice(silent, EVICTION_SCAN), islice(self._kept_alive, EVICTION_SCAN), islice(self._new, EVICTION_SCAN)
+        ):
             if not connection.unread:
-                self.forget(connection)
+                self.remove(connection)
                 connection.abort()
                 return
 
-    def _watch_listener(self) -> None:
+    def _resume_accepting(self) -> None:
         if self._listener:
             asyncio.get_running_loop().add_reader(self._listener, self._accept)
 
-    async def _serve(self, connected: socket.socket) -> None:
+    async def _serve(self, client_socket: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         try:
-            await loop.connect_accepted_socket(lambda: ClientConnection(self), connected)
-        except OSError:  # it may be reset by now
-            self._arriving -= 1
+            await loop.connect_accepted_socket(lambda: ClientConnection(self), client_socket)
+        except OSError:  # the client may have reset the connection
+            self._setting_up -= 1
 
     async def sweep(self) -> None:
-        """One look at all that have no request open, in place of a timer for each."""
+        """Apply the time-outs of all connections periodically, which is cheaper than a timer for each."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now = time.monotonic()
-            for connection in [*self._unproven, *self._kept]:
+            for connection in [*self._new, *self._kept_alive]:
                 connection.expire(now)
-            for connection in list(self._working):
-                connection.look()
+            for connection in list(self._active):
+                connection.check_client()
 
     async def stop(self, accept_s: float, new_s: float, within_s: float) -> None:
-        """A planned restart: go on accepting for a while, answer what was taken, and end `within_s`.
+        """Shut down gracefully.
 
-        What comes from now on gets its answer `new_s` from now at the latest.
+        :param accept_s: how long to accept further connections
+        :param new_s: time in which requests that arrive from now on are answered
+        :param within_s: time in which all requests are answered
         """
         loop = asyncio.get_running_loop()
         end = loop.time() + within_s
-        loop.call_at(end, self.sidecar.answer_all)
+        loop.call_at(end, self.sidecar.answer_open_requests)
         self.stopping = True
-        self.last_ns = time.monotonic_ns() + int(new_s * 1e9)
-        # Clients use a connection for as long as it is open: closed now, they still find the listener.
+        self.answer_deadline_ns = time.monotonic_ns() + int(new_s * 1e9)
+        # Idle connections are closed while the listener is still open, so that their clients can reconnect.
         for connection in self.connections:
-            connection.leave(late=False)
+            connection.shut_down(late=False)
         await asyncio.sleep(accept_s)
         if self._listener:
             loop.remove_reader(self._listener)
-            self._accept_all()  # Danger: closing resets what still waits in the listener's queue
+            self._accept_all()  # closing the listener resets connections in its backlog
             self._listener.close()
             self._listener = None
         if self._accepting:
             await asyncio.wait(self._accepting)
-        # A request may be on its way in on any of those.
-        half_written = min(loop.time() + HALF_WRITTEN_S, end - FLUSH_S)
+        # A request may still arrive on any open connection.
+        partial_deadline = min(loop.time() + PARTIAL_REQUEST_GRACE_S, end - FLUSH_S)
         while self.connections and loop.time() < end + FLUSH_S:
             for connection in self.connections:
-                connection.leave(late=loop.time() >= half_written)
-            await asyncio.sleep(STOP_LOOK_S)
+                connection.shut_down(late=loop.time() >= partial_deadline)
+            await asyncio.sleep(STOP_POLL_S)
--- a/otterreach/sidecar/sidecar.py
+++ b/otterreach/sidecar/sidecar.py
@@ -1,6 +1,6 @@
-"""The driver: events to the decision module, its actions to sockets and timers.
+"""Driver of the balancer: passes events to it, performs its actions, and tracks the requests without an answer.
 
-It decides nothing; it knows who is still owed an answer.
+All decisions are made by the balancer.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 from otterreach.sidecar.config import Config, MemberList
 from otterreach.sidecar.endpoints import Attempt, Endpoints
 
-ANSWER_RESERVE_NS = 10_000_000  # for the answer's way out: a client that has hung up was not answered
-BACKSTOP_NS = 4_000_000  # the last moment at which the driver answers by itself
-ENDINGS = (api.Outcome, api.ClientGone)  # after these a request may be over
-QUIET_S = 1.0  # between two tracebacks in the log
+ANSWER_RESERVE_NS = 10_000_000  # of a request's time, for sending the answer before the client times out
+FALLBACK_NS = 4_000_000  # before the client's time-out, for an answer that the balancer has not given
+FINAL_EVENTS = (api.Outcome, api.ClientGone)  # events after which a request may be finished
+TRACEBACK_INTERVAL_S = 1.0  # shortest time between two tracebacks in the log
 
 
 class Answer(NamedTuple):
@@ -36,7 +36,7 @@
 
 
 class Call(NamedTuple):
-    """A request as the server read it, in the module's terms."""
+    """A request with its parameters for the balancer."""
 
     request: http1.Request
     class_index: int
@@ -48,21 +48,23 @@
 
 
 class _Exchange:
-    """A request from its arrival until its last attempt has ended."""
+    """A request, from its arrival until its last attempt has ended."""
 
-    __slots__ = ("attempts", "backstop", "call", "deadline_ns", "left", "reply")
+    __slots__ = ("attempts", "fallback_timer", "call", "deadline_ns", "client_left", "reply")
 
-    def __init__(self, call: Call, deadline_ns: int, reply: Callable[[Answer], None], left: Callable[[], bool]) -> None:
+    def __init__(
+        self, call: Call, deadline_ns: int, reply: Callable[[Answer], None], client_left: Callable[[], bool]
+    ) -> None:
         self.call = call
         self.deadline_ns = deadline_ns
-        self.left = left
-        self.reply: Callable[[Answer], None] | None = reply  # None: answered, or nobody waits
+        self.client_left = client_left
+        self.reply: Callable[[Answer], None] | None = reply  # None: answered, or the client has gone
         self.attempts: list[Attempt] = []
-        self.backstop: asyncio.TimerHandle | None = None
+        self.fallback_timer: asyncio.TimerHandle | None = None
 
 
 class Sidecar:
-    """Carries out what the balancer decides: it turns what happens into events and actions into I/O.
+    """Passes events to the balancer and performs its actions.
 
     More than 20 methods: one for each event and each action of the balancer.
     """
@@ -71,15 +73,15 @@
         self._balancer = Balancer(config.settings, config.seed)
         self._endpoints = endpoints
         self._exchanges: dict[int, _Exchange] = {}
-        self._numbers: dict[str, int] = {}  # endpoint id -> its number; one that is gone never returns
+        self._endpoint_numbers: dict[str, int] = {}  # endpoint id -> number; numbers are not reused
         self._ready: set[int] = set()
-        # Danger: what pushed lists tell counts from a process's first moment, and `known` may be older.
+        # With pushed lists, all updates count as received from the start of the process, and `known` may be older.
         self._list_is_current = config.settings.discovery != "push"
         self._next_request = 0
         self._next_number = 0
         self._events: deque[api.Event] = deque()
         self._handling = False
-        self._complained_at = 0.0
+        self._traceback_at = 0.0
         self._actions: dict[type, Callable[..., None]] = {
             api.Send: self._send,
             api.Refuse: self._refuse,
@@ -93,43 +95,46 @@
 
     @property
     def ready(self) -> bool:
-        """Requests can be served: discovery has named an endpoint, and nothing newer is on its way."""
+        """True if requests can be served: an endpoint is ready, and the endpoint list is up to date."""
         return self._list_is_current and bool(self._ready)
 
-    # From the application -------------------------------------------------------------------------
+    # Requests of clients --------------------------------------------------------------------------
 
-    def take(self, call: Call, reply: Callable[[Answer], None], left: Callable[[], bool] = lambda: False) -> int:
-        """A request has come; `reply` is called once, maybe before this returns.
+    def submit(
+        self, call: Call, reply: Callable[[Answer], None], client_left: Callable[[], bool] = lambda: False
+    ) -> int:
+        """Start a request and return its id.
 
-        `left` tells whether its client has gone, which may be known before `client_gone` is called.
+        :param reply: called once with the answer, possibly before this returns
+        :param client_left: returns True if the client has gone, possibly before `client_gone` is called
         """
         self._next_request += 1
         request_id = self._next_request
         now = time.monotonic_ns()
         left_ns = max(0, call.left_ns - ANSWER_RESERVE_NS)
-        exchange = self._exchanges[request_id] = _Exchange(call, now + left_ns, reply, left)
+        exchange = self._exchanges[request_id] = _Exchange(call, now + left_ns, reply, client_left)
         loop = asyncio.get_running_loop()
-        last = now + max(0, call.left_ns - BACKSTOP_NS)
-        exchange.backstop = loop.call_at(last / 1e9, self._overdue, request_id)
+        last = now + max(0, call.left_ns - FALLBACK_NS)
+        exchange.fallback_timer = loop.call_at(last / 1e9, self._answer_overdue, request_id)
         event = api.Request(request_id, call.class_index, left_ns, call.hint_ns, call.key, call.tenant, call.is_retry)
         self._handle(event)
         return request_id
 
     def client_gone(self, request_id: int) -> None:
-        """The client has gone without its answer: end the attempts."""
+        """End the attempts of a request whose client has gone without an answer."""
         exchange = self._exchanges.get(request_id)
         if exchange and exchange.reply:
-            self._close(exchange)
+            self._release_client(exchange)
             self._handle(api.ClientGone(request_id))
-            self._abandon(request_id, exchange)
+            self._cancel_attempts(request_id, exchange)
 
-    # From discovery -------------------------------------------------------------------------------
+    # Updates of discovery -------------------------------------------------------------------------
 
-    def listed(self, update: MemberList, form: RosterForm | None = None) -> None:
-        """The connections learn of it first, so that nothing decided next reaches an endpoint that drains.
+    def update_endpoints(self, update: MemberList, form: RosterForm | None = None) -> None:
+        """Apply an update of the endpoint list, first to the connections and then to the balancer.
 
-        Danger: that ends attempts, and the module would place them anew by the list it had before; so it gets the
-        list ahead of them.
+        With this order, no later decision can reach a draining endpoint. The update ends attempts, which the balancer
+        would resend by its old list. So it gets the update before the outcomes of these attempts.
         """
         form = form or (RosterForm.FULL if update.complete else RosterForm.DELTA)
         self._handling = True
@@ -140,40 +145,43 @@
         self._events.appendleft(api.Roster(update.revision, form, tuple(rows)))
         self._drain()
 
-    def go_by_known(self) -> None:
-        """Discovery has no more to tell for now: the list at hand is the best there is."""
+    def accept_current_list(self) -> None:
+        """Accept the current list as up to date: discovery has no newer one, or is unavailable."""
         self._list_is_current = True
 
     def _apply(self, update: MemberList, form: RosterForm) -> list[api.Listed]:
         if form is not RosterForm.DELTA:
-            for absent in self._numbers.keys() - {member.id for member in update.members}:
-                self._drop(absent)
+            for absent in self._endpoint_numbers.keys() - {member.id for member in update.members}:
+                self._remove_endpoint(absent)
         rows = []
         for member in update.members:
-            if member.id not in self._numbers:
+            if member.id not in self._endpoint_numbers:
                 self._next_number += 1
-                self._numbers[member.id] = self._next_number
-                place = "{}:{}".format(*member.address)  # the module's lines name it by its number
-                print(f"driver: endpoint {self._next_number} is {member.id} at {place}", file=sys.stderr)
-            number = self._numbers[member.id]
+                self._endpoint_numbers[member.id] = self._next_number
+                address = "{}:{}".format(*member.address)  # log lines of the balancer contain only the number
+                print(f"driver: endpoint {self._next_number} is {member.id} at {address}", file=sys.stderr)
+            number = self._endpoint_numbers[member.id]
             rows.append(member.row._replace(endpoint=number))
             if member.row.state == EndpointState.GONE:
-                self._drop(member.id)
+                self._remove_endpoint(member.id)
                 continue
             up = member.row.state == EndpointState.READY
             self._endpoints.update(number, member.address, member.row.started_ns, up)
             (self._ready.add if up else self._ready.discard)(number)
         return rows
 
-    def _drop(self, member_id: str) -> None:
-        number = self._numbers.pop(member_id)
+    def _remove_endpoint(self, member_id: str) -> None:
+        number = self._endpoint_numbers.pop(member_id)
         self._ready.discard(number)
         self._endpoints.remove(number)
 
-    # The module -----------------------------------------------------------------------------------
+    # Events to the balancer -----------------------------------------------------------------------
 
     def _handle(self, event: api.Event) -> None:
-        """One event at a time: an action may end an attempt at once, and that event waits its turn."""
+        """Queue an event and handle all queued events, one at a time.
+
+        An action may end an attempt immediately; its event is handled after the current one.
+        """
         self._events.append(event)
         if not self._handling:
             self._drain()
@@ -182,39 +190,39 @@
         self._handling = True
         try:
             while self._events:
-                self._one(self._events.popleft())
+                self._handle_one(self._events.popleft())
         finally:
             self._handling = False
 
-    def _one(self, event: api.Event) -> None:
+    def _handle_one(self, event: api.Event) -> None:
         try:
             actions = self._balancer.handle(time.monotonic_ns(), event)
         except Exception:
-            # Danger: the module's fault must cost one request, not all that are open.
-            self._complain()
+            # An error in the balancer must fail only one request.
+            self._log_traceback()
             if isinstance(event, api.Request | api.Outcome | api.ClientGone):
-                self._give_up(event.request)
+                self._fail_undecided(event.request)
             if isinstance(event, api.Request | api.Outcome):
                 self._events.append(api.ClientGone(event.request))
             return
         for action in actions:
             perform = self._actions.get(type(action))
-            if perform:  # else the settings forbid it, or the watch does it unasked
+            if perform:  # other actions are not allowed by the settings, or not needed with a permanent watch
                 perform(action)
-        if isinstance(event, ENDINGS):
-            self._forget(event.request)
+        if isinstance(event, FINAL_EVENTS):
+            self._drop_if_finished(event.request)
 
-    def _complain(self) -> None:
-        if time.monotonic() >= self._complained_at + QUIET_S:
-            self._complained_at = time.monotonic()
+    def _log_traceback(self) -> None:
+        if time.monotonic() >= self._traceback_at + TRACEBACK_INTERVAL_S:
+            self._traceback_at = time.monotonic()
             traceback.print_exc()
 
-    # Its actions ----------------------------------------------------------------------------------
+    # Actions of the balancer ----------------------------------------------------------------------
 
     def _send(self, action: api.Send) -> None:
         exchange = self._exchanges.get(action.request)
         if exchange is None or exchange.reply is None:
-            return  # rule 1: nothing more for a request that is over
+            return  # no sends for a finished request
         now = time.monotonic_ns()
         deadline = min(now + action.timeout_ns, exchange.deadline_ns) if action.timeout_ns else exchange.deadline_ns
         attempt = Attempt(
@@ -223,32 +231,34 @@
             action.endpoint,
             exchange.call.request,
             deadline,
-            self._ended,
-            partial(self._wanted, action.request),  # not the exchange, which holds the attempt: no cycles
+            self._on_attempt_end,
+            partial(self._is_wanted, action.request),  # not the exchange, which refers to the attempt: avoids a cycle
         )
         exchange.attempts.append(attempt)
         self._endpoints.send(attempt)
 
-    def _wanted(self, request_id: int) -> bool:
+    def _is_wanted(self, request_id: int) -> bool:
         exchange = self._exchanges[request_id]
-        if exchange.reply and exchange.left():
-            self._close(exchange)
+        if exchange.reply and exchange.client_left():
+            self._release_client(exchange)
         return exchange.reply is not None
 
-    def _ended(self, attempt: Attempt) -> None:
+    def _on_attempt_end(self, attempt: Attempt) -> None:
         exchange = self._exchanges[attempt.request_id]
         status = attempt.status
         assert status is not None
         if status is Status.OK and attempt.response and exchange.reply:
             self._answer(exchange, Answer(200, attempt.response.body))
-            over = True
+            finished = True
         else:
-            over = exchange.reply is None
-        if status is Status.FULL and over:
+            finished = exchange.reply is None
+        if status is Status.FULL and finished:
             status = Status.MOOT
-        took = time.monotonic_ns() - attempt.started_ns
+        latency_ns = time.monotonic_ns() - attempt.started_ns
         self._handle(
-            api.Outcome(attempt.request_id, attempt.endpoint, attempt.number, took, status, over, attempt.load)
+            api.Outcome(
+                attempt.request_id, attempt.endpoint, attempt.number, latency_ns, status, finished, attempt.load
+            )
         )
 
     def _refuse(self, action: api.Refuse) -> None:
@@ -272,56 +282,56 @@
     def _close_idle(self, action: api.CloseIdle) -> None:
         self._endpoints.close_idle(action.endpoint)
 
-    # Who is owed an answer ------------------------------------------------------------------------
+    # Answers to clients ---------------------------------------------------------------------------
 
     def _finish(self, request_id: int, answer: Answer) -> None:
         exchange = self._exchanges.get(request_id)
         if exchange and exchange.reply:
             self._answer(exchange, answer)
-            self._forget(request_id)
+            self._drop_if_finished(request_id)
 
     def _answer(self, exchange: _Exchange, answer: Answer) -> None:
         reply = exchange.reply
-        self._close(exchange)
+        self._release_client(exchange)
         if reply:
             reply(answer)
 
-    def _close(self, exchange: _Exchange) -> None:
+    def _release_client(self, exchange: _Exchange) -> None:
         exchange.reply = None
-        if exchange.backstop:
-            exchange.backstop.cancel()
+        if exchange.fallback_timer:
+            exchange.fallback_timer.cancel()
 
-    def _forget(self, request_id: int) -> None:
+    def _drop_if_finished(self, request_id: int) -> None:
         exchange = self._exchanges.get(request_id)
         if exchange and exchange.reply is None and all(a.status is not None for a in exchange.attempts):
             del self._exchanges[request_id]
 
-    def _overdue(self, request_id: int) -> None:
-        """Danger: a silent module would let the client's time run out. 504 promises nothing."""
+    def _answer_overdue(self, request_id: int) -> None:
+        """Answer 504 (the request may have been executed) if the balancer has not ended the request in time."""
         exchange = self._exchanges.get(request_id)
         if exchange and exchange.reply:
-            print("driver: a request was answered 504, as the module did not end it", file=sys.stderr)
+            print("driver: a request was answered 504, as the balancer did not end it in time", file=sys.stderr)
             self._fail_now(request_id, exchange, b"no answer in time\n")
 
-    def answer_all(self) -> None:
-        """The program ends: what is still open is answered now, or it would be lost."""
+    def answer_open_requests(self) -> None:
+        """Answer all open requests at shutdown; they would be lost otherwise."""
         for request_id, exchange in list(self._exchanges.items()):
             if exchange.reply:
                 self._fail_now(request_id, exchange, b"restarting\n")
 
-    def _fail_now(self, request_id: int, exchange: _Exchange, why: bytes) -> None:
-        self._answer(exchange, Answer(504, why))
+    def _fail_now(self, request_id: int, exchange: _Exchange, body: bytes) -> None:
+        self._answer(exchange, Answer(504, body))
         self._handle(api.ClientGone(request_id))
-        self._abandon(request_id, exchange)
+        self._cancel_attempts(request_id, exchange)
 
-    def _give_up(self, request_id: int) -> None:
+    def _fail_undecided(self, request_id: int) -> None:
         exchange = self._exchanges.get(request_id)
         if exchange:
             self._answer(exchange, Answer(504, b"no decision\n"))
-            self._abandon(request_id, exchange)
+            self._cancel_attempts(request_id, exchange)
 
-    def _abandon(self, request_id: int, exchange: _Exchange) -> None:
-        """Nobody waits: whatever the module made of it, nothing more is spent on this request."""
+    def _cancel_attempts(self, request_id: int, exchange: _Exchange) -> None:
+        """Cancel the attempts of a request without a waiting client, whatever the balancer decided."""
         for attempt in exchange.attempts:
             attempt.give_up(Status.CANCELLED)
-        self._forget(request_id)
+        self._drop_if_finished(request_id)
--- a/otterreach/sidecar/transport.py
+++ b/otterreach/sidecar/transport.py
@@ -1,7 +1,8 @@
-"""The TCP side of connections.
+"""TCP connections.
 
-To servers: what of a request has left, whether one at rest still stands, and a close that lets nothing more out. Of
-clients: what waits in the kernel. What is done with a connection, and when, is for who derives from these.
+Connections to servers track whether a request has been written, whether an idle connection is still open, and can be
+closed without sending buffered data. Connections of clients report unread data in the kernel. Subclasses decide how a
+connection is used.
 """
 
 from __future__ import annotations
@@ -14,19 +15,19 @@
 from contextlib import suppress
 from typing import TypeVar
 
-GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: enabled, with a time-out of 0
 P = TypeVar("P", bound=asyncio.Protocol)
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection to a server."""
+    """A connection to a server."""
 
     def __init__(self) -> None:
-        self.unwritten = False  # part of the request has not left for the kernel: it can't have run
-        self.idle_since = 0.0  # in seconds
+        self.unwritten = False  # True while part of the request is buffered: the server can't have executed it
+        self.idle_since = 0.0  # monotonic time in seconds
         self._transport: asyncio.Transport | None = None
-        self._poll: select.poll | None = None  # none where the transport has no socket
+        self._poll: select.poll | None = None  # None if the transport has no socket
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The connection is open."""
@@ -36,41 +37,41 @@
         if sock is not None:
             self._poll = select.poll()
             self._poll.register(sock.fileno(), select.POLLIN)
-        # With no room in the buffer, pause and resume tell exactly whether anything is left in it.
+        # With a limit of 0, pause_writing and resume_writing report exactly whether the buffer is empty.
         transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
-        """Bytes stay in the buffer: the kernel takes no more."""
+        """Record that the kernel's buffer is full and written bytes remain in the transport's buffer."""
         self.unwritten = True
 
     def resume_writing(self) -> None:
-        """The kernel has all that was written."""
+        """Record that the kernel has accepted all written bytes."""
         self.unwritten = False
 
     @property
     def closing(self) -> bool:
-        """Nothing can be sent on it (any more)."""
+        """True if nothing can be sent on the connection: it is closing, closed or not yet open."""
         return self._transport is None or self._transport.is_closing()
 
     def fresh(self) -> bool:
-        """Whether the idle connection can still take a request.
+        """Return True if the idle connection can still carry a request.
 
-        The server may have closed it a moment ago, with that still unread in the kernel; a request written to
-        it would end as a reset, which proves nothing.
+        The server may have just closed it, with the end of the stream still unread in the kernel. A request written to
+        such a connection would end in a reset, which doesn't tell whether the request was executed.
         """
         return not self.closing and (self._poll is None or not self._poll.poll(0))
 
     def _write(self, data: bytes) -> None:
         assert self._transport
         self._transport.write(data)
-        # A write that fails at once leaves nothing in the buffer: the closing transport is what tells.
+        # A write that fails immediately leaves the buffer empty; only the closing state of the transport shows it.
         self.unwritten = self.unwritten or self._transport.is_closing()
 
     def _drop_unsent(self) -> None:
-        """Have the close that follows reset the connection: the kernel sends nothing more.
+        """Make the following close reset the connection, so that the kernel discards unsent data.
 
-        Danger: on a path that is cut, a request waits in the kernel. An orderly close would deliver it once the path is
-        back, seconds after it was given up.
+        During a network partition, a request waits in the kernel's send buffer. After an orderly close it would be
+        delivered when the network recovers, seconds after the attempt was given up.
         """
         sock = self._transport.get_extra_info("socket") if self._transport else None
         if sock is not None:
@@ -78,11 +79,11 @@
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
 
     def _abort(self) -> None:
-        """Close without flushing: the rest of a given-up request must not leave."""
+        """Close without flushing: the rest of an abandoned request must not be sent."""
         if self._transport and not self._transport.is_closing():
             sock = self._transport.get_extra_info("socket")
-            # Danger: the loop closes it a turn later. Until then the attempt would still be out, maybe beside
-            # the next one of its request.
+            # The event loop closes the socket in a later iteration. Without this shutdown the attempt could be in
+            # flight until then, concurrently with the next attempt of the same request.
             if sock is not None:
                 with suppress(OSError):  # the other side may have broken it by now
                     sock.shutdown(socket.SHUT_WR)
@@ -90,11 +91,11 @@
 
 
 class AcceptedConnection(asyncio.Protocol):
-    """One connection of a client."""
+    """A connection accepted from a client."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
-        self._poll: select.poll | None = None  # none where the transport has no socket
+        self._poll: select.poll | None = None  # None if the transport has no socket
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The connection is open."""
@@ -103,30 +104,33 @@
         sock = transport.get_extra_info("socket")
         if sock is not None:
             self._poll = select.poll()
-            self._poll.register(sock.fileno(), select.POLLIN | GONE)
+            self._poll.register(sock.fileno(), select.POLLIN | PEER_CLOSED_EVENTS)
 
     @property
     def unread(self) -> bool:
-        """Something waits in the kernel to be read."""
-        return bool(self._state())
+        """True if the kernel has unread data or a close from the client."""
+        return bool(self._pending_events())
 
     @property
     def ended(self) -> bool:
-        """The client's end is in the kernel, maybe behind what is yet unread."""
-        return bool(self._state() & GONE)
+        """True if the kernel has received the client's close, possibly after data that is still unread."""
+        return bool(self._pending_events() & PEER_CLOSED_EVENTS)
 
-    def _state(self) -> int:
+    def _pending_events(self) -> int:
         if self._poll is None or not self._transport or self._transport.is_closing():
             return 0
         return sum(flags for _, flags in self._poll.poll(0))
 
 
 async def open_tcp(address: tuple[str, int], factory: Callable[[], P]) -> P:
-    """A new connection to an address with a number for its host. Raises OSError."""
+    """Open a TCP connection to an address whose host is a numeric IPv4 address.
+
+    :raises OSError: the connection failed
+    """
     loop = asyncio.get_running_loop()
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     try:
-        # By hand: the loop's own way looks the address up each time, at twice the cost.
+        # The socket is connected here: create_connection(host, port) resolves the address each time, at twice the cost.
         await loop.sock_connect(sock, address)
         _, connection = await loop.create_connection(factory, sock=sock)
     except BaseException:
--- a/tests/sidecar/test_bad_clients.py
+++ b/tests/sidecar/test_bad_clients.py
@@ -19,9 +19,9 @@
 
 @pytest.fixture
 def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("IDLE_TIMEOUT_S", "HALF_SENT_S", "LINGER_S"):
+    for name in ("FIRST_REQUEST_TIMEOUT_S", "REQUEST_TIMEOUT_S", "LINGER_S"):
         monkeypatch.setattr(server, name, 0.1)
-    monkeypatch.setattr(server, "SWEEP_S", 0.02)
+    monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.02)
 
 
 async def end_of(address: tuple[str, int], data: bytes) -> bytes:
--- a/tests/sidecar/test_discovery.py
+++ b/tests/sidecar/test_discovery.py
@@ -17,7 +17,7 @@
 from otterreach.sidecar import __main__ as program
 from otterreach.sidecar import discovery
 from otterreach.sidecar.config import Address, load
-from otterreach.sidecar.discovery import Objects, Watch
+from otterreach.sidecar.discovery import ObjectSplitter, Watch
 from tests.balancer.support import MS
 from tests.balancer.support import settings as module_settings
 from tests.sidecar.net import (
@@ -57,7 +57,7 @@
 )
 def test_objects_come_on_a_line_or_laid_out_over_many(parts: list[tuple[dict[str, Any], Any, int]], size: int) -> None:
     data = b"".join(laid_out(update, indent) + b"\n" * empty for update, indent, empty in parts)
-    objects, found = Objects(), []
+    objects, found = ObjectSplitter(), []
     for at in range(0, len(data), size):
         found += objects.feed(data[at : at + size])
     assert [json.loads(text) for text in found] == [update for update, _, _ in parts]
@@ -75,23 +75,23 @@
 def test_a_list_that_was_cut_hides_none_behind_it(indent: Any, behind: Any, heard: bytes) -> None:
     whole = laid_out(UPDATES[2], indent)
     for cut in range(1, len(whole) - 2, 3):
-        found = Objects().feed(whole[:cut] + b"\n" + heard + laid_out(UPDATES[1], behind))
+        found = ObjectSplitter().feed(whole[:cut] + b"\n" + heard + laid_out(UPDATES[1], behind))
         assert json.loads(found[-1]) == UPDATES[1]
 
 
 def test_an_entry_a_line_is_one_list() -> None:
     data = by_entry(UPDATES[2])
-    assert [json.loads(text) for text in Objects().feed(data)] == [UPDATES[2]]
+    assert [json.loads(text) for text in ObjectSplitter().feed(data)] == [UPDATES[2]]
 
 
 @pytest.mark.parametrize("line", [b"}", b"]]", b"null", b"7", b"[1]", b"{nonsense", b"\xff\xfe", b"{]"])
 def test_a_line_that_is_no_object_is_told_once_and_hides_none(line: bytes) -> None:
-    found = Objects().feed(line + b"\n" + laid_out(UPDATES[2], None))
+    found = ObjectSplitter().feed(line + b"\n" + laid_out(UPDATES[2], None))
     assert found == [line, laid_out(UPDATES[2], None).strip()]
 
 
 def test_an_object_without_end_is_not_gathered_for_ever() -> None:
-    objects = Objects()
+    objects = ObjectSplitter()
     objects.feed(b'{"members":[\n')
     with pytest.raises(OSError):
         for _ in range(8):
@@ -118,10 +118,10 @@
 
     What is missed counts 6 s after the last word, 4 s after a move; the call may be turned away once, after a second.
     """
-    again_s = discovery.ANSWER_TIMEOUT_S + discovery.FIRST_WAIT_S + 1.0
+    again_s = discovery.ANSWER_TIMEOUT_S + discovery.INITIAL_BACKOFF_S + 1.0
     assert discovery.ANSWER_TIMEOUT_S > 2.5
-    assert again_s + discovery.CONNECT_S + 2 * discovery.FIRST_WAIT_S < 6.0
-    assert discovery.ANSWER_TIMEOUT_S + discovery.FIRST_WAIT_S < 4.0
+    assert again_s + discovery.CONNECT_TIMEOUT_S + 2 * discovery.INITIAL_BACKOFF_S < 6.0
+    assert discovery.ANSWER_TIMEOUT_S + discovery.INITIAL_BACKOFF_S < 4.0
 
 
 class Silent(Discovery):
@@ -173,12 +173,12 @@
     monkeypatch.undo()
     monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 0.02)
     async with Silent().serve() as peer:
-        watch.move(peer.address)
+        watch.set_address(peer.address)
         running = asyncio.create_task(watch.run())
         await until(lambda: len(peer.connections) == 2)
-        assert watch._patience_s > 0
+        assert watch._answer_timeout_s > 0
         peer.answer()
-        await until(lambda: watch._patience_s == 0)
+        await until(lambda: watch._answer_timeout_s == 0)
         running.cancel()
 
 
@@ -187,12 +187,12 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     """Before the silence of an open one would have been noticed."""
-    monkeypatch.setattr(discovery, "CONNECT_S", 0.05)
+    monkeypatch.setattr(discovery, "CONNECT_TIMEOUT_S", 0.05)
     with no_room() as address:
         names = load(write_config(tmp_path, PLACE, [])).names
         running = asyncio.create_task(Watch(address, names, 1, lambda update: None).run())
         log, began = "", asyncio.get_running_loop().time()
-        while log.count("discovery: no word in time") < 2:
+        while log.count("discovery: no data within the time-out") < 2:
             await asyncio.sleep(0.01)
             log += capfd.readouterr().err
         assert asyncio.get_running_loop().time() - began < discovery.ANSWER_TIMEOUT_S
@@ -203,12 +203,12 @@
     ("changes", "most_s"),
     [
         ({"discovery": "push", "guarantees__drain_grace_ns": 600 * MS}, 0.3),
-        ({"discovery": "push", "guarantees__drain_grace_ns": 0}, discovery.FIRST_WAIT_S),
+        ({"discovery": "push", "guarantees__drain_grace_ns": 0}, discovery.INITIAL_BACKOFF_S),
         ({"discovery": "ask", "guarantees__ask_within_ns": 2000 * MS}, 1.0),
     ],
 )
 def test_calls_to_a_lost_discovery_come_as_often_as_its_news_count(changes: dict[str, Any], most_s: float) -> None:
-    assert program._longest_wait(module_settings(**changes)) == most_s
+    assert program._max_backoff_s(module_settings(**changes)) == most_s
 
 
 @limited
@@ -217,7 +217,7 @@
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         names = load(write_config(tmp_path, PLACE, [])).names
-        watch = Watch(Address(*listener.getsockname()), names, 1, lambda update: None, longest_wait_s=0.06)
+        watch = Watch(Address(*listener.getsockname()), names, 1, lambda update: None, max_backoff_s=0.06)
         running = asyncio.create_task(watch.run())
         await asyncio.sleep(0.5)  # refused all the while: unbounded, the wait has grown to more than that
         listener.listen()
--- a/tests/sidecar/test_draining.py
+++ b/tests/sidecar/test_draining.py
@@ -14,7 +14,7 @@
 
 from otterreach.balancer import interface as api
 from otterreach.balancer.interface import Status
-from otterreach.sidecar.endpoints import REST_S, Attempt
+from otterreach.sidecar.endpoints import QUIET_PERIOD_S, Attempt
 from otterreach.sidecar.server import ClientConnection
 from tests.balancer.support import MS
 from tests.sidecar.net import Endpoint, World, exchange, limited, raw_call, until, world
@@ -50,7 +50,7 @@
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as it:
         client = await connected(it)
         await exchange(it.address, raw_call("once"))
-        await asyncio.sleep(REST_S)  # a connection to the endpoint is at hand
+        await asyncio.sleep(QUIET_PERIOD_S)  # a connection to the endpoint is at hand
         client.sendall(raw_call("once", "gone"))
         client.close()
         assert (await exchange(it.address, raw_call("once", "t2"))).status == 200
--- a/tests/sidecar/test_program.py
+++ b/tests/sidecar/test_program.py
@@ -15,7 +15,7 @@
 import pytest
 
 from otterreach.balancer import Balancer
-from otterreach.sidecar.__main__ import _ending
+from otterreach.sidecar.__main__ import _answer_deadlines_s
 from otterreach.sidecar.config import Address, ConfigError, load
 from tests.sidecar.net import OK, Endpoint, exchange, limited, member, raw_call, read_response, until, write_config
 
@@ -112,7 +112,7 @@
             try:
                 config = load(env)
                 Balancer(config.settings, config.seed)
-                _ending(config.settings)
+                _answer_deadlines_s(config.settings)
             except ConfigError as error:
                 refused += 1
                 assert "\n" not in str(error)
@@ -123,7 +123,9 @@
 def test_one_start_is_always_the_same_start_and_long_ago_stays_so(tmp_path: Path) -> None:
     names = load(write_config(tmp_path, NO_POSITION, [])).names
     rows = [
-        names.member_list({"revision": 1, "complete": True, "members": [member("a", NO_POSITION, up_since_ms=ms)]})
+        names.parse_member_list(
+            {"revision": 1, "complete": True, "members": [member("a", NO_POSITION, up_since_ms=ms)]}
+        )
         for ms in (1_700_000_000_000, 1_700_000_000_000, 0)
     ]
     starts = [row.members[0].row.started_ns for row in rows]
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -94,8 +94,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its failures have set the wait so long that news would come late."""
-    monkeypatch.setattr(discovery, "FIRST_WAIT_S", 60.0)
-    monkeypatch.setattr(discovery, "LONGEST_WAIT_S", 60.0)
+    monkeypatch.setattr(discovery, "INITIAL_BACKOFF_S", 60.0)
+    monkeypatch.setattr(discovery, "MAX_BACKOFF_S", 60.0)
     new_list = Discovery()
     async with Endpoint().serve() as endpoint, new_list.serve(), sidecar_world(tmp_path, endpoint) as it:
         await until(lambda: bool(it.discovery.connections))
--- a/tests/sidecar/test_shutdown.py
+++ b/tests/sidecar/test_shutdown.py
@@ -67,7 +67,7 @@
 def test_the_end_follows_the_settings_and_new_requests_the_earliest_kill(
     deadline_ns: int, new_s: float, all_s: float
 ) -> None:
-    end = program._ending(settings(request_classes=classes(deadline_ns)))
+    end = program._answer_deadlines_s(settings(request_classes=classes(deadline_ns)))
     assert end[0] == pytest.approx(new_s) and end[1] == pytest.approx(all_s)
 
 
@@ -76,7 +76,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """One that was there before may have longer than that."""
-    monkeypatch.setattr(program, "KILL_COUNTS_S", 0.1)
+    monkeypatch.setattr(program, "MAX_KILL_DEADLINE_S", 0.1)
 
     async def serve_the_first_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if endpoint.requests[-1].headers[b"x-trace-id"] == b"t1":
@@ -127,7 +127,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its last byte may be on its way: closed without a word, it would be lost."""
-    monkeypatch.setattr(server, "HALF_WRITTEN_S", 0.1)
+    monkeypatch.setattr(server, "PARTIAL_REQUEST_GRACE_S", 0.1)
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as it:
         reader, writer = await asyncio.open_connection(*it.address)
         writer.write(raw_call("once", body=b"abc")[:-1])
--- a/tests/sidecar/test_sidecar.py
+++ b/tests/sidecar/test_sidecar.py
@@ -20,7 +20,7 @@
 from otterreach.balancer.interface import RosterForm
 from otterreach.sidecar import discovery
 from otterreach.sidecar.config import load
-from otterreach.sidecar.endpoints import REST_S, Endpoints
+from otterreach.sidecar.endpoints import QUIET_PERIOD_S, Endpoints
 from otterreach.sidecar.sidecar import Answer, Call, Sidecar
 from tests.balancer.support import MS, SECOND
 from tests.sidecar.net import (
@@ -253,7 +253,7 @@
         self.answers: list[Answer] = []
 
     def take(self, cls: int = 2, left_ns: int = SECOND, left: Callable[[], bool] = lambda: False) -> int:
-        return self.sidecar.take(Call(GET, cls, 0, left_ns, None, 0, False), self.answers.append, left)
+        return self.sidecar.submit(Call(GET, cls, 0, left_ns, None, 0, False), self.answers.append, left)
 
 
 @asynccontextmanager
@@ -264,7 +264,7 @@
     sidecar = Sidecar(config, Endpoints(("queue",), 100 * MS, SECOND, 16))
     module = Module(decide)
     sidecar._balancer = module  # type: ignore[assignment]
-    sidecar.listed(config.known, RosterForm.CACHED)
+    sidecar.update_endpoints(config.known, RosterForm.CACHED)
     yield Driven(sidecar, module)
 
 
@@ -350,7 +350,7 @@
         it.take()
         raw = member_list(2, [member("s-0", endpoint.address, "draining")], complete=False)
         config = load(write_config(tmp_path, endpoint.address, []))
-        it.sidecar.listed(config.names.member_list(raw))
+        it.sidecar.update_endpoints(config.names.parse_member_list(raw))
         first, second = it.module.events[-2:]
         assert isinstance(first, api.Roster) and isinstance(second, api.Outcome)
         assert second.status is api.Status.CONNECT_FAILED and not endpoint.requests
@@ -362,7 +362,7 @@
 ) -> None:
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         assert (await exchange(sidecar.address, raw_call())).status == 200
-        await asyncio.sleep(REST_S)  # until the connection to the endpoint may be used again
+        await asyncio.sleep(QUIET_PERIOD_S)  # until the connection to the endpoint may be used again
         reader, writer = await asyncio.open_connection(*sidecar.address)
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         client = socket.socket()
