--- a/otterreach/balancer/logic.py
+++ b/otterreach/balancer/logic.py
@@ -86,9 +86,8 @@
         newest = nlargest(api.MAX_OBSERVATIONS, self.ready, key=lambda endpoint: endpoint.slowdown_at)
         observations = tuple(self._observation(endpoint) for endpoint in newest if endpoint.slowdown_at)
         self.actions.append(api.Tell(peers[0], self._latency_ratio(settings.zone), observations))
-        self.actions.extend(
-            api.Tell(peer, self._latency_ratio(settings.zone)) for peer in peers[1:]
-        )  # 1 byte each
+        # The messages to the other peers take 1 byte each.
+        self.actions.extend(api.Tell(peer, self._latency_ratio(settings.zone)) for peer in peers[1:])
 
     def _observation(self, endpoint: Endpoint) -> api.EndpointObservation:
         age_ns = self.now - endpoint.slowdown_at
--- a/tests/balancer/support.py
+++ b/tests/balancer/support.py
@@ -1,4 +1,4 @@
-"""Settings and a scripted world for the tests. The figures are made up for them."""
+"""Settings and a driver of a balancer for the tests. The values are examples."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def raw_settings(**changes: Any) -> dict[str, Any]:
-    """A settings object in the wire's terms; `a__b=v` changes key `b` inside `a`."""
+    """Return a settings object with the keys of the wire; the argument `a__b=v` sets key `b` inside `a`."""
     raw: dict[str, Any] = {
         "allowed": {
             "attempts-cap": 3,
@@ -56,10 +56,10 @@
     }
     for path, value in changes.items():
         *parents, key = [part.replace("_", "-") for part in path.split("__")]
-        place = raw
+        section = raw
         for parent in parents:
-            place = place.setdefault(parent, {})
-        place[key] = value
+            section = section.setdefault(parent, {})
+        section[key] = value
     return copy.deepcopy(raw)
 
 
@@ -81,7 +81,7 @@
 
 
 class Sidecar:
-    """One module with a fleet, driven by hand."""
+    """A balancer with an endpoint list, given events one by one by a test."""
 
     def __init__(self, rows: list[api.Listed], seed: int = 1, **changes: Any) -> None:
         self.balancer = Balancer(settings(**changes), seed)
@@ -94,7 +94,7 @@
 
     def request(self, cls: int = 0, left_ns: int = 2 * SECOND, **fields: Any) -> list[api.Action]:
         self._last += 1
-        return quiet(self.balancer.handle(self.now, api.Request(self._last, cls, left_ns, **fields)))
+        return without_logs(self.balancer.handle(self.now, api.Request(self._last, cls, left_ns, **fields)))
 
     def outcome(
         self,
@@ -108,10 +108,10 @@
     ) -> list[api.Action]:
         done = status is api.Status.OK if finished is None else finished
         event = api.Outcome(send.request, send.endpoint, attempt, latency_ns, status, done, load)
-        return quiet(self.balancer.handle(self.now, event))
+        return without_logs(self.balancer.handle(self.now, event))
 
     def serve(self, count: int, latency_ns: int = 50 * MS, cls: int = 0) -> list[int]:
-        """Send and answer requests one after another; the endpoints chosen."""
+        """Send and answer requests one after another, and return the chosen endpoints."""
         chosen = []
         for _ in range(count):
             for send in sends(self.request(cls)):
@@ -121,8 +121,8 @@
         return chosen
 
 
-def quiet(actions: list[api.Action]) -> list[api.Action]:
-    """The actions but for log lines."""
+def without_logs(actions: list[api.Action]) -> list[api.Action]:
+    """Return the actions other than log lines."""
     return [a for a in actions if not isinstance(a, api.Log)]
 
 
--- a/tests/balancer/test_rules.py
+++ b/tests/balancer/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules on generated event sequences (see checker.py), with a small world that obeys the wire."""
+"""Property test of the four rules (see checker.py) on random sequences of legal events."""
 
 from __future__ import annotations
 
@@ -20,144 +20,146 @@
 
 
 class World:
-    """Legal events drawn from a seed: arrivals, outcomes of every kind, roster changes, timers."""
+    """Simulation of a balancer's environment with random legal events: requests, outcomes, rosters, peers, timers."""
 
     def __init__(self, seed: int, cfg: api.Settings, length_ns: int) -> None:
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.cfg = cfg
         self.checker = Checker(cfg)
         self.balancer = Balancer(cfg, seed)
-        self.now = self.draw.choice((10 * SECOND, 10**15))
+        self.now = self.rng.choice((10 * SECOND, 10**15))
         self.end = self.now + length_ns
         self.order = count()
         self.queue: list[tuple[int, int, str, Any]] = []
         self.ids = count(1)
-        self.outstanding: dict[tuple[int, int], api.Send] = {}
-        self.execution = self.draw.choice(("calm", "errors", "silent", "mixed"))
+        self.in_flight: dict[tuple[int, int], api.Send] = {}
+        self.failure_mode = self.rng.choice(("calm", "errors", "silent", "mixed"))
 
-    def at(self, when: int, what: str, data: Any = None) -> None:
-        heappush(self.queue, (-(-when // TICK) * TICK, next(self.order), what, data))
+    def schedule(self, when: int, kind: str, data: Any = None) -> None:
+        heappush(self.queue, (-(-when // TICK) * TICK, next(self.order), kind, data))
 
     def run(self) -> Checker:
-        self.tell(api.Roster(1, api.RosterForm.CACHED, tuple(self.rows())))
-        self.at(self.now + TICK, "arrive")
-        self.at(self.now + SECOND, "roster")
-        self.at(self.now + SECOND, "peer")
+        self.handle(api.Roster(1, api.RosterForm.CACHED, tuple(self.random_rows())))
+        self.schedule(self.now + TICK, "arrive")
+        self.schedule(self.now + SECOND, "roster")
+        self.schedule(self.now + SECOND, "peer")
         while self.queue:
-            when, _, what, data = heappop(self.queue)
-            if when > self.end + 10 * SECOND and not self.outstanding and what == "timer":
+            when, _, kind, data = heappop(self.queue)
+            if when > self.end + 10 * SECOND and not self.in_flight and kind == "timer":
                 break
             self.now = max(self.now, when)
-            self.checker.nothing_owed(self.now)
-            getattr(self, "do_" + what)(data)
-        self.checker.nothing_owed(self.now + 60 * SECOND)
+            self.checker.check_deadlines(self.now)
+            getattr(self, "do_" + kind)(data)
+        self.checker.check_deadlines(self.now + 60 * SECOND)
         assert not self.balancer.pending, "state kept for finished requests"
         assert not self.balancer.queued_by_key, "state kept for idle keys"
         return self.checker
 
-    def rows(self) -> list[api.Listed]:
-        draw = self.draw
+    def random_rows(self) -> list[api.Listed]:
+        rng = self.rng
         started = (0, self.now, self.now - SECOND)
         return [
             api.Listed(
                 n * 7919,
-                draw.choice((0.0, 1.0, 4.0)),
+                rng.choice((0.0, 1.0, 4.0)),
                 n % 3,
-                draw.randrange(2),
+                rng.randrange(2),
                 n % 2,
-                draw.choice((0, 1, 1, 1, 2)),
-                draw.choice(started),
+                rng.choice((0, 1, 1, 1, 2)),
+                rng.choice(started),
             )
-            for n in draw.sample(range(1, 9), draw.randrange(0, 8))
+            for n in rng.sample(range(1, 9), rng.randrange(0, 8))
         ]
 
-    def tell(self, event: api.Event) -> None:
-        self.checker.event(self.now, event)
+    def handle(self, event: api.Event) -> None:
+        self.checker.on_event(self.now, event)
         actions = self.balancer.handle(self.now, event)
-        self.checker.actions(self.now, actions)
+        self.checker.on_actions(self.now, actions)
         for action in actions:
             if isinstance(action, api.Send):
-                self.sent(action)
+                self.on_send(action)
             elif isinstance(action, api.SetTimer):
-                self.at(self.now + max(action.delay_ns, TICK), "timer", action.token)
+                self.schedule(self.now + max(action.delay_ns, TICK), "timer", action.token)
             elif isinstance(action, api.Cancel):
-                self.at(self.now + TICK, "cancelled", (action.request, action.attempt))
-
-    def sent(self, send: api.Send) -> None:
-        ledger = self.checker.requests[send.request]
-        leg = len(ledger.copies) - 1
-        self.outstanding[send.request, leg] = send
-        limit = min(self.now + send.timeout_ns, ledger.due) if send.timeout_ns else ledger.due
-        self.at(limit, "outcome", (send.request, leg, Status.TIMEOUT))
-        status = self.status()
+                self.schedule(self.now + TICK, "cancelled", (action.request, action.attempt))
+
+    def on_send(self, send: api.Send) -> None:
+        state = self.checker.requests[send.request]
+        attempt = len(state.attempts) - 1
+        self.in_flight[send.request, attempt] = send
+        limit = min(self.now + send.timeout_ns, state.due) if send.timeout_ns else state.due
+        self.schedule(limit, "outcome", (send.request, attempt, Status.TIMEOUT))
+        status = self.random_status()
         if status is not None:
-            wait = self.draw.choice((1, 30, 200, 900)) * MS
+            wait = self.rng.choice((1, 30, 200, 900)) * MS
             if self.now + wait < limit:
-                self.at(self.now + wait, "outcome", (send.request, leg, status))
+                self.schedule(self.now + wait, "outcome", (send.request, attempt, status))
 
-    def status(self) -> Status | None:
-        if self.execution == "calm":
+    def random_status(self) -> Status | None:
+        if self.failure_mode == "calm":
             return Status.OK
-        if self.execution == "silent":
+        if self.failure_mode == "silent":
             return None
-        weights = (5, 1, 2, 0, 2, 2, 0, 0) if self.execution == "errors" else (2, 4, 1, 0, 1, 1, 0, 0)
-        return self.draw.choices(STATUSES, weights)[0]
+        weights = (5, 1, 2, 0, 2, 2, 0, 0) if self.failure_mode == "errors" else (2, 4, 1, 0, 1, 1, 0, 0)
+        return self.rng.choices(STATUSES, weights)[0]
 
     def do_arrive(self, _: Any) -> None:
         if self.now >= self.end:
             return
-        draw = self.draw
-        left = draw.choice((0, TICK, 300 * MS, 2 * SECOND))
-        hint = draw.choice((None, 0, 30 * MS, 2**63))
-        cls = draw.randrange(len(self.cfg.classes))
-        request = api.Request(next(self.ids), cls, left, hint, draw.choice((0, 5, 2**64 - 1)))
-        self.at(self.now + draw.choice((TICK, 20 * MS, 400 * MS)), "arrive")
-        self.tell(request)
-        ledger = self.checker.requests[request.request]
-        if draw.random() < 0.1:
-            self.at(self.now + 50 * MS, "leave", request.request)
-        self.at(ledger.due + TICK, "deadline", request.request)
+        rng = self.rng
+        left = rng.choice((0, TICK, 300 * MS, 2 * SECOND))
+        hint = rng.choice((None, 0, 30 * MS, 2**63))
+        cls = rng.randrange(len(self.cfg.classes))
+        request = api.Request(next(self.ids), cls, left, hint, rng.choice((0, 5, 2**64 - 1)))
+        self.schedule(self.now + rng.choice((TICK, 20 * MS, 400 * MS)), "arrive")
+        self.handle(request)
+        state = self.checker.requests[request.request]
+        if rng.random() < 0.1:
+            self.schedule(self.now + 50 * MS, "leave", request.request)
+        self.schedule(state.due + TICK, "deadline", request.request)
 
     def do_leave(self, request: int) -> None:
         if not self.checker.requests[request].answered:
-            self.tell(api.ClientGone(request))
+            self.handle(api.ClientGone(request))
 
     def do_deadline(self, request: int) -> None:
-        ledger = self.checker.requests[request]
-        assert ledger.answered or any(c.open for c in ledger.copies), "rule 1: held past its time"
+        state = self.checker.requests[request]
+        assert state.answered or any(c.open for c in state.attempts), (
+            "rule 1: neither answered nor in flight at its deadline"
+        )
 
     def do_cancelled(self, attempt: tuple[int, int]) -> None:
         self.do_outcome((*attempt, Status.CANCELLED))
 
     def do_outcome(self, data: tuple[int, int, Status]) -> None:
-        request, leg, status = data
-        send = self.outstanding.pop((request, leg), None)
+        request, attempt, status = data
+        send = self.in_flight.pop((request, attempt), None)
         if send is None:
             return
         finished = self.checker.requests[request].answered or status is Status.OK
-        latency = self.now - self.checker.requests[request].copies[leg].sent
-        load = self.draw.choice(((), (0.0,), (9.0,), (float("nan"),), (float("inf"),), (-1.0,)))
-        self.tell(api.Outcome(request, send.endpoint, leg, latency, status, finished, load))
+        latency = self.now - self.checker.requests[request].attempts[attempt].sent
+        load = self.rng.choice(((), (0.0,), (9.0,), (float("nan"),), (float("inf"),), (-1.0,)))
+        self.handle(api.Outcome(request, send.endpoint, attempt, latency, status, finished, load))
 
     def do_roster(self, _: Any) -> None:
-        form = self.draw.choice((api.RosterForm.DELTA, api.RosterForm.FULL, api.RosterForm.FAILED))
-        rows = () if form is api.RosterForm.FAILED else tuple(self.rows())
+        form = self.rng.choice((api.RosterForm.DELTA, api.RosterForm.FULL, api.RosterForm.FAILED))
+        rows = () if form is api.RosterForm.FAILED else tuple(self.random_rows())
         if form is not api.RosterForm.DELTA:
             rows = tuple(row for row in rows if row.state != EndpointState.GONE)
         if self.now < self.end:
-            self.at(self.now + self.draw.choice((TICK, SECOND)), "roster")
-        self.tell(api.Roster(2, form, rows))
+            self.schedule(self.now + self.rng.choice((TICK, SECOND)), "roster")
+        self.handle(api.Roster(2, form, rows))
 
     def do_peer(self, _: Any) -> None:
-        draw = self.draw
-        slow, queue = draw.choice((0.1, 1.0, 50.0)), draw.choice((0.0, 9.0))
-        seen = [api.EndpointObservation(n * 7919, slow, queue, draw.randrange(SECOND)) for n in range(1, 9)]
+        rng = self.rng
+        slow, queue = rng.choice((0.1, 1.0, 50.0)), rng.choice((0.0, 9.0))
+        seen = [api.EndpointObservation(n * 7919, slow, queue, rng.randrange(SECOND)) for n in range(1, 9)]
         if self.now < self.end and self.cfg.may_message:
-            self.at(self.now + draw.choice((TICK, SECOND)), "peer")
-            self.tell(api.PeerMessage(1, draw.random(), tuple(seen)))
+            self.schedule(self.now + rng.choice((TICK, SECOND)), "peer")
+            self.handle(api.PeerMessage(1, rng.random(), tuple(seen)))
 
     def do_timer(self, token: int) -> None:
-        self.tell(api.Timer(token))
+        self.handle(api.Timer(token))
 
 
 @settings(max_examples=150, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
--- a/tests/balancer/test_settings_ends.py
+++ b/tests/balancer/test_settings_ends.py
@@ -1,4 +1,4 @@
-"""Every number that the settings accept, at its ends: no decision raises, and the four rules hold."""
+"""Boundary values of all numeric settings: no decision raises an exception, and the four rules hold."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.balancer.support import MS, SECOND, Sidecar, listed, raw_settings
 from tests.balancer.test_rules import World
 
-HUGE = 10**18  # ns: thirty years
+HUGE = 10**18  # nanoseconds: some 30 years
 TIMES_NS = [0, 1, MS, SECOND, HUGE]
 POSITIVE_TIMES_NS = TIMES_NS[1:]
 FACTORS = [0.0, 1e-300, 0.5, 1.0, 2.5, api.MAX_FACTOR]
@@ -45,7 +45,7 @@
 def test_an_endpoint_that_started_this_moment_and_has_no_capacity_yet() -> None:
     changes = {"guarantees__start_capacity": 0, "guarantees__cold_ns": HUGE}
     sidecar = Sidecar([listed(1, started_ns=100 * SECOND)], **changes)
-    sidecar.request()  # it may be held or refused; nothing raises
+    sidecar.request()  # may be held or refused, but must not raise an exception
     sidecar.roster([listed(2)])
     assert set(sidecar.serve(20)) == {2}
 
--- a/tests/balancer/test_wire.py
+++ b/tests/balancer/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec, on frames written for these tests, and the adapter over a pipe."""
+"""The codec of the simulator's protocol, and the adapter over a pipe."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 BUILT_PYTHON = "exec .venv/bin/python"
 
 
-def boot(instance: int, raw: object, seed: int = 7) -> bytes:
+def start_record(instance: int, raw: object, seed: int = 7) -> bytes:
     params = json.dumps(raw).encode()
     return struct.pack("<HIQI", 1000, instance, seed, len(params)) + params
 
 
-def sheet(number: int, rows: list[api.Listed]) -> bytes:
+def list_record(number: int, rows: list[api.Listed]) -> bytes:
     entries = b"".join(struct.pack("<IfHHHBQ", *row) for row in rows)
     return struct.pack("<HII", 1100, number, len(rows)) + entries
 
 
-def roster(instance: int, form: int, number: int) -> bytes:
+def roster_record(instance: int, form: int, number: int) -> bytes:
     return struct.pack("<HIQBI", 1010, instance, 3, form, number)
 
 
-def arrival(instance: int, request: int, cls: int = 0, left_ns: int = SECOND) -> bytes:
+def request_record(instance: int, request: int, cls: int = 0, left_ns: int = SECOND) -> bytes:
     return struct.pack("<HIQQQQHHB", 1020, instance, request, 30 * MS, 99, left_ns, 1, 1 | 4, cls)
 
 
@@ -46,9 +46,9 @@
 
 def test_decodes_every_event() -> None:
     records = [
-        sheet(2, [listed(11, weight=1.5, cell=3, kind=1, zone=2, started_ns=77)]),
-        roster(4, 1, 2),
-        arrival(4, 1 << 51),
+        list_record(2, [listed(11, weight=1.5, cell=3, kind=1, zone=2, started_ns=77)]),
+        roster_record(4, 1, 2),
+        request_record(4, 1 << 51),
         struct.pack("<HIQIQH", 1030, 4, 8, 11, 60, 1),
         struct.pack("<HIQIHQBBB2f", 1040, 4, 8, 11, 1, 60, 3, 0, 2, 0.5, 8.0),
         struct.pack("<HIQ", 1050, 4, 8),
@@ -56,7 +56,7 @@
         struct.pack("<HIBIQBf", 1070, 4, 1, 11, 60, 1, 2.0),
         struct.pack("<HIHH", 1080, 4, 2, 3) + b"abc",
         struct.pack("<HI", 1090, 4),
-        boot(4, {}, seed=9),
+        start_record(4, {}, seed=9),
     ]
     assert wire.decode_batch(len(records), b"".join(records)) == [
         (-1, wire.EndpointList(2, (api.Listed(11, 1.5, 3, 1, 2, 1, 77),))),
@@ -67,7 +67,7 @@
         (4, api.ClientGone(8)),
         (4, api.Timer(21)),
         (4, api.ProbeResult(11, api.Status.OK, 60, (2.0,))),
-        (4, api.PeerMessage(2)),  # what no release of this wire has sent says nothing
+        (4, api.PeerMessage(2)),  # a message of an unknown format counts as empty
         (4, wire.InstanceEnd()),
         (4, wire.InstanceStart(9, b"{}")),
     ]
@@ -103,12 +103,12 @@
     ("count", "body", "text"),
     [
         (1, struct.pack("<H", 9), "unknown event code 9"),
-        (1, arrival(4, 8)[:-1], "truncated"),
-        (1, arrival(4, 8) + b"z", "left after"),
+        (1, request_record(4, 8)[:-1], "truncated"),
+        (1, request_record(4, 8) + b"z", "left after"),
         (1, struct.pack("<HIQIHQBBB", 1040, 4, 8, 11, 1, 60, 3, 0, 2), "truncated"),
         (1, struct.pack("<HIQIHQBBB", 1040, 4, 8, 11, 1, 60, 99, 0, 0), "unknown status"),
-        (1, roster(4, 9, 0), "unknown roster form"),
-        (2, arrival(4, 8), "truncated"),
+        (1, roster_record(4, 9, 0), "unknown roster form"),
+        (2, request_record(4, 8), "truncated"),
     ],
 )
 def test_malformed_frames_are_named(count: int, body: bytes, text: str) -> None:
@@ -118,8 +118,13 @@
 
 def test_a_list_number_means_the_latest_list_so_far() -> None:
     host = Host()
-    first = [boot(1, raw_settings()), sheet(0, [listed(11)]), roster(1, 3, 0), arrival(1, 1)]
-    second = [sheet(0, [listed(12)]), roster(1, 2, 0), arrival(1, 2)]
+    first = [
+        start_record(1, raw_settings()),
+        list_record(0, [listed(11)]),
+        roster_record(1, 3, 0),
+        request_record(1, 1),
+    ]
+    second = [list_record(0, [listed(12)]), roster_record(1, 2, 0), request_record(1, 2)]
     records = b"".join(first + second)
     reply = host.handle_batch(SECOND, len(first + second), records)
     chosen = [a.endpoint for _, a in reply if isinstance(a, api.Send)]
@@ -128,35 +133,40 @@
 
 def test_kill_and_restart_in_one_batch_drops_all_state() -> None:
     host = Host()
-    start = [boot(1, raw_settings()), sheet(0, [listed(11)]), roster(1, 3, 0), arrival(1, 1)]
+    start = [
+        start_record(1, raw_settings()),
+        list_record(0, [listed(11)]),
+        roster_record(1, 3, 0),
+        request_record(1, 1),
+    ]
     host.handle_batch(SECOND, len(start), b"".join(start))
     again = [
         struct.pack("<HI", 1090, 1),
-        boot(1, raw_settings()),
-        sheet(0, []),
-        roster(1, 3, 0),
+        start_record(1, raw_settings()),
+        list_record(0, []),
+        roster_record(1, 3, 0),
         struct.pack("<HIQ", 1050, 1, 1),
     ]
     assert host.handle_batch(2 * SECOND, len(again), b"".join(again)) == []
 
 
-def test_settings_at_fault_become_the_failure_action() -> None:
+def test_invalid_settings_become_the_failure_action() -> None:
     broken = raw_settings()
     del broken["guarantees"]["cold-ns"]
     wrong = raw_settings(zone="first")
-    endless = raw_settings(guarantees__start_capacity=float("inf"))
-    never = raw_settings(allowed__attempts_cap=0)
-    aimless = raw_settings()
-    aimless["request-classes"][1]["target-ns"] = -5
+    infinite = raw_settings(guarantees__start_capacity=float("inf"))
+    no_attempts = raw_settings(allowed__attempts_cap=0)
+    negative_target = raw_settings()
+    negative_target["request-classes"][1]["target-ns"] = -5
     for raw, text in (
         (broken, "guarantees.cold-ns: missing"),
         (wrong, "zone: wrong type"),
         ([], "object"),
-        (endless, "guarantees.start-capacity: not finite"),
-        (never, "allowed.attempts-cap: 0 is not above 0"),
-        (aimless, "request-classes[1].target-ns: -5 is not above 0"),
+        (infinite, "guarantees.start-capacity: not finite"),
+        (no_attempts, "allowed.attempts-cap: 0 is not above 0"),
+        (negative_target, "request-classes[1].target-ns: -5 is not above 0"),
     ):
-        record = boot(3, raw)
+        record = start_record(3, raw)
         [(instance, action)] = Host().handle_batch(SECOND, 1, record)
         assert instance == 3
         assert isinstance(action, api.Fault)
@@ -166,13 +176,13 @@
 def test_an_exception_while_deciding_becomes_the_failure_action_of_that_instance() -> None:
     host = Host()
     start = [
-        boot(1, raw_settings()),
-        boot(2, raw_settings()),
-        sheet(0, [listed(11)]),
-        roster(1, 3, 0),
-        roster(2, 3, 0),
-        arrival(1, 1, cls=200),
-        arrival(2, 2),
+        start_record(1, raw_settings()),
+        start_record(2, raw_settings()),
+        list_record(0, [listed(11)]),
+        roster_record(1, 3, 0),
+        roster_record(2, 3, 0),
+        request_record(1, 1, cls=200),
+        request_record(2, 2),
     ]
     reply = host.handle_batch(SECOND, len(start), b"".join(start))
     [(instance, fault)] = [(i, a) for i, a in reply if isinstance(a, api.Fault)]
@@ -188,7 +198,7 @@
 
 
 def run_sim(data: bytes) -> subprocess.CompletedProcess[bytes]:
-    """The deploy file's own command, with the Python of these tests in place of the build's."""
+    """Run the `sim` command of the deploy file, with the Python of the tests instead of that of the build."""
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
     assert command.startswith(BUILT_PYTHON)
     command = f"exec {shlex.quote(sys.executable)}{command.removeprefix(BUILT_PYTHON)}"
@@ -196,8 +206,8 @@
 
 
 def test_the_deploy_files_own_command_answers_over_a_pipe() -> None:
-    start = batch([boot(1, raw_settings()), sheet(0, [listed(11)]), roster(1, 3, 0)])
-    done = run_sim(batch([]) + start + batch([arrival(1, 5)]))
+    start = batch([start_record(1, raw_settings()), list_record(0, [listed(11)]), roster_record(1, 3, 0)])
+    done = run_sim(batch([]) + start + batch([request_record(1, 5)]))
     assert done.returncode == 0, done.stderr
     assert done.stdout.startswith(struct.pack("<II", 0, 0) * 2)
     assert struct.pack("<HIQI", 1090, 1, 5, 11) in done.stdout
@@ -205,7 +215,7 @@
 
 
 @pytest.mark.parametrize(
-    "data", [b"\x01", batch([arrival(1, 1)])[:-3], batch([b"\x00\x00"]), struct.pack("<IIQ", 0, 3, 0)]
+    "data", [b"\x01", batch([request_record(1, 1)])[:-3], batch([b"\x00\x00"]), struct.pack("<IIQ", 0, 3, 0)]
 )
 def test_a_broken_frame_ends_the_adapter_with_one_line(data: bytes) -> None:
     done = run_sim(batch([]) + data)
@@ -214,9 +224,9 @@
     assert len(done.stderr.splitlines()) == 1
 
 
-def test_a_peer_message_comes_back_as_it_was_told_within_its_steps() -> None:
-    told = tuple(api.EndpointObservation(2**32 - 1 - n, 0.5 + n, n * n, n * 60 * MS) for n in range(50))
-    record = wire.encode_action(4, api.Tell(7, 0.4, told))
+def test_a_peer_message_is_decoded_within_its_quantization_steps() -> None:
+    observations = tuple(api.EndpointObservation(2**32 - 1 - n, 0.5 + n, n * n, n * 60 * MS) for n in range(50))
+    record = wire.encode_action(4, api.Tell(7, 0.4, observations))
     data = record[struct.calcsize("<HIIH") :]
     assert len(data) <= 256
     body = struct.pack("<HIHH", 1080, 4, 9, len(data)) + data
@@ -224,7 +234,7 @@
     assert isinstance(message, api.PeerMessage)
     assert (instance, message.sender, len(message.observations)) == (4, 9, api.MAX_OBSERVATIONS)
     assert message.latency_ratio == pytest.approx(0.4, abs=0.003)
-    for was, now in zip(told, message.observations, strict=False):
+    for was, now in zip(observations, message.observations, strict=False):
         assert now.endpoint == was.endpoint
         assert now.slowdown == pytest.approx(was.slowdown, rel=0.03)
         assert now.queue + 1 == pytest.approx(was.queue + 1, rel=0.03)
--- a/tests/sidecar/net.py
+++ b/tests/sidecar/net.py
@@ -1,4 +1,4 @@
-"""Peers on real loopback sockets for the tests: endpoints, discovery and clients that do as they are told."""
+"""Scripted peers on loopback sockets for the tests: endpoints, discovery and clients."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from tests.balancer.support import raw_settings
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-LIMIT_S = 20.0  # no test may hang
-SLACK_S = 0.07  # past a deadline, as the rules count it on sockets
+LIMIT_S = 20.0  # time limit of a test
+SLACK_S = 0.07  # tolerance of a deadline that the rules allow on sockets
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 def limited(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run an asynchronous test, for so long at most."""
+    """Run an asynchronous test with a time limit."""
 
     @wraps(test)
     def runner(*args: Any, **kwargs: Any) -> None:
@@ -39,8 +39,8 @@
 
 
 @contextmanager
-def no_room() -> Iterator[Address]:
-    """An address at which no connection comes up."""
+def unconnectable_address() -> Iterator[Address]:
+    """Yield an address whose backlog is full, so that no connection can be opened."""
     with socket.socket() as full, ExitStack() as fillers:
         full.bind(("127.0.0.1", 0))
         full.listen(0)
@@ -52,7 +52,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Close with a reset in place of an orderly end."""
+    """Close a connection with a reset."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
@@ -81,7 +81,7 @@
 
 
 class Peer:
-    """Something that listens on a port of its own."""
+    """A server on a port of its own."""
 
     def __init__(self) -> None:
         self.connections: list[Streams] = []
@@ -103,13 +103,13 @@
 
 
 class Endpoint(Peer):
-    """Answers each request with `answer`: bytes to write, or a coroutine that plays with the streams."""
+    """An endpoint that answers each request with `answer`: bytes, or a coroutine that is given the streams."""
 
     def __init__(self, answer: bytes | Callable[..., Awaitable[None]] = OK) -> None:
         super().__init__()
         self.answer = answer
         self.requests: list[http1.Request] = []
-        self.ended = 0  # connections that the peer has closed
+        self.ended = 0  # number of connections closed by the sidecar
 
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections.append((reader, writer))
@@ -135,7 +135,7 @@
 
 
 class Discovery(Peer):
-    """A watch that says what the test tells it to say."""
+    """A discovery service that sends the lines given by the test."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -146,14 +146,17 @@
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.connections.append((reader, writer))
 
-    def say(self, line: bytes | dict[str, Any]) -> None:
-        """A line of the latest watch."""
+    def send_line(self, line: bytes | dict[str, Any]) -> None:
+        """Send a line on the latest watch."""
         data = (line if isinstance(line, bytes) else json.dumps(line).encode()) + b"\n"
         self.connections[-1][1].write(b"%x\r\n%s\r\n" % (len(data), data))
 
 
 def settings_json(**changes: Any) -> dict[str, Any]:
-    """The settings of tests/balancer/support.py, with names: class `look` is safe, `keyed` keyed, `once` unsafe."""
+    """Return the settings of tests/balancer/support.py with names.
+
+    Class `look` is idempotent, `keyed` is deduplicated by its key, and `once` must not be executed twice.
+    """
     raw = raw_settings(**changes)
     for row, name in zip(raw["request-classes"], ("look", "keyed", "once"), strict=True):
         row["name"] = name
@@ -164,18 +167,18 @@
 def write_config(
     folder: Path, discovery: Address, known: list[dict[str, Any]], listen: str = "127.0.0.1:0", **changes: Any
 ) -> dict[str, str]:
-    """The configuration file, and the environment that names it."""
+    """Write the configuration file, and return the environment variables of the sidecar."""
     raw = {"name": "n0", "seed": "8c1f", "limits": {"sockets": 256}, "known": member_list(1, known)}
     raw["settings"] = settings_json(**changes)
     raw["discovery"] = f"{discovery.host}:{discovery.port}"
     path = folder / "config.json"
     path.write_text(json.dumps(raw))
-    where = f"{discovery.host}:{discovery.port}"
-    return {"LB_NAME": "n0", "LB_LISTEN": listen, "LB_DISCOVERY": where, "LB_CONFIG": str(path)}
+    discovery_address = f"{discovery.host}:{discovery.port}"
+    return {"LB_NAME": "n0", "LB_LISTEN": listen, "LB_DISCOVERY": discovery_address, "LB_CONFIG": str(path)}
 
 
 class World:
-    """A sidecar in this process, its discovery and its endpoints."""
+    """A running sidecar in the test's process, with its discovery."""
 
     def __init__(self, address: Address, discovery: Discovery, signals: Signals, task: asyncio.Task[None]) -> None:
         self.address, self.discovery, self.signals, self.task = address, discovery, signals, task
@@ -208,7 +211,7 @@
 
 
 async def exchange(address: Address, data: bytes) -> http1.Response:
-    """One request on a connection of its own."""
+    """Send one request on a new connection and return the response."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(data)
--- a/tests/sidecar/test_bad_clients.py
+++ b/tests/sidecar/test_bad_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send what they should not, or nothing: an end for them, and nothing passed on."""
+"""Clients that send invalid, ambiguous or no data: their connection is closed, and nothing is forwarded."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 from otterreach.sidecar import server
 from tests.sidecar.net import Endpoint, exchange, limited, raw_call, read_response, until, world
-from tests.sidecar.test_endpoints import say_nothing
+from tests.sidecar.test_endpoints import never_answer
 from tests.sidecar.test_sidecar import slow
 
 HEAD = raw_call("once").removesuffix(b"Content-Length: 0\r\n\r\n")
 
 
 @pytest.fixture
-def hasty(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
     for name in ("FIRST_REQUEST_TIMEOUT_S", "REQUEST_TIMEOUT_S", "LINGER_S"):
         monkeypatch.setattr(server, name, 0.1)
     monkeypatch.setattr(server, "SWEEP_INTERVAL_S", 0.02)
 
 
-async def end_of(address: tuple[str, int], data: bytes) -> bytes:
-    """All that comes back until the sidecar ends the connection."""
+async def read_to_end(address: tuple[str, int], data: bytes) -> bytes:
+    """Return all data received until the sidecar closes the connection."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(data)
     try:
@@ -62,11 +62,11 @@
     ],
 )
 @limited
-async def test_what_means_two_things_or_does_not_fit_is_not_passed_on(
+async def test_ambiguous_and_invalid_requests_are_not_forwarded(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], data: bytes
 ) -> None:
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
-        reply = await end_of(sidecar.address, data)  # and the connection is ended
+        reply = await read_to_end(sidecar.address, data)  # returns once the connection is closed
         assert re.findall(rb"HTTP/1.1 (\d)", reply) == [b"4"]
         assert not endpoint.requests
     assert "Traceback" not in capfd.readouterr().err
@@ -79,10 +79,10 @@
         await until(lambda: len(endpoint.requests) == 1)
         assert (await exchange(sidecar.address, raw_call("once", "t1"))).status == 409
         assert (await first).status == 200
-        assert (await exchange(sidecar.address, raw_call("once", "t1"))).status == 200  # it is free again
-        left = asyncio.create_task(exchange(sidecar.address, raw_call("once", "t1")))
+        assert (await exchange(sidecar.address, raw_call("once", "t1"))).status == 200  # the id is free again
+        abandoned = asyncio.create_task(exchange(sidecar.address, raw_call("once", "t1")))
         await until(lambda: len(endpoint.requests) == 3)
-        left.cancel()  # the client goes away, and with it its claim
+        abandoned.cancel()  # the client goes away, which frees the id
         while (await exchange(sidecar.address, raw_call("once", "t1"))).status == 409:
             pass
         assert len(endpoint.requests) == 4
@@ -93,23 +93,23 @@
     [b"", b"POST", HEAD, HEAD + b"Content-Length: 3\r\n\r\nab", b"\r\n\r\n"],
     ids=["silent", "method", "head", "body", "empty-lines"],
 )
-@pytest.mark.usefixtures("hasty")
+@pytest.mark.usefixtures("short_timeouts")
 @limited
-async def test_silence_and_half_requests_come_to_an_end(tmp_path: Path, data: bytes) -> None:
+async def test_silent_connections_and_partial_requests_are_closed(tmp_path: Path, data: bytes) -> None:
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         began = monotonic()
-        reply = await end_of(sidecar.address, data)
+        reply = await read_to_end(sidecar.address, data)
         assert reply.startswith(b"HTTP/1.1 408") if data else reply == b""
         assert monotonic() - began < 1.0
         assert not endpoint.requests
 
 
-@pytest.mark.usefixtures("hasty")
+@pytest.mark.usefixtures("short_timeouts")
 @limited
-async def test_a_request_that_takes_longer_than_silence_may_is_not_cut_off(tmp_path: Path) -> None:
-    """Nor is what follows half-written behind it, before its answer."""
+async def test_a_request_that_takes_longer_than_the_idle_timeout_is_not_aborted(tmp_path: Path) -> None:
+    """The same holds for a partial request behind it, until the answer to the first one."""
     async with Endpoint(slow(0.4)).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
-        reply = await end_of(sidecar.address, raw_call("once") + HEAD)
+        reply = await read_to_end(sidecar.address, raw_call("once") + HEAD)
         assert re.findall(rb"HTTP/1.1 (\d+)", reply) == [b"200", b"408"]
         assert len(endpoint.requests) == 1
 
@@ -133,7 +133,7 @@
         writer.close()
 
 
-@pytest.mark.usefixtures("hasty")
+@pytest.mark.usefixtures("short_timeouts")
 @limited
 async def test_a_sender_that_never_stops_is_cut_off(tmp_path: Path) -> None:
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
@@ -153,14 +153,14 @@
 async def test_silent_connections_do_not_crowd_out_those_that_ask(
     tmp_path: Path, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """The configuration has 256 descriptors. A request that is open stays whatever comes."""
+    """The configuration allows 256 descriptors. Connections with an open request are never evicted."""
     async with Endpoint(slow(0.3)).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         first = asyncio.create_task(exchange(sidecar.address, raw_call("once", "t0")))
         await until(lambda: len(endpoint.requests) == 1)
         silent = [await asyncio.open_connection(*sidecar.address) for _ in range(300)]
         assert (await exchange(sidecar.address, raw_call("once", "t1"))).status == 200
         assert (await first).status == 200
-        assert await silent[0][0].read() == b""  # the oldest made room
+        assert await silent[0][0].read() == b""  # the oldest was evicted
         for _, writer in silent:
             writer.transport.abort()
     assert "Errno" not in capfd.readouterr().err
@@ -168,20 +168,20 @@
 
 @limited
 async def test_a_client_that_leaves_behind_many_requests_is_noticed(tmp_path: Path) -> None:
-    async with Endpoint(say_nothing).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint(never_answer).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         _, writer = await asyncio.open_connection(*sidecar.address)
         for n in range(8):
             writer.write(raw_call("once", f"t{n}"))
         await until(lambda: len(endpoint.requests) == 1)
-        left = monotonic()
+        left_at = monotonic()
         writer.transport.abort()
         await until(lambda: endpoint.ended == 1)
-        assert monotonic() - left < 0.4
+        assert monotonic() - left_at < 0.4
 
 
 @limited
 async def test_at_the_limit_those_that_ask_are_served_while_others_keep_coming(tmp_path: Path) -> None:
-    """Connections at rest fill all the room there is, and each that comes takes the place of one."""
+    """Idle connections reach the limit, and each new connection evicts one of them."""
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         opened = []
 
--- a/tests/sidecar/test_draining.py
+++ b/tests/sidecar/test_draining.py
@@ -1,4 +1,4 @@
-"""Clients that leave and times that end between two lines: nothing is sent on that nobody waits for."""
+"""Requests whose client leaves, or whose time ends, just before they are forwarded: they must not be sent."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from otterreach.sidecar.server import ClientConnection
 from tests.balancer.support import MS
 from tests.sidecar.net import Endpoint, World, exchange, limited, raw_call, until, world
-from tests.sidecar.test_endpoints import Driver, say_nothing
+from tests.sidecar.test_endpoints import Driver, never_answer
 from tests.sidecar.test_sidecar import NEVER_RAN, driven
 
 
-async def connected(it: World) -> socket.socket:
-    """A client whose connection the sidecar reads from."""
-    sock = socket.create_connection(it.address)
+async def connected(setup: World) -> socket.socket:
+    """Connect a client whose connection the sidecar has started to read."""
+    sock = socket.create_connection(setup.address)
     sock.sendall(b"GET /healthz HTTP/1.1\r\n\r\n")
     sock.setblocking(False)
     assert await asyncio.get_running_loop().sock_recv(sock, 1000)
     return sock
 
 
-def as_it_comes_up(monkeypatch: pytest.MonkeyPatch, happens: Callable[[], None]) -> None:
-    """When a connection to an endpoint is up, before anything is written, with no turn of the loop."""
+def call_on_connect(monkeypatch: pytest.MonkeyPatch, happens: Callable[[], None]) -> None:
+    """Call a function when a connection to an endpoint is open, before anything is written to it."""
     loop = asyncio.get_running_loop()
     connect = loop.create_connection
 
@@ -46,14 +46,14 @@
 
 @limited
 async def test_a_request_whose_end_came_with_it_is_not_sent_on(tmp_path: Path) -> None:
-    """As after a stall: both wait in the kernel, and the request is read first."""
-    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as it:
-        client = await connected(it)
-        await exchange(it.address, raw_call("once"))
-        await asyncio.sleep(QUIET_PERIOD_S)  # a connection to the endpoint is at hand
+    """After a stall, the request and the client's close both wait in the kernel, and the request is read first."""
+    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as setup:
+        client = await connected(setup)
+        await exchange(setup.address, raw_call("once"))
+        await asyncio.sleep(QUIET_PERIOD_S)  # the connection to the endpoint can be reused now
         client.sendall(raw_call("once", "gone"))
         client.close()
-        assert (await exchange(it.address, raw_call("once", "t2"))).status == 200
+        assert (await exchange(setup.address, raw_call("once", "t2"))).status == 200
         assert [r.headers[b"x-trace-id"] for r in endpoint.requests] == [b"t1", b"t2"]
 
 
@@ -61,50 +61,50 @@
 async def test_a_client_that_leaves_as_the_connection_comes_up_is_not_sent_for(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as it:
-        client = await connected(it)
-        as_it_comes_up(monkeypatch, client.close)
+    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as setup:
+        client = await connected(setup)
+        call_on_connect(monkeypatch, client.close)
         client.sendall(raw_call("once", "gone"))
         await until(lambda: len(endpoint.connections) == 1)
         monkeypatch.undo()
-        assert (await exchange(it.address, raw_call("once", "t2"))).status == 200
+        assert (await exchange(setup.address, raw_call("once", "t2"))).status == 200
         assert [r.headers[b"x-trace-id"] for r in endpoint.requests] == [b"t2"]
         assert len(endpoint.connections) <= 2
 
 
 @limited
 async def test_a_client_that_leaves_before_a_further_attempt_gets_none(tmp_path: Path) -> None:
-    left = False
+    client_left = False
 
     def decide(event: api.Event) -> list[api.Action]:
-        nonlocal left
+        nonlocal client_left
         if isinstance(event, api.Outcome):
-            left = True  # its end is in the kernel, and the loop has not come to it
+            client_left = True  # the kernel has the client's close, which the event loop has not read
             return [] if event.finished else [api.Send(event.request, 1)]
         return [api.Send(event.request, 1)] if isinstance(event, api.Request) else []
 
-    async with Endpoint(NEVER_RAN).serve() as endpoint, driven(tmp_path, endpoint, decide) as it:
-        it.take(left=lambda: left)
-        await until(lambda: len(it.module.outcomes()) == 2)
-        assert [(o.status, o.finished) for o in it.module.outcomes()] == [
+    async with Endpoint(NEVER_RAN).serve() as endpoint, driven(tmp_path, endpoint, decide) as setup:
+        setup.submit(client_left=lambda: client_left)
+        await until(lambda: len(setup.balancer.outcomes()) == 2)
+        assert [(o.status, o.finished) for o in setup.balancer.outcomes()] == [
             (Status.FULL, False),
             (Status.MOOT, True),
         ]
-        assert len(endpoint.requests) == 1 and not it.answers and not it.sidecar._exchanges
+        assert len(endpoint.requests) == 1 and not setup.answers and not setup.sidecar._exchanges
 
 
 @limited
 async def test_a_client_is_seen_to_leave_while_reading_pauses(tmp_path: Path) -> None:
-    """So many requests ahead that no more are read: its end waits behind them."""
-    async with Endpoint(say_nothing).serve() as endpoint, world(tmp_path, endpoint) as it:
-        client = await connected(it)
+    """With many pipelined requests, reading is paused, and the client's close waits behind them."""
+    async with Endpoint(never_answer).serve() as endpoint, world(tmp_path, endpoint) as setup:
+        client = await connected(setup)
         client.sendall(b"".join(raw_call("once", f"t{n}") for n in range(40)))
         await until(lambda: len(endpoint.requests) == 1)
-        left = monotonic()
+        left_at = monotonic()
         client.close()
         await until(lambda: endpoint.ended == 1)
-        assert monotonic() - left < 0.3
-        assert (await exchange(it.address, b"GET /healthz HTTP/1.1\r\n\r\n")).status == 200
+        assert monotonic() - left_at < 0.3
+        assert (await exchange(setup.address, b"GET /healthz HTTP/1.1\r\n\r\n")).status == 200
         assert len(endpoint.requests) == 1
 
 
@@ -112,7 +112,7 @@
 async def test_what_is_out_of_time_when_its_connection_is_up_is_not_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The loop is behind: the timer that ends the attempt is still to come."""
+    """In a delayed event loop, the deadline has passed before the timer that ends the attempt has run."""
     async with Endpoint().serve() as endpoint:
         driver = Driver(endpoint.address)
         late = driver.send(timeout_ns=500 * MS)
@@ -120,7 +120,7 @@
         def time_passes() -> None:
             late.deadline_ns = 0
 
-        as_it_comes_up(monkeypatch, time_passes)
+        call_on_connect(monkeypatch, time_passes)
         await until(lambda: late.status is not None)
         assert late.status is Status.MOOT
         monkeypatch.undo()
@@ -129,14 +129,14 @@
 
 
 @limited
-async def test_what_a_request_needed_goes_with_it(tmp_path: Path) -> None:
-    """Not with the collector, which comes seldom: until then a long day would fill the memory."""
-    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as it:
+async def test_the_memory_of_a_request_is_freed_without_garbage_collection(tmp_path: Path) -> None:
+    """Garbage collection is rare, so that reference cycles would fill the memory."""
+    async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as setup:
         gc.collect()
         gc.disable()
         try:
             for n in range(20):
-                assert (await exchange(it.address, raw_call("once", f"t{n}"))).status == 200
+                assert (await exchange(setup.address, raw_call("once", f"t{n}"))).status == 200
             kept = [o for o in gc.get_objects() if isinstance(o, Attempt | ClientConnection)]
         finally:
             gc.enable()
--- a/tests/sidecar/test_endpoints.py
+++ b/tests/sidecar/test_endpoints.py
@@ -1,4 +1,4 @@
-"""How an attempt ends, on sockets: each status, and what it must never claim."""
+"""Attempts on sockets: their status, which must never claim that a possibly executed request was not."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from otterreach.sidecar.endpoints import Attempt, Endpoints
 from otterreach.sidecar.http1 import Request
 from tests.balancer.support import MS, SECOND
-from tests.sidecar.net import OK, Endpoint, limited, no_room, reset, until
+from tests.sidecar.net import OK, Endpoint, limited, reset, unconnectable_address, until
 
-PARSING_NS = 8 * SECOND  # reading a million chunks takes Python a while, and longer on a busy machine
+PARSING_NS = 8 * SECOND  # for a million chunks, also on a busy machine
 GET = Request(b"GET", b"/look/1?q=2", {b"x-trace-id": b"t9", b"x-other": b"no"}, b"", True)
 
 
@@ -27,10 +27,12 @@
 
 
 class Driver:
-    """Endpoints with one of them, number 1, and the attempts made."""
+    """Connection pools with one endpoint, number 1, and the attempts that have ended."""
 
-    def __init__(self, address: Address, keepalive_ns: int = 10 * SECOND, most: int = 16, rest_s: float = 0.0) -> None:
-        self.endpoints = Endpoints(("queue", "inflight"), 200 * MS, keepalive_ns, most, rest_s)
+    def __init__(
+        self, address: Address, keepalive_ns: int = 10 * SECOND, most: int = 16, quiet_period_s: float = 0.0
+    ) -> None:
+        self.endpoints = Endpoints(("queue", "inflight"), 200 * MS, keepalive_ns, most, quiet_period_s)
         self.endpoints.update(1, address, 0, True)
         self.ends: list[Attempt] = []
 
@@ -47,7 +49,7 @@
 
 
 def short_id(value: object) -> str:
-    """A test's id: some replies are megabytes long."""
+    """Return a short test id: some replies have megabytes."""
     return repr(value[:40]) if isinstance(value, bytes) else str(value)
 
 
@@ -56,7 +58,7 @@
     [
         (OK, Status.OK),
         (answer("500 Oops"), Status.ERROR),
-        (answer("503 Busy"), Status.ERROR),  # without proof it may have run
+        (answer("503 Busy"), Status.ERROR),  # may have been executed
         (answer("504 Late"), Status.ERROR),
         (answer("503 Busy", "X-Never-Ran: 1\r\n"), Status.FULL),
         (answer("504 Late", "x-never-ran: 1\r\n"), Status.FULL),
@@ -69,7 +71,7 @@
         (b"HTTP/1.1 103 Hints\r\nX: y\r\n\r\n" * 2000, Status.RESET),
         (b"HTTP/1.1 101 Switch\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n", Status.RESET),
         (b"HTTP/1.1 101 Switch\r\n\r\n" + OK, Status.RESET),
-        # Without a sign of its end, at once: the rest may be 3 GB, or never come.
+        # Rejected by the length alone: the rest may be 3 GB, or never arrive.
         (b"HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n", Status.RESET),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxx", Status.RESET),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok!", Status.RESET),
@@ -97,7 +99,7 @@
 
 
 @limited
-async def test_what_is_forwarded() -> None:
+async def test_forwarded_headers() -> None:
     async with Endpoint().serve() as endpoint:
         headers = {b"x-trace-id": b"t1", b"idempotency-key": b"k1", b"x-expires-in-ms": b"9999"}
         await Driver(endpoint.address).result(
@@ -106,7 +108,7 @@
         (seen,) = endpoint.requests
         assert (seen.method, seen.target, seen.body) == (b"POST", b"/once/a%20b?x=1", b"\x00\xff")
         assert (seen.headers[b"x-trace-id"], seen.headers[b"idempotency-key"]) == (b"t1", b"k1")
-        assert 400 <= int(seen.headers[b"x-expires-in-ms"]) <= 500  # the attempt's own time, not the client's
+        assert 400 <= int(seen.headers[b"x-expires-in-ms"]) <= 500  # time of the attempt, not of the client
 
 
 @limited
@@ -128,33 +130,33 @@
 
 @limited
 async def test_a_connection_that_never_comes_up_has_not_run() -> None:
-    with no_room() as address:
+    with unconnectable_address() as address:
         driver = Driver(address)
-        attempt = await driver.result()  # the time for connecting ends first
-        hasty = await driver.result(timeout_ns=50 * MS)  # the attempt's own does
-    assert (attempt.status, hasty.status) == (Status.CONNECT_FAILED, Status.CONNECT_FAILED)
+        attempt = await driver.result()  # the connection time-out ends first
+        timed_out = await driver.result(timeout_ns=50 * MS)  # the attempt's time-out ends first
+    assert (attempt.status, timed_out.status) == (Status.CONNECT_FAILED, Status.CONNECT_FAILED)
 
 
-async def hang_up(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def close_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     writer.close()
 
 
-async def cut_off(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def reset_inside_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     writer.write(OK[:-1])
     await writer.drain()
     reset(writer)
 
 
-async def half_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def close_inside_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     writer.write(OK[:-1])
     writer.close()
 
 
-async def say_nothing(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def never_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     await reader.read()
 
 
-@pytest.mark.parametrize("play", [hang_up, cut_off, half_answer])
+@pytest.mark.parametrize("play", [close_connection, reset_inside_answer, close_inside_answer])
 @limited
 async def test_a_connection_that_breaks_after_the_request_may_have_run(
     play: Callable[..., object],
@@ -170,7 +172,7 @@
         await reader.readexactly(10)
         reset(writer)
 
-    # The peer reads next to nothing, so most of the request is still here when it breaks off.
+    # The peer reads only a few bytes, so most of the request is still buffered when it resets the connection.
     server = await asyncio.start_server(connected, "127.0.0.1", 0, limit=16)
     async with server:
         big = Request(b"POST", b"/once/1", {}, b"x" * 30_000_000, True)
@@ -180,7 +182,7 @@
 
 @limited
 async def test_an_answer_that_does_not_come_times_out_and_the_connection_is_closed() -> None:
-    async with Endpoint(say_nothing).serve() as endpoint:
+    async with Endpoint(never_answer).serve() as endpoint:
         driver = Driver(endpoint.address)
         assert (await driver.result(timeout_ns=50 * MS)).status is Status.TIMEOUT
         await until(lambda: endpoint.ended == 1)
@@ -189,7 +191,7 @@
 
 @limited
 async def test_a_cancelled_attempt_closes_its_connection_and_a_late_answer_is_nothing() -> None:
-    async with Endpoint(say_nothing).serve() as endpoint:
+    async with Endpoint(never_answer).serve() as endpoint:
         driver = Driver(endpoint.address)
         attempt = driver.send()
         await until(lambda: len(endpoint.requests) == 1)
@@ -219,7 +221,7 @@
         (connection,) = driver.endpoints.connections
         transport = connection._transport
         assert transport
-        # The news is in the kernel, and the loop has not read it yet: no turn of the loop in between.
+        # The close is in the kernel and the event loop has not read it: no iteration of the loop in between.
         transport.pause_reading()
         endpoint.connections[0][1].close()
         await until(lambda: not connection.fresh())
@@ -254,11 +256,11 @@
     async with Endpoint().serve() as endpoint:
         driver = Driver(endpoint.address)
         await driver.result()
-        waiting = [driver.send(), driver.send()]  # the first has the idle connection, the second waits
+        waiting = [driver.send(), driver.send()]  # the first uses the idle connection, the second waits for one
         driver.endpoints.update(1, endpoint.address, 0, False)
         assert waiting[1].status is Status.CONNECT_FAILED
         assert driver.send().status is Status.MOOT
-        await until(lambda: waiting[0].status is Status.OK)  # it finishes what it has
+        await until(lambda: waiting[0].status is Status.OK)  # open attempts are completed
         await until(lambda: not driver.endpoints.connections)
         assert len(endpoint.requests) == 2
         driver.endpoints.remove(1)
@@ -279,12 +281,12 @@
 
 @limited
 async def test_connections_are_bounded_and_idle_ones_make_room() -> None:
-    async with Endpoint(say_nothing).serve() as busy, Endpoint().serve() as other:
+    async with Endpoint(never_answer).serve() as busy, Endpoint().serve() as other:
         driver = Driver(busy.address, most=2)
         driver.endpoints.update(2, other.address, 0, True)
         first = driver.send(endpoint=2)
         await until(lambda: first.status is Status.OK)
-        held = [driver.send(), driver.send()]  # the second takes the idle one's place
+        held = [driver.send(), driver.send()]  # the second evicts the idle connection
         await until(lambda: len(busy.requests) == 2)
         await until(lambda: other.ended == 1)
         assert driver.send().status is Status.CONNECT_FAILED
@@ -293,8 +295,8 @@
 
 @pytest.mark.parametrize("heard", [False, True])
 @limited
-async def test_after_silence_the_idle_connections_are_not_trusted(heard: bool) -> None:
-    """Of a vanished machine nothing is heard; a slow one goes on answering others, and keeps them."""
+async def test_idle_connections_to_a_silent_endpoint_are_closed(heard: bool) -> None:
+    """A failed machine sends nothing. A slow one answers other requests, and its idle connections are kept."""
 
     async def first_waits(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if endpoint.requests[-1].target != b"/look/slow":
@@ -332,12 +334,12 @@
         began = monotonic_ns()
         attempt = await Driver(Address(*server.sockets[0].getsockname())).result()
     assert attempt.status is Status.CONNECT_FAILED
-    assert monotonic_ns() - began < SECOND  # told at once, not when its time was up
+    assert monotonic_ns() - began < SECOND  # ended immediately, not by the time-out
 
 
 @limited
 async def test_the_rest_of_a_given_up_request_does_not_leave() -> None:
-    """Its last byte would be an attempt that nobody counts."""
+    """If its last byte were sent, the endpoint would execute an attempt that has already ended."""
     size, got, ended = 30_000_000, 0, asyncio.Event()
     read_on = asyncio.Event()
 
@@ -362,7 +364,7 @@
 
 @limited
 async def test_what_follows_an_answer_is_not_read_as_the_next_one() -> None:
-    """A second copy of the answer comes right behind, in a packet of its own."""
+    """The response is followed by a duplicate in a separate packet."""
 
     async def twice(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         number = b"%d" % (len(endpoint.requests) % 10)
@@ -372,7 +374,7 @@
         writer.write(reply)
 
     async with Endpoint(twice).serve() as endpoint:
-        driver = Driver(endpoint.address, rest_s=0.05)
+        driver = Driver(endpoint.address, quiet_period_s=0.05)
         for n in range(1, 6):
             attempt = await driver.result()
             assert attempt.response and attempt.response.body == b"%d" % n
@@ -382,16 +384,16 @@
 @limited
 async def test_a_connection_that_has_rested_is_used_again() -> None:
     async with Endpoint().serve() as endpoint:
-        driver = Driver(endpoint.address, rest_s=0.02)
+        driver = Driver(endpoint.address, quiet_period_s=0.02)
         await driver.result()
-        await driver.result()  # the first rests
+        await driver.result()  # the first connection is in its quiet period
         await asyncio.sleep(0.03)
         await driver.result()
         assert len(endpoint.connections) == 2
 
 
 def listening() -> socket.socket:
-    """A peer outside the loop: what it sees, it sees with no turn of the loop in between."""
+    """Return a listener that is used without the event loop, to observe the peer between its iterations."""
     sock = socket.socket()
     sock.bind(("127.0.0.1", 0))
     sock.listen()
@@ -402,7 +404,7 @@
 @pytest.mark.parametrize("why", [Status.TIMEOUT, Status.CANCELLED, Status.RESET])
 @limited
 async def test_an_attempt_has_ended_at_its_server_before_the_next_can_be_sent(why: Status) -> None:
-    """Its connection still open, the next would be a second attempt out."""
+    """While its connection is open, the next attempt would be in flight at the same time."""
     seen: list[bytes] = []
 
     def ended(attempt: Attempt) -> None:
@@ -436,7 +438,7 @@
     ],
 )
 @limited
-async def test_what_comes_before_the_request_left_is_no_answer_to_it(reply: bytes, status: Status) -> None:
+async def test_a_response_before_the_end_of_the_request_is_ignored(reply: bytes, status: Status) -> None:
     with listening() as listener:
         driver = Driver(Address(*listener.getsockname()))
         attempt = driver.send(Request(b"POST", b"/once/1", {}, b"x" * 30_000_000, True))
--- a/tests/sidecar/test_http1.py
+++ b/tests/sidecar/test_http1.py
@@ -1,4 +1,4 @@
-"""Framing does not depend on how the bytes are cut, and no bytes are too strange for it."""
+"""Framing is independent of how the bytes are split, and no input raises an exception."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
 
 @repeatable
 @given(strategies.lists(strategies.integers(0, 10_000), max_size=8), strategies.booleans())
-def test_a_body_that_is_handed_on_ends_with_its_answer(places: list[int], chunked: bool) -> None:
-    """A second answer may come right behind, in the same bytes: nothing of it belongs to the first one's body."""
+def test_a_streamed_body_ends_with_its_response(places: list[int], chunked: bool) -> None:
+    """A second response in the same bytes must not be added to the body of the first one."""
     own = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"
     first = own if chunked else encode_response(200, b"body")
     second = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/tests/sidecar/test_program.py
+++ b/tests/sidecar/test_program.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it: configuration, signals, and the end."""
+"""The sidecar process: configuration, signals and shutdown."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from otterreach.sidecar.config import Address, ConfigError, load
 from tests.sidecar.net import OK, Endpoint, exchange, limited, member, raw_call, read_response, until, write_config
 
-NO_POSITION = Address("127.0.0.1", 1)
+UNUSED_ADDRESS = Address("127.0.0.1", 1)
 
 
 def free_port() -> int:
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("name", ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG"])
 @pytest.mark.parametrize("value", ["", "nonsense"])
 def test_a_bad_variable_is_named(tmp_path: Path, name: str, value: str) -> None:
-    env = write_config(tmp_path, NO_POSITION, [])
+    env = write_config(tmp_path, UNUSED_ADDRESS, [])
     env[name] = value
     if (name, value) == ("LB_NAME", "nonsense"):
         assert load(env).name == "nonsense"
@@ -62,7 +62,7 @@
     ],
 )
 def test_a_bad_key_is_named(tmp_path: Path, path: list[str], value: object) -> None:
-    env = write_config(tmp_path, NO_POSITION, [])
+    env = write_config(tmp_path, UNUSED_ADDRESS, [])
     file = Path(env["LB_CONFIG"])
     raw = json.loads(file.read_text())
     place = raw
@@ -75,7 +75,7 @@
 
 
 def test_a_configuration_without_classes_is_named(tmp_path: Path) -> None:
-    env = write_config(tmp_path, NO_POSITION, [])
+    env = write_config(tmp_path, UNUSED_ADDRESS, [])
     file = Path(env["LB_CONFIG"])
     raw = json.loads(file.read_text())
     raw["settings"]["request-classes"] = []
@@ -89,7 +89,7 @@
 
 
 def test_no_value_anywhere_in_the_file_ends_in_anything_but_a_named_error(tmp_path: Path) -> None:
-    env = write_config(tmp_path, NO_POSITION, [member("s-0", NO_POSITION)])
+    env = write_config(tmp_path, UNUSED_ADDRESS, [member("s-0", UNUSED_ADDRESS)])
     file = Path(env["LB_CONFIG"])
     good = file.read_text()
 
@@ -120,11 +120,11 @@
     assert refused > 200
 
 
-def test_one_start_is_always_the_same_start_and_long_ago_stays_so(tmp_path: Path) -> None:
-    names = load(write_config(tmp_path, NO_POSITION, [])).names
+def test_start_times_are_stable_and_unknown_ones_are_zero(tmp_path: Path) -> None:
+    names = load(write_config(tmp_path, UNUSED_ADDRESS, [])).names
     rows = [
         names.parse_member_list(
-            {"revision": 1, "complete": True, "members": [member("a", NO_POSITION, up_since_ms=ms)]}
+            {"revision": 1, "complete": True, "members": [member("a", UNUSED_ADDRESS, up_since_ms=ms)]}
         )
         for ms in (1_700_000_000_000, 1_700_000_000_000, 0)
     ]
@@ -146,7 +146,7 @@
 
 
 async def refused(address: Address) -> None:
-    """Until the listener has closed. One of many tries may meet the very moment, and be reset."""
+    """Wait until the listener has closed. A connection opened at that moment may be reset."""
     while True:
         try:
             _, probe = await asyncio.open_connection(*address)
@@ -165,7 +165,7 @@
         taken.bind(("127.0.0.1", 0))
         taken.listen()
         listen = f"127.0.0.1:{taken.getsockname()[1]}"
-        for env, name in (({}, b"LB_CONFIG"), (write_config(tmp_path, NO_POSITION, [], listen), b"LB_LISTEN")):
+        for env, name in (({}, b"LB_CONFIG"), (write_config(tmp_path, UNUSED_ADDRESS, [], listen), b"LB_LISTEN")):
             process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "otterreach.sidecar", env=bare | env, stderr=asyncio.subprocess.PIPE
             )
@@ -178,13 +178,13 @@
 async def test_sigterm_answers_all_and_ends_in_order(tmp_path: Path) -> None:
     release = asyncio.Event()
 
-    async def held(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def answer_when_released(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await release.wait()
         writer.write(OK)
 
-    async with Endpoint(held).serve() as endpoint:
+    async with Endpoint(answer_when_released).serve() as endpoint:
         listen = f"127.0.0.1:{free_port()}"
-        env = write_config(tmp_path, NO_POSITION, [member("s-0", endpoint.address)], listen)
+        env = write_config(tmp_path, UNUSED_ADDRESS, [member("s-0", endpoint.address)], listen)
         process, address = await start(env), Address.parse(listen)
         idle_reader, idle = await asyncio.open_connection(*address)
         idle.write(b"GET /healthz HTTP/1.1\r\n\r\n")
@@ -192,7 +192,7 @@
         before = asyncio.create_task(exchange(address, raw_call("once")))
         await until(lambda: len(endpoint.requests) == 1)
         process.send_signal(signal.SIGTERM)
-        assert await idle_reader.read() == b""  # idle connections are closed while new ones still get in
+        assert await idle_reader.read() == b""  # idle connections are closed while new ones are still accepted
         late = asyncio.create_task(exchange(address, raw_call("once", "t2")))
         await until(lambda: len(endpoint.requests) == 2)
         release.set()
@@ -205,10 +205,10 @@
 
 
 @limited
-async def test_a_connection_that_says_nothing_does_not_hold_up_the_end(tmp_path: Path) -> None:
+async def test_a_silent_connection_does_not_delay_the_shutdown(tmp_path: Path) -> None:
     async with Endpoint().serve() as endpoint:
         listen = f"127.0.0.1:{free_port()}"
-        process = await start(write_config(tmp_path, NO_POSITION, [member("s-0", endpoint.address)], listen))
+        process = await start(write_config(tmp_path, UNUSED_ADDRESS, [member("s-0", endpoint.address)], listen))
         _, silent = await asyncio.open_connection(*Address.parse(listen))
         process.send_signal(signal.SIGTERM)
         await process.communicate()
@@ -222,13 +222,14 @@
 ) -> None:
     async with Endpoint().serve() as endpoint:
         listen = f"127.0.0.1:{free_port()}"
-        process = await start(write_config(tmp_path, NO_POSITION, [member("s-0", endpoint.address)], listen))
+        process = await start(write_config(tmp_path, UNUSED_ADDRESS, [member("s-0", endpoint.address)], listen))
         reader, writer = await asyncio.open_connection(*Address.parse(listen))
         _, never = await asyncio.open_connection(*Address.parse(listen))
         data = raw_call("once", body=b"abc")
         writer.write(data[:-1])
         never.write(data[:-1])
-        assert (await exchange(Address.parse(listen), raw_call())).status == 200  # so those have been read
+        # After this answer, the partial requests have been read, too.
+        assert (await exchange(Address.parse(listen), raw_call())).status == 200
         process.send_signal(signal.SIGTERM)
         await refused(Address.parse(listen))
         writer.write(data[-1:])
--- a/tests/sidecar/test_reload.py
+++ b/tests/sidecar/test_reload.py
@@ -1,4 +1,4 @@
-"""A replaced configuration and SIGHUP: the watch moves, and nothing else happens to the sidecar."""
+"""Reload on SIGHUP: the watch changes to the new address, and nothing else changes."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
     write_config,
 )
 from tests.sidecar.net import world as sidecar_world
-from tests.sidecar.test_endpoints import say_nothing
-from tests.sidecar.test_program import NO_POSITION, free_port, start
+from tests.sidecar.test_endpoints import never_answer
+from tests.sidecar.test_program import UNUSED_ADDRESS, free_port, start
 
 
-def name_discovery(file: Path, address: Address) -> None:
+def write_discovery_address(file: Path, address: Address) -> None:
     raw = json.loads(file.read_text()) | {"discovery": f"{address.host}:{address.port}"}
     fresh = file.with_suffix(".new")
     fresh.write_text(json.dumps(raw))
@@ -44,12 +44,12 @@
         starting = asyncio.create_task(start(env))
         await until(lambda: len(old_list.connections) == 1)
         process_file = Path(env["LB_CONFIG"])
-        old_list.say(member_list(5, [member("s-0", endpoint.address)]))
+        old_list.send_line(member_list(5, [member("s-0", endpoint.address)]))
         process = await starting
-        name_discovery(process_file, new_list.address)
+        write_discovery_address(process_file, new_list.address)
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGHUP)
-        assert await old_list.connections[0][0].read() == b""  # let go of at once
+        assert await old_list.connections[0][0].read() == b""  # closed immediately
         await until(lambda: len(new_list.connections) == 1)
         assert new_list.targets == [b"/v1/servers?stream=1&index=5"]
         good = process_file.read_text()
@@ -60,8 +60,8 @@
             while b"not reloaded" not in await process.stderr.readline():
                 pass
         process_file.write_text(good)
-        process.send_signal(signal.SIGHUP)  # the same address: the watch stays
-        new_list.say(member_list(6, [member("s-0", endpoint.address, "draining")], complete=False))
+        process.send_signal(signal.SIGHUP)  # same address: the watch stays open
+        new_list.send_line(member_list(6, [member("s-0", endpoint.address, "draining")], complete=False))
         address = Address.parse(env["LB_LISTEN"])
         while (await exchange(address, b"GET /healthz HTTP/1.1\r\n\r\n")).status != 503:
             await asyncio.sleep(0.002)
@@ -73,16 +73,16 @@
 
 @limited
 async def test_sighup_at_awkward_moments_does_no_harm(tmp_path: Path) -> None:
-    """Before the program is ready, and over and over until it has ended."""
-    async with Endpoint(say_nothing).serve() as endpoint:
-        env = write_config(tmp_path, NO_POSITION, [member("s-0", endpoint.address)], f"127.0.0.1:{free_port()}")
+    """SIGHUP is sent repeatedly during the shutdown, until the process has ended."""
+    async with Endpoint(never_answer).serve() as endpoint:
+        env = write_config(tmp_path, UNUSED_ADDRESS, [member("s-0", endpoint.address)], f"127.0.0.1:{free_port()}")
         process = await start(env)
         call = asyncio.create_task(exchange(Address.parse(env["LB_LISTEN"]), raw_call("once", left_ms=300)))
         await until(lambda: len(endpoint.requests) == 1)
         process.send_signal(signal.SIGTERM)
         ending = asyncio.create_task(process.wait())
         while not ending.done():
-            with suppress(ProcessLookupError):  # not process.send_signal: it would take the exit status away
+            with suppress(ProcessLookupError):  # process.send_signal would collect the exit status
                 os.kill(process.pid, signal.SIGHUP)
             await asyncio.sleep(0.001)
         assert (await call).status == 502
@@ -90,16 +90,16 @@
 
 
 @limited
-async def test_moving_does_not_wait_for_what_the_old_address_costs(
+async def test_a_change_of_address_does_not_wait_for_the_backoff(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its failures have set the wait so long that news would come late."""
+    """After failures at the old address, the backoff would be too long."""
     monkeypatch.setattr(discovery, "INITIAL_BACKOFF_S", 60.0)
     monkeypatch.setattr(discovery, "MAX_BACKOFF_S", 60.0)
     new_list = Discovery()
-    async with Endpoint().serve() as endpoint, new_list.serve(), sidecar_world(tmp_path, endpoint) as it:
-        await until(lambda: bool(it.discovery.connections))
-        it.discovery.connections[0][1].transport.abort()
-        name_discovery(tmp_path / "config.json", new_list.address)
-        it.signals.reload.set()
+    async with Endpoint().serve() as endpoint, new_list.serve(), sidecar_world(tmp_path, endpoint) as setup:
+        await until(lambda: bool(setup.discovery.connections))
+        setup.discovery.connections[0][1].transport.abort()
+        write_discovery_address(tmp_path / "config.json", new_list.address)
+        setup.signals.reload.set()
         await until(lambda: bool(new_list.connections))
--- a/tests/sidecar/test_sidecar.py
+++ b/tests/sidecar/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The whole sidecar on sockets: one final answer for every request, whatever the peers do."""
+"""The complete sidecar on sockets: one final answer for every request, whatever the peers do."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     world,
     write_config,
 )
-from tests.sidecar.test_endpoints import GET, answer, hang_up, say_nothing
+from tests.sidecar.test_endpoints import GET, answer, close_connection, never_answer
 
 NEVER_RAN = answer("503 Busy", "X-Never-Ran: 1\r\n")
 
@@ -53,7 +53,7 @@
 
 @limited
 async def test_a_served_body_passes_unchanged(tmp_path: Path) -> None:
-    body = bytes(range(256)) * 1300  # more than the protocol allows, and seen in service
+    body = bytes(range(256)) * 1300  # above the limit of the protocol, but occurs in production
     reply = b"HTTP/1.1 200 OK\r\nX-Own: 1\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
     async with Endpoint(reply).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         response = await exchange(sidecar.address, raw_call("once", body=b"x" * 65536))
@@ -65,12 +65,12 @@
 @pytest.mark.parametrize(
     ("cls", "reply", "attempts", "status"),
     [
-        ("once", NEVER_RAN, 3, 503),  # known not to have run: others are tried, then a retry is harmless
-        ("once", answer("500 Oops"), 1, 502),  # may have run: nothing more is sent, nothing promised
+        ("once", NEVER_RAN, 3, 503),  # not executed: retried elsewhere, then refused since a retry does no harm
+        ("once", answer("500 Oops"), 1, 502),  # may have been executed: failed without a retry
         ("once", answer("503 Busy"), 1, 502),
-        ("once", hang_up, 1, 502),
+        ("once", close_connection, 1, 502),
         ("look", answer("500 Oops"), 3, 503),
-        ("look", hang_up, 3, 503),
+        ("look", close_connection, 3, 503),
     ],
 )
 @limited
@@ -85,7 +85,7 @@
 
 @limited
 async def test_an_unsafe_request_that_gets_no_answer_fails_in_time(tmp_path: Path) -> None:
-    async with Endpoint(say_nothing).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint(never_answer).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         began = monotonic()
         response = await exchange(sidecar.address, raw_call("once", left_ms=150))
         assert response.status == 502
@@ -102,20 +102,20 @@
 
 @limited
 async def test_a_client_that_goes_away_ends_its_attempt(tmp_path: Path) -> None:
-    async with Endpoint(say_nothing).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint(never_answer).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         for leave in (lambda w: w.close(), reset):
             before = len(endpoint.requests)
             _, writer = await asyncio.open_connection(*sidecar.address)
             writer.write(raw_call("once"))
             await until(lambda n=before: len(endpoint.requests) == n + 1)  # type: ignore[misc]
-            left = monotonic()
+            left_at = monotonic()
             leave(writer)
             await until(lambda n=before: endpoint.ended == n + 1)  # type: ignore[misc]
-            assert monotonic() - left < 0.4  # well before the attempt's own time is up
+            assert monotonic() - left_at < 0.4  # well before the attempt's time-out
 
 
 @limited
-async def test_requests_arrive_in_pieces_and_in_bunches(tmp_path: Path) -> None:
+async def test_requests_arrive_in_fragments_and_pipelined(tmp_path: Path) -> None:
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         reader, writer = await asyncio.open_connection(*sidecar.address)
         for byte in raw_call("once", body=b"abc"):
@@ -183,7 +183,7 @@
     async with Endpoint().serve() as endpoint, world(tmp_path) as sidecar:
         assert (await exchange(sidecar.address, health)).status == 503
         await until(lambda: bool(sidecar.discovery.connections))
-        sidecar.discovery.say(member_list(2, [member("s-1", endpoint.address)]))
+        sidecar.discovery.send_line(member_list(2, [member("s-1", endpoint.address)]))
         while (await exchange(sidecar.address, health)).status != 200:
             pass
         assert (await exchange(sidecar.address, raw_call())).status == 200
@@ -197,7 +197,7 @@
         running = asyncio.create_task(exchange(sidecar.address, raw_call("once")))
         await until(lambda: len(old.requests) == 1)
         changes = [member("s-0", old.address, "draining"), member("s-9", new.address)]
-        sidecar.discovery.say(member_list(2, changes, complete=False))
+        sidecar.discovery.send_line(member_list(2, changes, complete=False))
         while not new.requests:
             await exchange(sidecar.address, raw_call("once"))
         before = len(old.requests)
@@ -217,21 +217,21 @@
         bad: list[Any] = [None, 7, [], {"revision": 3}, member_list(3, [{"id": "x"}])]
         bad += [member_list(3, [member("x", old.address, phase)]) for phase in ("odd", "")]
         for line in (b"", b"{nonsense", b"\xff\xfe", b"[" * 100_000, *(json.dumps(b).encode() for b in bad)):
-            watch.say(line)
-        watch.say(member_list(7, [member("s-0", old.address, "draining")], complete=False))
+            watch.send_line(line)
+        watch.send_line(member_list(7, [member("s-0", old.address, "draining")], complete=False))
         await until(lambda: old.ended == len(old.connections))
         watch.connections[-1][1].transport.abort()
         await until(lambda: len(watch.connections) == 2)
         assert watch.targets[1] == b"/v1/servers?stream=1&index=7"
-        watch.say({"revision": 8, "complete": False, "members": [{"id": "s-0", "phase": "removed"}]})
-        watch.say(member_list(9, [member("s-9", new.address)], complete=True))
+        watch.send_line({"revision": 8, "complete": False, "members": [{"id": "s-0", "phase": "removed"}]})
+        watch.send_line(member_list(9, [member("s-9", new.address)], complete=True))
         while (await exchange(sidecar.address, raw_call("once", left_ms=50))).status != 200:
             pass
         assert new.requests
 
 
-class Module:
-    """In the place of the decision module: does what the test says."""
+class FakeBalancer:
+    """Stand-in for the balancer, whose actions are decided by the test."""
 
     def __init__(self, decide: Callable[[api.Event], list[api.Action]]) -> None:
         self.decide = decide
@@ -245,27 +245,27 @@
         return [e for e in self.events if isinstance(e, api.Outcome)]
 
 
-class Driven:
-    """The driver with a stand-in for the module, and what its clients were answered."""
+class DrivenSidecar:
+    """A sidecar with a stand-in for the balancer, and the answers to its clients."""
 
-    def __init__(self, sidecar: Sidecar, module: Module) -> None:
-        self.sidecar, self.module = sidecar, module
+    def __init__(self, sidecar: Sidecar, balancer: FakeBalancer) -> None:
+        self.sidecar, self.balancer = sidecar, balancer
         self.answers: list[Answer] = []
 
-    def take(self, cls: int = 2, left_ns: int = SECOND, left: Callable[[], bool] = lambda: False) -> int:
-        return self.sidecar.submit(Call(GET, cls, 0, left_ns, None, 0, False), self.answers.append, left)
+    def submit(self, cls: int = 2, left_ns: int = SECOND, client_left: Callable[[], bool] = lambda: False) -> int:
+        return self.sidecar.submit(Call(GET, cls, 0, left_ns, None, 0, False), self.answers.append, client_left)
 
 
 @asynccontextmanager
 async def driven(
     folder: Path, endpoint: Endpoint, decide: Callable[[api.Event], list[api.Action]]
-) -> AsyncIterator[Driven]:
+) -> AsyncIterator[DrivenSidecar]:
     config = load(write_config(folder, endpoint.address, [member("s-0", endpoint.address)]))
     sidecar = Sidecar(config, Endpoints(("queue",), 100 * MS, SECOND, 16))
-    module = Module(decide)
-    sidecar._balancer = module  # type: ignore[assignment]
+    balancer = FakeBalancer(decide)
+    sidecar._balancer = balancer  # type: ignore[assignment]
     sidecar.update_endpoints(config.known, RosterForm.CACHED)
-    yield Driven(sidecar, module)
+    yield DrivenSidecar(sidecar, balancer)
 
 
 def silent(event: api.Event) -> list[api.Action]:
@@ -277,30 +277,32 @@
 
 
 @limited
-async def test_the_driver_answers_for_a_silent_module_in_time(tmp_path: Path) -> None:
-    async with Endpoint(say_nothing).serve() as endpoint, driven(tmp_path, endpoint, send_once) as it:
+async def test_the_sidecar_answers_in_time_if_the_balancer_does_not(tmp_path: Path) -> None:
+    async with Endpoint(never_answer).serve() as endpoint, driven(tmp_path, endpoint, send_once) as setup:
         began = monotonic()
-        it.take(left_ns=100 * MS)
-        await until(lambda: bool(it.answers))
-        assert it.answers[0].status == 504 and monotonic() - began < 0.1 + SLACK_S
-        assert any(isinstance(e, api.ClientGone) for e in it.module.events)
+        setup.submit(left_ns=100 * MS)
+        await until(lambda: bool(setup.answers))
+        assert setup.answers[0].status == 504 and monotonic() - began < 0.1 + SLACK_S
+        assert any(isinstance(e, api.ClientGone) for e in setup.balancer.events)
         await until(lambda: endpoint.ended == len(endpoint.connections))
-        assert not it.sidecar._exchanges
+        assert not setup.sidecar._exchanges
 
 
 @limited
-async def test_a_module_that_raises_costs_one_request(tmp_path: Path, capfd: pytest.CaptureFixture[str]) -> None:
+async def test_an_exception_in_the_balancer_fails_one_request(
+    tmp_path: Path, capfd: pytest.CaptureFixture[str]
+) -> None:
     def decide(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Request | api.Outcome) and event.request == 1:
             raise RuntimeError("no idea")
         return send_once(event)
 
-    async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, decide) as it:
-        it.take()
-        assert [a.status for a in it.answers] == [504]
-        it.take()
-        await until(lambda: len(it.answers) == 2)
-        assert it.answers[1].status == 200 and not it.sidecar._exchanges
+    async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, decide) as setup:
+        setup.submit()
+        assert [a.status for a in setup.answers] == [504]
+        setup.submit()
+        await until(lambda: len(setup.answers) == 2)
+        assert setup.answers[1].status == 200 and not setup.sidecar._exchanges
     assert "no idea" in capfd.readouterr().err
 
 
@@ -312,46 +314,46 @@
             return [api.Send(n, 1), api.Refuse(n, 250 * MS), api.Fail(n), api.Send(n, 1), api.Cancel(n, 0)]
         return []
 
-    async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, decide) as it:
-        it.take()
-        await until(lambda: bool(it.module.outcomes()))
-        assert it.answers == [Answer(503, b"refused\n", 0.25)]
-        assert len(it.module.outcomes()) == 1 and it.module.outcomes()[0].finished
-        assert not it.sidecar._exchanges
+    async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, decide) as setup:
+        setup.submit()
+        await until(lambda: bool(setup.balancer.outcomes()))
+        assert setup.answers == [Answer(503, b"refused\n", 0.25)]
+        assert len(setup.balancer.outcomes()) == 1 and setup.balancer.outcomes()[0].finished
+        assert not setup.sidecar._exchanges
 
 
 @limited
-async def test_of_two_attempts_the_first_answer_counts_and_both_outcomes_are_told(tmp_path: Path) -> None:
+async def test_of_two_attempts_the_first_answer_counts_and_both_outcomes_are_reported(tmp_path: Path) -> None:
     def decide(event: api.Event) -> list[api.Action]:
         return [api.Send(event.request, 1), api.Send(event.request, 1)] if isinstance(event, api.Request) else []
 
-    async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, decide) as it:
-        it.take()
-        await until(lambda: len(it.module.outcomes()) == 2)
-        assert it.answers == [Answer(200, b"ok")]
-        assert [o.finished for o in it.module.outcomes()] == [True, True]
-        assert sorted(o.attempt for o in it.module.outcomes()) == [0, 1]
+    async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, decide) as setup:
+        setup.submit()
+        await until(lambda: len(setup.balancer.outcomes()) == 2)
+        assert setup.answers == [Answer(200, b"ok")]
+        assert [o.finished for o in setup.balancer.outcomes()] == [True, True]
+        assert sorted(o.attempt for o in setup.balancer.outcomes()) == [0, 1]
 
 
 @limited
-async def test_turned_away_when_the_request_is_over_is_moot(tmp_path: Path) -> None:
-    async with Endpoint(NEVER_RAN).serve() as endpoint, driven(tmp_path, endpoint, send_once) as it:
-        it.sidecar.client_gone(it.take())
-        it.take()
-        await until(lambda: len(it.module.outcomes()) == 2)
-        statuses = {o.request: o.status for o in it.module.outcomes()}
+async def test_a_rejected_attempt_of_a_finished_request_is_moot(tmp_path: Path) -> None:
+    async with Endpoint(NEVER_RAN).serve() as endpoint, driven(tmp_path, endpoint, send_once) as setup:
+        setup.sidecar.client_gone(setup.submit())
+        setup.submit()
+        await until(lambda: len(setup.balancer.outcomes()) == 2)
+        statuses = {o.request: o.status for o in setup.balancer.outcomes()}
         assert statuses[2] is api.Status.FULL
-        assert not it.answers
+        assert not setup.answers
 
 
 @limited
-async def test_the_module_hears_of_a_drain_before_the_attempts_that_it_ends(tmp_path: Path) -> None:
-    async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, send_once) as it:
-        it.take()
+async def test_the_balancer_gets_a_drain_before_the_outcomes_that_it_causes(tmp_path: Path) -> None:
+    async with Endpoint().serve() as endpoint, driven(tmp_path, endpoint, send_once) as setup:
+        setup.submit()
         raw = member_list(2, [member("s-0", endpoint.address, "draining")], complete=False)
         config = load(write_config(tmp_path, endpoint.address, []))
-        it.sidecar.update_endpoints(config.names.parse_member_list(raw))
-        first, second = it.module.events[-2:]
+        setup.sidecar.update_endpoints(config.names.parse_member_list(raw))
+        first, second = setup.balancer.events[-2:]
         assert isinstance(first, api.Roster) and isinstance(second, api.Outcome)
         assert second.status is api.Status.CONNECT_FAILED and not endpoint.requests
 
@@ -362,7 +364,7 @@
 ) -> None:
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         assert (await exchange(sidecar.address, raw_call())).status == 200
-        await asyncio.sleep(QUIET_PERIOD_S)  # until the connection to the endpoint may be used again
+        await asyncio.sleep(QUIET_PERIOD_S)  # until the connection to the endpoint can be reused
         reader, writer = await asyncio.open_connection(*sidecar.address)
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         client = socket.socket()
@@ -375,12 +377,12 @@
                     fillers.append(os.open(os.devnull, os.O_RDONLY))
             log, began = "", monotonic()
             await asyncio.get_running_loop().sock_connect(client, sidecar.address)
-            writer.write(raw_call())  # what is connected is served all the while
+            writer.write(raw_call())  # existing connections are served meanwhile
             assert (await read_response(reader)).status == 200
             while log.count("Too many open files") < 3:
                 await asyncio.sleep(0.002)
                 log += capfd.readouterr().err
-            assert monotonic() - began > 0.05  # it paused between the tries
+            assert monotonic() - began > 0.05  # it paused between the attempts to accept
         finally:
             for fd in fillers:
                 os.close(fd)
@@ -410,32 +412,32 @@
 async def test_garbage_from_every_peer_loses_nothing(
     tmp_path: Path, capfd: pytest.CaptureFixture[str], seed: int
 ) -> None:
-    """Bytes of no meaning, and requests, answers and lists with bytes changed; then all is as before."""
+    """Peers send random bytes, and requests, responses and lists with random bytes changed."""
     draw = random.Random(seed)
 
-    def spoilt(data: bytes) -> bytes:
-        spoiled = bytearray(data)
+    def corrupted(data: bytes) -> bytes:
+        corrupt_data = bytearray(data)
         for _ in range(draw.randrange(1, 5)):
-            spoiled[draw.randrange(len(spoiled))] = draw.randrange(256)
-        return bytes(spoiled) if draw.random() < 0.8 else draw.randbytes(200)
+            corrupt_data[draw.randrange(len(corrupt_data))] = draw.randrange(256)
+        return bytes(corrupt_data) if draw.random() < 0.8 else draw.randbytes(200)
 
-    async def spoil(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        writer.write(spoilt(OK))
+    async def answer_corrupted(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        writer.write(corrupted(OK))
         writer.close()
 
-    async with Endpoint(spoil).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
+    async with Endpoint(answer_corrupted).serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         await until(lambda: bool(sidecar.discovery.connections))
         for n in range(20):
             update = member_list(n, [member("s-x", endpoint.address)], complete=False)
-            sidecar.discovery.say(spoilt(json.dumps(update).encode()).replace(b"\n", b" "))
+            sidecar.discovery.send_line(corrupted(json.dumps(update).encode()).replace(b"\n", b" "))
             status = (await exchange(sidecar.address, raw_call("once", left_ms=300))).status
             assert status in (200, 502, 503)
             _, writer = await asyncio.open_connection(*sidecar.address)
-            writer.write(spoilt(raw_call("once", "t2", body=b"abc")))
+            writer.write(corrupted(raw_call("once", "t2", body=b"abc")))
             writer.close()
         endpoint.answer = OK
         good = member_list(99, [member("s-new", endpoint.address)])
-        sidecar.discovery.say(good)
+        sidecar.discovery.send_line(good)
         while (await exchange(sidecar.address, raw_call("look"))).status != 200:
             pass
     assert "Traceback" not in capfd.readouterr().err
@@ -456,9 +458,9 @@
 
 @limited
 async def test_a_watch_that_says_nothing_is_opened_again(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A cut-off discovery keeps its connection open; only its silence tells."""
+    """During a network partition, the connection to discovery stays open without data."""
     monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 0.1)
     async with Endpoint().serve() as endpoint, world(tmp_path, endpoint) as sidecar:
         await until(lambda: len(sidecar.discovery.connections) == 2)
-        assert (await sidecar.discovery.connections[0][0].read()) == b""  # the old one is given up
-        assert (await exchange(sidecar.address, raw_call())).status == 200  # by the list it has
+        assert (await sidecar.discovery.connections[0][0].read()) == b""  # the old watch is closed
+        assert (await exchange(sidecar.address, raw_call())).status == 200  # with the current list
