--- a/otterreach/balancer/logic.py
+++ b/otterreach/balancer/logic.py
@@ -69,9 +69,10 @@
                 self._set_timer("probe", self.half_life_ns // 10)
 
     def _gossip(self) -> None:
-        """Send the latency ratio and the latest observations to random peers, at most once a target.
+        """Send the latency ratio and the latest observations to random peers.
 
         In a large fleet, a single sidecar gets too few answers from any endpoint for reliable estimates.
+        There is at most one round per latency target.
         """
         settings = self.settings
         if (
--- a/otterreach/sidecar/server.py
+++ b/otterreach/sidecar/server.py
@@ -421,7 +421,7 @@
             return False
         except OSError as error:
             # Without free descriptors the listener stays readable: the event loop would spin without a pause.
-            print(f"server: {error}", file=sys.stderr)
+            print(f"server: accept failed: {error}", file=sys.stderr)
             loop.remove_reader(self._listener)
             loop.call_later(ACCEPT_RETRY_S, self._resume_accepting)
             return False
--- a/otterreach/sidecar/sidecar.py
+++ b/otterreach/sidecar/sidecar.py
@@ -22,7 +22,7 @@
 from otterreach.sidecar.endpoints import Attempt, Endpoints
 
 ANSWER_RESERVE_NS = 10_000_000  # of a request's time, for sending the answer before the client times out
-FALLBACK_NS = 4_000_000  # before the client's time-out, for an answer that the balancer has not given
+FALLBACK_NS = 4_000_000  # time before the client's time-out at which the sidecar answers without the balancer
 FINAL_EVENTS = (api.Outcome, api.ClientGone)  # events after which a request may be finished
 TRACEBACK_INTERVAL_S = 1.0  # shortest time between two tracebacks in the log
 
