--- a/otterreach/controller/acceptor.py
+++ b/otterreach/controller/acceptor.py
@@ -1,4 +1,4 @@
-"""What a witness promises and accepts, and what a backup stores: the answering side of epochs and replication."""
+"""Handlers of a witness and backup: promises, accepted configurations, appended items and epoch heartbeats."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from otterreach.runtime.relay import Follower
 from otterreach.runtime.rpc import Done, Endpoint, Link
 
-PRIMARY_CONTACT_VALID_S = 0.35  # a primary was heard within this: no promise to another candidate
+PRIMARY_CONTACT_VALID_S = 0.35  # for this long after contact with a primary, other candidates are rejected
 
 
 class Acceptor:
-    """Answers candidates and primaries. Everything it promises is on its disk before it answers."""
+    """Answers candidates and primaries. Every promise, configuration and item is on disk before the reply is sent."""
 
     def __init__(self, replica: LocalReplica, endpoint: Endpoint, follower: Follower) -> None:
         self.replica = replica
@@ -48,7 +48,7 @@
         return primary_alive and request.candidate != replica.last_primary
 
     async def handle_prepare(self, link: Link, request: Prepare) -> Promise | Failure:
-        """Promise a candidate to take no part in anything lower, unless a primary was heard a moment ago."""
+        """Promise a candidate to reject all lower epochs, unless a primary was heard from recently."""
         replica = self.replica
         accepted = [replica.accepted] if replica.accepted else []
         replica.highest_known_number = max(replica.highest_known_number, request.number if not request.probe else 0)
@@ -57,20 +57,20 @@
             return Promise(not rejected, replica.promised, replica.id, accepted)
         replica.promise(request.number)
         if request.candidate != replica.id:
-            replica.step_down("promised to another")
+            replica.step_down("promised to another candidate")
             replica.record_primary_contact(request.candidate)
         if not await replica.sync():
             return replica.disk_failure
         return Promise(replica.promised == request.number, replica.promised, replica.id, accepted)
 
     async def handle_accept(self, link: Link, request: Accept) -> Accepted | Failure:
-        """Accept a configuration that is not below the promise."""
+        """Accept a configuration whose number is not below the promised one."""
         replica = self.replica
         (configuration,) = request.configuration
         if configuration.number < replica.promised:
             return Accepted(False, replica.promised, replica.id)
         if configuration.primary != replica.id:
-            replica.step_down("another is primary")
+            replica.step_down("another controller is primary")
         replica.adopt_configuration(configuration)
         if not await replica.sync():
             return replica.disk_failure
@@ -78,7 +78,7 @@
         return Accepted(replica.promised == configuration.number, replica.promised, replica.id)
 
     async def handle_append_items(self, link: Link, request: AppendItems) -> Done | Failure:
-        """Store the primary's changes, as a backup of its epoch."""
+        """Store the primary's changes if this controller is a backup of its epoch."""
         replica = self.replica
         configuration = replica.accepted
         if request.number < replica.promised:
@@ -96,7 +96,7 @@
         return Failure(Code.STALE_EPOCH, f"promised {self.replica.promised}")
 
     async def handle_epoch_heartbeat(self, link: Link, heartbeat: EpochHeartbeat) -> EpochHeartbeatReply:
-        """Tell whether the primary's epoch still holds here."""
+        """Reply whether the sender's epoch is still the current one here."""
         replica = self.replica
         holds = replica.number == heartbeat.number == replica.promised
         if holds:
@@ -105,6 +105,6 @@
         return EpochHeartbeatReply(holds, replica.promised, replica.id)
 
     async def handle_identity_request(self, link: Link, request: IdentityRequest) -> IdentityReply:
-        """Tell who this is, and whether it may take part in the very first configuration."""
+        """Reply with this controller's identity, and whether it may be part of the initial configuration."""
         replica = self.replica
         return IdentityReply([replica.info], replica.uninitialised and replica.accepted is None)
--- a/otterreach/controller/election.py
+++ b/otterreach/controller/election.py
@@ -1,6 +1,6 @@
-"""How a configuration comes into force: a candidate collects promises, forms a configuration, and has it accepted.
+"""Elections: a candidate collects promises, forms a configuration, and has it accepted by majorities.
 
-The primary uses the same steps to change its own configuration (docs/system.md, "Epochs of the controllers").
+The primary takes the same steps to change its own configuration (docs/system.md, "Epochs of the controllers").
 """
 
 from __future__ import annotations
@@ -19,11 +19,14 @@
 from otterreach.runtime.store import Item
 
 CALL_TIMEOUT_S = 0.4
-STRAGGLER_WAIT_S = 0.03  # how long those that may still answer are waited for, once enough have
+STRAGGLER_WAIT_S = 0.03  # wait for further replies after the required ones have arrived
 
 
 class Election:
-    """Runs one election at a time. `become_primary` is given the state that all members have from the epoch's start."""
+    """Runs at most one election at a time.
+
+    `become_primary` is called with the state that all members of the new epoch have at its start.
+    """
 
     def __init__(
         self,
@@ -38,23 +41,29 @@
         self.become_primary = become_primary
         self.attempts = RepeatedWork("election")
         self.in_progress = False
-        self.barred = False  # this controller shuts down: it stands no more
+        self.disabled = False  # set at graceful shutdown: this controller starts no more elections
 
     def may_stand(self) -> bool:
-        """Whether this is a member of the highest configuration known: it holds all acknowledged writes."""
+        """Return True if this controller is a member of the highest configuration known to it.
+
+        Only members hold all acknowledged writes, so only they may become primary.
+        """
         configuration = self.replica.newer or self.replica.accepted
         return configuration is not None and self.replica.id in configuration.members
 
-    # The very first configuration ----------------------------------------------------------------
+    # Bootstrap -----------------------------------------------------------------------------------
 
     def may_bootstrap(self) -> bool:
-        """Whether this is the seed that proposes the very first configuration."""
+        """Return True if this controller is the seed that proposes the initial configuration."""
         settings = self.replica.settings
         is_first_seed = bool(settings.seeds) and settings.address == min(settings.seeds)
         return self.replica.mode is Mode.NEW and self.replica.uninitialised and is_first_seed
 
     async def bootstrap(self) -> None:
-        """Bring the very first configuration into force: all seeds have to be there, all with empty disks."""
+        """Propose the initial configuration and have it accepted by all seeds.
+
+        Does nothing unless every seed answers and every seed's disk is empty.
+        """
         replica = self.replica
         settings = replica.settings
         others = [seed for seed in settings.seeds if seed != settings.address]
@@ -74,18 +83,19 @@
                 self.formation.log_unmet(configuration)
                 self.become_primary([])
             else:
-                replica.become(Mode.FOLLOWING, "first epoch not in force")
+                replica.become(Mode.FOLLOWING, "initial configuration not accepted by all seeds")
         finally:
             self.in_progress = False
 
-    # An election ---------------------------------------------------------------------------------
+    # Election ------------------------------------------------------------------------------------
 
     async def run(self, change: MembershipChange = NO_CHANGE) -> bool:
-        """Become primary of a new epoch: run by the primary to change its configuration, by a member to take over.
+        """Become primary of a new epoch: run by the primary to change its configuration, by a backup to take over.
 
-        :returns: False also if an election is in progress here already, or this controller shuts down
+        :returns: True if the new epoch took effect; False also if an election is already in progress here or this
+            controller is shutting down
         """
-        if self.in_progress or self.barred:
+        if self.in_progress or self.disabled:
             return False
         self.in_progress = True
         try:
@@ -105,14 +115,14 @@
         items = list(replica.store.items.values())
         configuration = await self.formation.form(base, number, items, promised, change)
         if configuration is None or replica.promised != number:
-            replica.step_down("too few replicas")
+            replica.step_down("too few backups, or promised to another candidate")
             return False
         replica.adopt_configuration(configuration)
         if not await replica.sync():
             return False
         in_force = await self._accept_configuration(base, configuration, {replica.id})
         if not in_force or replica.promised != number:
-            replica.step_down("epoch not in force")
+            replica.step_down("new epoch not accepted")
             return False
         self.formation.log_unmet(configuration)
         self.become_primary(items)
@@ -123,38 +133,44 @@
     async def _collect_promises(
         self, base: EpochConfiguration, number: int, transfer: bool
     ) -> dict[str, ControllerInfo] | None:
-        """Probe, promise oneself, then ask for promises: who promised, or None if too few would or did."""
+        """Probe the witnesses, record this controller's own promise, then request promises.
+
+        The probe comes first so that a candidate that cannot win raises nobody's promised number.
+
+        :returns: the witnesses that promised, by id; None if the probe or the requests found no majority
+        """
         replica = self.replica
         was_primary = replica.is_primary
         probe = Prepare(number, replica.id, probe=True, transfer=transfer)
         if await self._ask_for_promises(base, probe) is None:
             if was_primary:
-                replica.step_down("no majority would promise")
+                replica.step_down("probe found no majority of witnesses")
             return None
         if replica.promised >= number:
-            # Nobody promises one number twice, not to itself either: it was promised to another during the probe.
-            replica.step_down("promised to another")
+            # The number was promised to another candidate during the probe. A number is promised only once, and the
+            # candidate's own promise counts.
+            replica.step_down("promised to another candidate")
             return None
         replica.promise(number)
         if not was_primary:
-            replica.become(Mode.CANDIDATE, f"stands for {number}")
+            replica.become(Mode.CANDIDATE, f"candidate for epoch {number}")
         if not await replica.sync() or replica.promised != number:
-            replica.step_down("promised to another")
+            replica.step_down("promised to another candidate, or disk failed")
             return None
         promised = await self._ask_for_promises(base, Prepare(number, replica.id, transfer=transfer))
         if promised is None or replica.promised != number:
-            replica.step_down("no majority promised")
+            replica.step_down("no majority of witnesses promised")
             return None
         return promised
 
     async def _ask_for_promises(self, base: EpochConfiguration, request: Prepare) -> dict[str, ControllerInfo] | None:
-        """The witnesses that promise, oneself among them, if they are a majority; else None."""
+        """Return the witnesses that promise, including this controller, by id; None if they are no majority."""
         replica = self.replica
         others = [witness for witness in base.witnesses if witness.id != replica.id]
         granted = {witness.id: witness for witness in base.witnesses if witness.id == replica.id}
 
         def enough(replies: dict[str, Promise]) -> bool:
-            """Whether a majority of the witnesses and enough future backups have promised."""
+            """Return True if a majority of the witnesses, and enough candidates for backups, have promised."""
             promised = [ident for ident, reply in replies.items() if reply.ok and reply.id == ident]
             return is_majority([*promised, *granted], base) and len(promised) >= self.formation.limits.replicas - 1
 
@@ -170,7 +186,7 @@
             if reply.accepted and reply.accepted[0].number > highest.number:
                 highest = reply.accepted[0]
         if highest.number > base.number:
-            replica.newer = highest  # the next attempt asks its witnesses, if this one is a member at all
+            replica.newer = highest  # the next attempt uses its witnesses, if this controller is a member of it
             return None
         return granted if is_majority(granted, base) else None
 
@@ -180,7 +196,10 @@
         request: Request[ReplyT],
         enough: Callable[[dict[str, ReplyT]], bool],
     ) -> dict[str, ReplyT]:
-        """Replies by id; once `enough` says so, the others are waited for only a moment longer."""
+        """Call all targets concurrently and return the replies by id.
+
+        Once `enough` returns True for the replies so far, stop when no further one arrives within STRAGGLER_WAIT_S.
+        """
         tasks = {
             asyncio.ensure_future(self.endpoint.call(target.address, request, CALL_TIMEOUT_S)): target.id
             for target in targets
@@ -203,16 +222,19 @@
     async def _accept_configuration(
         self, base: EpochConfiguration, configuration: EpochConfiguration, required: set[str]
     ) -> bool:
-        """Whether it is in force: a majority of the old and of the new witnesses, and all needed, have it on disk.
+        """Send the configuration to the old and new witnesses and return True if it has taken effect.
+
+        It takes effect once a majority of the old witnesses, a majority of the new ones, and all required controllers
+        have it on disk.
 
-        :param required: ids that are needed besides the configuration's backups
+        :param required: ids of controllers that must accept it in addition to the configuration's backups
         """
         own_id = self.replica.id
         targets = {w.id: w for w in [*base.witnesses, *configuration.witnesses] if w.id != own_id}
         needed = (set(configuration.backups) | required) - {own_id}
 
         def enough(replies: dict[str, Accepted]) -> bool:
-            """Whether all that are needed and both majorities have it on disk."""
+            """Return True if all required controllers and both majorities have the configuration on disk."""
             accepted = {ident for ident, reply in replies.items() if reply.ok and reply.id == ident} | {own_id}
             return needed <= accepted and is_majority(accepted, base) and is_majority(accepted, configuration)
 
--- a/otterreach/controller/election_timer.py
+++ b/otterreach/controller/election_timer.py
@@ -1,4 +1,7 @@
-"""When a controller stands for election: after a silence of the primary that differs from member to member."""
+"""Election time-out: how long a member waits for the primary before it stands for election.
+
+The time-out differs between members so that they rarely stand at the same time.
+"""
 
 from __future__ import annotations
 
@@ -6,16 +9,16 @@
 
 from otterreach.controller.local_replica import LocalReplica, Mode
 
-# How long the primary is silent before a member stands: the base, more for each later rank, and a random part.
+# Election time-out: a base, an addition for each rank in the configuration, and a random part.
 TIMEOUT_S = 0.45
 TIMEOUT_PER_RANK_S = 0.2
 TIMEOUT_SPREAD_S = 0.1
-START_TIMEOUT_S = 0.1  # the same right after a start: those that hear a primary would not promise
-RETRY_S = 0.12  # between attempts while no primary has been heard of since the start
+START_TIMEOUT_S = 0.1  # election time-out right after a start; safe, as witnesses in contact with a primary reject it
+RETRY_S = 0.12  # minimum between attempts while this controller has heard of no primary since its start
 
 
 class ElectionTimer:
-    """Draws a new time-out whenever the mode changes, and after each attempt."""
+    """The election time-out of one controller, chosen anew at each change of mode and after each election attempt."""
 
     def __init__(self, replica: LocalReplica, random: Random) -> None:
         self.replica = replica
@@ -34,11 +37,11 @@
         return TIMEOUT_S + TIMEOUT_PER_RANK_S * rank + TIMEOUT_SPREAD_S * self.random.random()
 
     def has_expired(self) -> bool:
-        """Whether the primary has been silent for longer than the time-out."""
+        """Return True if the primary has not been heard from within the time-out."""
         return self.replica.loop.time() - self.replica.last_primary_contact_at > self._timeout_s
 
     def restart(self, elected: bool) -> None:
-        """An attempt has ended: count the silence anew."""
+        """Restart the timer after an election attempt."""
         replica = self.replica
         replica.last_primary_contact_at = replica.loop.time()
         no_primary_known = not replica.last_primary and not elected
--- a/otterreach/controller/epoch_heartbeats.py
+++ b/otterreach/controller/epoch_heartbeats.py
@@ -1,7 +1,7 @@
-"""The primary's contact with the witnesses of its epoch: heartbeats, and the proof that the epoch still holds.
+"""The primary's contact with the witnesses of its epoch: heartbeats, and confirmation that the epoch is still current.
 
-A primary serves only while a majority of the witnesses is in touch (docs/control-replication.md). A read goes further:
-it asks them after it began.
+A primary serves only while a majority of the witnesses answers its heartbeats (docs/control-replication.md). A read
+requires more: replies to heartbeats that were sent after the read began.
 """
 
 from __future__ import annotations
@@ -17,33 +17,33 @@
 from otterreach.runtime.rpc import Endpoint
 
 HEARTBEAT_INTERVAL_S = 0.1
-MAX_HEARTBEATS_IN_FLIGHT = int(CALL_TIMEOUT_S / HEARTBEAT_INTERVAL_S)  # a slow link doesn't make them rarer
-CONFIRM_TIMEOUT_S = 0.35  # a call that lacks a majority's confirmation for so long is answered without
+MAX_HEARTBEATS_IN_FLIGHT = int(CALL_TIMEOUT_S / HEARTBEAT_INTERVAL_S)  # so that a slow link does not lower their rate
+CONFIRM_TIMEOUT_S = 0.35  # a call without a majority's confirmation within this time fails
 ELECTION_POLL_S = 0.005
-MAX_SHARED_WAIT_S = 0.03  # how long a read waits for the round of questions before its own
+MAX_SHARED_WAIT_S = 0.03  # maximum wait for the confirmation in progress before the next one starts
 
 
 class EpochHeartbeats:
-    """Heartbeats to all witnesses, and what their answers prove."""
+    """Sends heartbeats to all witnesses and confirms leadership from their replies."""
 
     def __init__(self, replica: LocalReplica, endpoint: Endpoint, election: Election) -> None:
         self.replica = replica
         self.endpoint = endpoint
         self.election = election
         self.contacts = WitnessContacts(replica.loop.time)
-        self._rounds = 0  # of questions whether the epoch holds, under way
+        self._rounds = 0  # confirmations in progress
         self._no_round = asyncio.Event()
         self._next_round: asyncio.Task[bool] | None = None
 
     def leads(self, configuration: EpochConfiguration) -> bool:
-        """Whether this is still the primary of that epoch, to its knowledge."""
+        """Return True if, to its own knowledge, this controller is still the primary of that epoch."""
         is_current = self.replica.accepted is configuration and self.contacts.configuration is configuration
         return self.replica.is_primary and is_current
 
     # Heartbeats ----------------------------------------------------------------------------------
 
     def send_to_all(self) -> None:
-        """Send each witness a heartbeat, unless too many to it are unanswered."""
+        """Send a heartbeat to each witness that has fewer than MAX_HEARTBEATS_IN_FLIGHT unanswered ones."""
         configuration = self.replica.accepted
         assert configuration is not None
         for witness in configuration.witnesses:
@@ -52,7 +52,10 @@
                 self.endpoint.spawn(self._keep_in_touch(witness, configuration))
 
     async def send(self, witness: ControllerInfo, configuration: EpochConfiguration) -> EpochHeartbeatReply | None:
-        """The witness's reply, noted if the epoch holds there; None if it did not come from this witness."""
+        """Send a heartbeat and record the contact if the epoch is current at the witness.
+
+        :returns: the reply; None if there was none, or if another controller answered at the witness's address
+        """
         contact = self.contacts.by_id[witness.id]
         asked_at = self.replica.loop.time()
         heartbeat = EpochHeartbeat(configuration.number, self.replica.id, self.replica.settings.address)
@@ -60,7 +63,7 @@
         reply = await self.endpoint.call(witness.address, heartbeat, CALL_TIMEOUT_S)
         contact.in_flight -= 1
         if isinstance(reply, Failure) or reply.id != witness.id:
-            return None  # no answer, or another disk at that address: that one will ask to join
+            return None  # no reply, or a controller with another disk at that address; that one will ask to join
         if reply.ok and self.leads(configuration):
             self.contacts.record_answer(witness.id, asked_at)
         return reply
@@ -71,17 +74,17 @@
             return
         if reply.promised > configuration.number:
             self.replica.highest_known_number = max(self.replica.highest_known_number, reply.promised)
-            await self.election.run()  # lead a higher epoch, or none
+            await self.election.run()  # either wins a higher epoch or steps down
         else:
             await self.endpoint.call(witness.address, Accept([configuration]), CALL_TIMEOUT_S)
 
-    # Proof ---------------------------------------------------------------------------------------
+    # Confirmation of leadership ------------------------------------------------------------------
 
     async def confirm(self) -> bool:
-        """Whether this is the primary now. For a read.
+        """Return True if this controller is the primary now. Called before a read is answered.
 
-        Every backup and a majority of the witnesses, asked after this call began, have to say that the epoch holds.
-        Calls that come while a round of questions is under way share the next round.
+        Every backup and a majority of the witnesses, asked after this call began, must confirm that the epoch is
+        current. Calls that arrive while a confirmation is in progress share the next one.
         """
         if self._next_round is None:
             if not self._rounds:
@@ -100,7 +103,7 @@
                 self._no_round.set()
 
     async def _run_next_round(self) -> bool:
-        """Begin once the round under way has ended, or takes long."""
+        """Start once the confirmations in progress have ended, or after MAX_SHARED_WAIT_S."""
         try:
             async with asyncio.timeout(MAX_SHARED_WAIT_S):
                 await self._no_round.wait()
@@ -110,10 +113,10 @@
         return await self._run_round()
 
     async def _confirm_by_asking(self) -> bool:
-        """False within CONFIRM_TIMEOUT_S."""
+        """Return True if the epoch was confirmed; return False after CONFIRM_TIMEOUT_S at the latest."""
         deadline = self.replica.loop.time() + CONFIRM_TIMEOUT_S
         while self.replica.is_primary and self.election.in_progress and self.replica.loop.time() < deadline:
-            await asyncio.sleep(ELECTION_POLL_S)  # the next epoch of the same primary is about to begin
+            await asyncio.sleep(ELECTION_POLL_S)  # this primary is about to begin its next epoch
         configuration = self.replica.accepted
         if configuration is None or not self.leads(configuration) or not self.contacts.has_majority():
             return False
--- a/otterreach/controller/epochs.py
+++ b/otterreach/controller/epochs.py
@@ -1,4 +1,4 @@
-"""Epoch configurations and their majorities. Pure: no I/O, no clock."""
+"""Epoch configurations and majorities of their witnesses. Pure functions and data: no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 @message(0)
 @dataclass(slots=True)
 class ControllerInfo:
-    """A controller, by the id on its disk: one whose disk was wiped is another controller."""
+    """A controller's identity and address.
+
+    The id is stored on its disk, so a controller whose disk was wiped counts as a different controller.
+    """
 
     id: str
     node: str
@@ -22,7 +25,10 @@
 @message(0)
 @dataclass(slots=True)
 class EpochConfiguration:
-    """Who leads in an epoch, who has every write, who votes: the only thing that witnesses keep."""
+    """The primary, backups and witnesses of an epoch.
+
+    Primary and backups store every write; witnesses vote. Witnesses store nothing else than this configuration.
+    """
 
     number: int
     primary: str
@@ -31,16 +37,16 @@
 
     @property
     def members(self) -> list[str]:
-        """Those that hold all acknowledged writes."""
+        """The ids of the primary and backups, which hold all acknowledged writes."""
         return [self.primary, *self.backups]
 
     def witness(self, ident: str) -> ControllerInfo | None:
-        """The witness with this id."""
+        """Return the witness with this id, or None."""
         return next((witness for witness in self.witnesses if witness.id == ident), None)
 
 
 def is_majority(ids: Iterable[str], configuration: EpochConfiguration) -> bool:
-    """Whether these are more than half of the configuration's witnesses."""
+    """Return True if `ids` include more than half of the configuration's witnesses."""
     known = set(ids)
     count = sum(witness.id in known for witness in configuration.witnesses)
     return count * 2 > len(configuration.witnesses)
--- a/otterreach/controller/graceful_shutdown.py
+++ b/otterreach/controller/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""How a controller shuts down gracefully: it transfers its leadership and its replica first, in bounded time."""
+"""Graceful shutdown of a controller: it hands over leadership and replica first, within a bounded time."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from otterreach.runtime.log import log
 from otterreach.runtime.rpc import Done, Endpoint, Link
 
-SHUTDOWN_TIMEOUT_S = 1.0  # the end is put off for no longer
+SHUTDOWN_TIMEOUT_S = 1.0  # maximum delay of the process exit
 CALL_TIMEOUT_S = 0.8
 RETRY_S = 0.05
 
 
 class GracefulShutdown:
-    """The side that shuts down, and the answers of those that stay."""
+    """The handover by the controller that shuts down, and the handlers of the others."""
 
     def __init__(
         self, replica: LocalReplica, endpoint: Endpoint, election: Election, primary: Primary, membership: Membership
@@ -33,11 +33,11 @@
         endpoint.on(TransferLeadership, self.handle_transfer_leadership)
         endpoint.on(BackupShutdown, self.handle_backup_shutdown)
 
-    # At the one that shuts down ------------------------------------------------------------------
+    # At the controller that shuts down -----------------------------------------------------------
 
     async def run(self) -> None:
-        """Transfer leadership and replica, within SHUTDOWN_TIMEOUT_S."""
-        self.election.barred = True
+        """Hand over leadership and replica within SHUTDOWN_TIMEOUT_S, retrying until then."""
+        self.election.disabled = True
         began = self.replica.loop.time()
         done = False
         try:
@@ -56,7 +56,7 @@
         return await self._be_replaced()
 
     async def _transfer_leadership(self) -> bool:
-        """To the first backup that accepts it, once all writes are answered."""
+        """Answer all pending writes, then transfer leadership to the first backup that accepts it."""
         await self.primary.finish_writes()
         configuration = self.replica.accepted
         assert configuration is not None
@@ -71,25 +71,25 @@
         return False
 
     async def _be_replaced(self) -> bool:
-        """The primary makes another a backup in this one's place."""
+        """Ask the primary to replace this backup by another controller."""
         address = self.replica.live_primary_address
         if not address:
             return False
         request = BackupShutdown(self.replica.number, self.replica.id)
         return isinstance(await self.endpoint.call(address, request, CALL_TIMEOUT_S), Done)
 
-    # At those that stay --------------------------------------------------------------------------
+    # At the other controllers --------------------------------------------------------------------
 
     async def handle_transfer_leadership(self, link: Link, request: TransferLeadership) -> Done | Failure:
-        """Lead the next epoch in place of the primary that asks."""
-        if self.replica.number != request.number or self.election.barred or not self.election.may_stand():
+        """Run an election to lead the next epoch in place of the requesting primary."""
+        if self.replica.number != request.number or self.election.disabled or not self.election.may_stand():
             return Failure(Code.STALE_EPOCH, f"at {self.replica.number}")
         self.membership.record_shutdown(request.leaving)
         change = MembershipChange(avoid=self.membership.shutting_down, transfer=True)
         return Done() if await self.election.run(change) else Failure(Code.NOT_SYNCED, "not elected")
 
     async def handle_backup_shutdown(self, link: Link, request: BackupShutdown) -> Done | Failure:
-        """Form a configuration that needs no replica at the backup that asks."""
+        """Change to a configuration of which the requesting backup is not a member."""
         if not self.replica.is_primary:
             return self.replica.not_primary()
         self.membership.record_shutdown(request.leaving)
--- a/otterreach/controller/local_replica.py
+++ b/otterreach/controller/local_replica.py
@@ -1,6 +1,6 @@
-"""What one controller has on its disk, the mode that it is in, and what it last heard of a primary.
+"""The state of one controller: its journal and control state, its mode, and its last contact with a primary.
 
-The journal holds the controller's id, its highest promise, the configuration it accepted last, and the control state.
+The journal holds the controller's id, its highest promise, the last accepted configuration, and the control state.
 """
 
 from __future__ import annotations
@@ -22,26 +22,27 @@
 from otterreach.runtime.settings import Settings
 from otterreach.runtime.store import Item, ReplicatedStore
 
-STAGING_IDLE_S = 10.0  # a transfer that stopped for so long no longer delays a rewrite of the journal
-SLICE_BYTES = 32 * 1024  # of the state, encoded in one turn of the loop
-PRIMARY_ADDRESS_VALID_S = 2.0  # how long the primary's address is taken to be true after it was last heard
-PRIMARY_TIMEOUT_S = 0.5  # silent for longer: no call is forwarded to it
+STAGING_IDLE_S = 10.0  # a snapshot transfer without progress for longer no longer delays a rewrite of the journal
+SLICE_BYTES = 32 * 1024  # amount of state encoded in one iteration of the event loop
+PRIMARY_ADDRESS_VALID_S = 2.0  # the primary's address is given out for this long after the last contact
+PRIMARY_TIMEOUT_S = 0.5  # calls are forwarded to the primary for this long after the last contact
 
 
 class Mode(Enum):
-    """The part that a controller takes in its epoch."""
+    """The role of a controller in its epoch."""
 
-    NEW = "new"  # in no configuration: takes no part
+    NEW = "new"  # not in any configuration
     FOLLOWING = "following"
     CANDIDATE = "candidate"
     PRIMARY = "primary"
-    FAILED = "failed"  # the disk
+    FAILED = "failed"  # disk failed
 
 
 class LocalReplica:
-    """The state of one controller. `become` is the one function that changes its mode.
+    """The state of one controller, in memory and in the journal. Only `become` changes its mode.
 
-    More than 20 methods: all that is journalled is written and replayed here, so that disk and memory can't differ.
+    The class has more than 20 methods because all journal records are written and replayed here, so that disk and
+    memory cannot diverge.
     """
 
     def __init__(self, settings: Settings, journal: Journal) -> None:
@@ -50,27 +51,28 @@
         self.loop = asyncio.get_running_loop()
         self.mode = Mode.NEW
         self.id = ""
-        self.uninitialised = False  # may take part in the very first configuration
+        self.uninitialised = False  # may be part of the initial configuration
         self.promised = 0
         self.accepted: EpochConfiguration | None = None
-        self.store = ReplicatedStore()  # at the primary also what not all replicas have yet
-        self.staged: ReplicatedStore | None = None  # a snapshot that is not complete yet
+        self.store = ReplicatedStore()  # at the primary it includes changes that are not committed yet
+        self.staged: ReplicatedStore | None = None  # an incomplete snapshot
         self.staged_session = ""
         self._staged_at = 0.0
         self.last_primary_contact_at = self.loop.time()
-        self.last_primary = ""  # its id
-        self.highest_known_number = 0  # the highest epoch number heard of
-        self.newer: EpochConfiguration | None = None  # one above the accepted one, heard of
+        self.last_primary = ""  # id of the primary or candidate of the last contact
+        self.highest_known_number = 0  # highest epoch number seen in any message
+        self.newer: EpochConfiguration | None = None  # configuration above the accepted one, reported by a witness
         self.on_mode_change: list[Callable[[Mode, Mode], None]] = []
         self.on_step_down: list[Callable[[], None]] = []
-        self.on_items: list[
-            Callable[[Iterable[Item]], None]
-        ] = []  # called with items that have just come into the state
+        self.on_items: list[Callable[[Iterable[Item]], None]] = []  # called with items that enter the state
 
     # The journal ---------------------------------------------------------------------------------
 
     def load(self, records: Iterable[Record]) -> None:
-        """The state as the journal has it; a first start draws an id, which lasts after the next `sync`."""
+        """Load the state from the journal's records.
+
+        A first start generates the controller's id, which is durable after the next `sync`.
+        """
         replay = StateReplay()
         for kind, payload in records:
             self._load_record(kind, payload, replay)
@@ -101,7 +103,7 @@
         return f"{self.id} {int(self.uninitialised)}".encode()
 
     def live_records(self) -> Iterator[Slice]:
-        """What the journal has to hold, in slices that each give the state at the time when they are asked for."""
+        """Yield the records of a rewritten journal in slices; each slice has the state at the time of its iteration."""
         yield [(JournalKind.IDENTITY, self._identity_payload())]
         yield [(JournalKind.SNAPSHOT, encode(InstallSnapshot(min(self.promised, self.number), self.id, [])))]
         for keys in self.store.key_batches(SLICE_BYTES):
@@ -112,11 +114,14 @@
         yield [(JournalKind.PROMISE, str(self.promised).encode())]
 
     def live_bytes(self) -> int:
-        """About how long a journal is that holds just the present state."""
+        """Return the approximate size of a journal that holds only the present state."""
         return self.store.bytes
 
     def may_rewrite(self) -> bool:
-        """Whether the journal may be rewritten: not while a snapshot is being built. An abandoned one is dropped."""
+        """Return True if the journal may be rewritten, which is not the case while a snapshot is being staged.
+
+        Drops a staged snapshot that has made no progress for STAGING_IDLE_S.
+        """
         if self.staged is None:
             return True
         if self.loop.time() - self._staged_at < STAGING_IDLE_S:
@@ -125,7 +130,7 @@
         return True
 
     def apply_items(self, items: Iterable[Item]) -> None:
-        """Apply what is newer to the state in memory. The journal is the caller's."""
+        """Apply newer items to the state in memory. The caller appends them to the journal."""
         self._notify_items(self.store.apply(items))
 
     def _notify_items(self, items: Iterable[Item]) -> None:
@@ -133,44 +138,50 @@
             observer(items)
 
     def collect_tombstones(self) -> None:
-        """Drop those that the state itself says are to be dropped: it is complete, so nothing else is missing."""
+        """Drop the tombstones up to the revision that the state itself names.
+
+        This is safe because the state is complete up to that revision.
+        """
         self.store.collect(revision_to_collect(self.store))
 
     async def sync(self) -> bool:
-        """Whether all that was appended is on disk. A disk that fails ends this controller's part."""
+        """Wait until all appended records are on disk and return True; on a disk failure go to Mode.FAILED."""
         if await self.journal.sync():
             return True
         self.fail_disk()
         return False
 
     def fail_disk(self) -> None:
-        """The disk has failed: take no part any more."""
-        self.step_down("disk")
-        self.become(Mode.FAILED, "disk")
+        """Step down and go to Mode.FAILED because the disk has failed."""
+        self.step_down("disk failed")
+        self.become(Mode.FAILED, "disk failed")
 
     @property
     def disk_failure(self) -> Failure:
-        """What callers are answered after `sync` returned False."""
+        """The failure to reply with after `sync` returned False."""
         return self.journal.failed or Failure(Code.DISK_FAILED, "disk")
 
-    # A snapshot that is being built --------------------------------------------------------------
+    # Snapshot staging ----------------------------------------------------------------------------
 
     def begin_staging(self) -> None:
-        """Build a new state from the present one. A rewrite of the journal has to wait for it: its slices would mix."""
+        """Start staging a snapshot from a copy of the present state.
+
+        A journal rewrite in progress is abandoned, since the staging records would be interleaved with its slices.
+        """
         self.journal.abandon_rewrite()
         self.journal.append(JournalKind.STAGING, b"")
         self.staged = self.store.copy()
         self._staged_at = self.loop.time()
 
     def stage(self, chunk: SnapshotChunk) -> None:
-        """More of it; it lasts after the next `sync`."""
+        """Add a chunk to the staged snapshot; it is durable after the next `sync`."""
         assert self.staged is not None
         self.journal.append(JournalKind.CHUNK, encode(chunk))
         self.staged.overwrite_ranges(chunk.ranges, chunk.items)
         self._staged_at = self.loop.time()
 
     def commit_staged(self, commit: SnapshotCommit) -> None:
-        """It is complete and replaces the present state; that lasts after the next `sync`."""
+        """Replace the present state by the staged snapshot, which is complete; durable after the next `sync`."""
         self.journal.append(JournalKind.COMMIT, encode(commit))
         self._replace_by_staged(commit.number)
         self.collect_tombstones()
@@ -191,32 +202,32 @@
 
     @property
     def is_primary(self) -> bool:
-        """Whether this controller leads its epoch, to its knowledge."""
+        """True if this controller is the primary of its epoch, to its own knowledge."""
         return self.mode is Mode.PRIMARY
 
     @property
     def is_member(self) -> bool:
-        """Whether the accepted configuration names this controller as primary or backup."""
+        """True if the accepted configuration names this controller as primary or backup."""
         return self.accepted is not None and self.id in self.accepted.members
 
     @property
     def is_witness(self) -> bool:
-        """Whether the accepted configuration names this controller at all."""
+        """True if the accepted configuration names this controller as a witness."""
         return self.accepted is not None and self.accepted.witness(self.id) is not None
 
     @property
     def info(self) -> ControllerInfo:
-        """This controller as others know it."""
+        """This controller's identity and address, as sent to others."""
         return ControllerInfo(self.id, self.settings.node, self.settings.address, self.settings.zone)
 
     @property
     def primary_address(self) -> str:
-        """The primary's address, to this controller's knowledge; empty if it hasn't been heard for long."""
+        """The last known address of the primary; empty if it has not been heard from for PRIMARY_ADDRESS_VALID_S."""
         return self._primary_in_contact_within(PRIMARY_ADDRESS_VALID_S)
 
     @property
     def live_primary_address(self) -> str:
-        """The address of a primary that was heard a moment ago; empty if none was."""
+        """The address of a primary that was heard from within PRIMARY_TIMEOUT_S; empty if there is none."""
         return self._primary_in_contact_within(PRIMARY_TIMEOUT_S)
 
     def _primary_in_contact_within(self, seconds: float) -> str:
@@ -228,21 +239,21 @@
         return ""
 
     def not_primary(self) -> Failure:
-        """The answer to a call that only the primary takes: where the primary is, to this controller's knowledge."""
+        """Return the failure for a call that only the primary serves; its reason is the primary's address, if known."""
         return Failure(Code.NOT_PRIMARY, self.primary_address)
 
     def record_primary_contact(self, ident: str) -> None:
-        """This primary, or candidate, was heard just now."""
+        """Record a message from this primary or candidate at the current time."""
         self.last_primary_contact_at = self.loop.time()
         self.last_primary = ident
 
     def promise(self, number: int) -> None:
-        """Take no part in anything lower; it lasts after the next `sync`."""
+        """Promise to reject all lower epochs; durable after the next `sync`."""
         self.promised = number
         self.journal.append(JournalKind.PROMISE, str(number).encode())
 
     def adopt_configuration(self, configuration: EpochConfiguration) -> None:
-        """Accept it; it lasts after the next `sync`."""
+        """Accept the configuration; durable after the next `sync`."""
         self.promised = configuration.number
         self.accepted = configuration
         self.uninitialised = False
@@ -256,7 +267,7 @@
     # Mode ----------------------------------------------------------------------------------------
 
     def become(self, mode: Mode, reason: str) -> None:
-        """The one function that changes the mode."""
+        """Change the mode, log the change and notify observers. Nothing else changes the mode."""
         old = self.mode
         self.mode = mode
         if old is mode:
@@ -276,7 +287,7 @@
             observer(old, mode)
 
     def step_down(self, reason: str) -> None:
-        """Lead no more, and stand for election no more; writes in progress end without a clear answer."""
+        """Stop being primary or candidate; observers answer the writes in progress (outcome unknown)."""
         if self.mode in (Mode.PRIMARY, Mode.CANDIDATE):
             self.become(Mode.FOLLOWING, reason)
         for observer in self.on_step_down:
--- a/otterreach/controller/primary.py
+++ b/otterreach/controller/primary.py
@@ -1,4 +1,4 @@
-"""What a primary does in its epoch: heartbeats, writes that every backup has, and reads that prove it leads."""
+"""The primary's side of replication: heartbeats, writes to all backups, and reads that confirm leadership."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Primary:
-    """The primary's side of replication. Idle while another controller leads."""
+    """The primary's side of replication. Idle while another controller is primary."""
 
     def __init__(self, replica: LocalReplica, endpoint: Endpoint, follower: Follower, election: Election) -> None:
         self.replica = replica
@@ -29,11 +29,14 @@
 
     @property
     def contacts(self) -> WitnessContacts:
-        """When each witness of the epoch last answered."""
+        """The contacts with the witnesses of the epoch."""
         return self.heartbeats.contacts
 
     def begin_epoch(self, installed: list[Item]) -> None:
-        """The accepted configuration is in force, and all its members have `installed`, the complete state."""
+        """Become primary: the accepted configuration has taken effect.
+
+        :param installed: the complete state, which all members of the configuration have
+        """
         replica = self.replica
         assert replica.accepted is not None
         replica.newer = None
@@ -41,12 +44,12 @@
         self.follower.primary = replica.settings.address
         self.writes.begin_epoch()
         replica.become(Mode.PRIMARY, f"epoch {replica.number} in force")
-        self.publisher.publish_all(installed)  # what was changed since is still to be appended
+        self.publisher.publish_all(installed)  # changes made since then are still to be appended to the backups
         self._refresh_state_age()
         self.writes.resume()
 
     async def run(self) -> None:
-        """Send heartbeats and answer writes that have waited for too long; until the disk fails."""
+        """Send heartbeats and time out writes until the disk fails."""
         replica = self.replica
         while replica.mode is not Mode.FAILED:
             if replica.is_primary and not self.election.in_progress:
@@ -56,24 +59,28 @@
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     def _refresh_state_age(self) -> None:
-        """The published state is surely as new as when all backups were last in this epoch."""
+        """Date the published state by the oldest of the backups' last contacts.
+
+        While all backups are in this epoch no other controller can commit changes, since only a member can become the
+        next primary.
+        """
         configuration = self.replica.accepted
         if self.replica.is_primary and configuration:
             answered = [self.contacts.by_id[backup].answered_at for backup in configuration.backups]
             self.follower.fresh_at = min(answered, default=self.replica.loop.time())
 
     async def confirm(self) -> bool:
-        """Whether this is the primary now. Before a read."""
+        """Return True if this controller is confirmed as the primary now. Called before a read is answered."""
         return await self.heartbeats.confirm()
 
     async def committed(self) -> bool:
-        """Whether this is the primary now, and all members have the state as it was at the call."""
+        """Return True if this is the primary now and all members have every change made before the call."""
         return await self.writes.committed()
 
     def propose(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
-        """Change items: see WritePipeline.propose."""
+        """Set items to new values: see WritePipeline.propose."""
         return self.writes.propose(changes)
 
     async def finish_writes(self) -> None:
-        """Accept no more writes; return once those in progress are answered."""
+        """Accept no more writes; return once the pending ones are answered."""
         await self.writes.close()
--- a/otterreach/controller/receipt_times.py
+++ b/otterreach/controller/receipt_times.py
@@ -1,10 +1,11 @@
-"""When each lock and each event came into this controller's state, on its own steady clock.
-
-Nothing of this is on disk or goes to another machine: steady clocks can't be compared, not even across a restart. A
-replica receives a write after the primary received the call that it is for; whatever is loaded from the journal or
-comes in a snapshot was written before. So an age counted from here is never too high, and a hold that lasts for its
-time from here never ends before its holder has stopped. A backup receives each renewal within a round trip, so that a
-new primary lets holds end hardly later than the old one would have.
+"""Tracks when each lock and each event entered this controller's state, on its own monotonic clock.
+
+The times are neither stored nor sent to other machines, because monotonic clocks are not comparable between machines
+or across restarts. A replica receives a write after the primary received the call that caused it, and items loaded
+from the journal or from a snapshot were written earlier still. An age counted from the receipt is therefore never too
+high, and a hold that is given its full duration from the receipt never expires before its holder has stopped. A backup
+receives each renewal within a round trip, so a new primary expires holds only slightly later than the old one would
+have.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 
 
 class ReceiptTimes:
-    """The receipt of the newest revision of each timed item."""
+    """The time of receipt of the newest revision of each lock and event."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self._received: dict[str, tuple[int, float]] = {}  # by key: the revision, and when it came
+        self._received: dict[str, tuple[int, float]] = {}  # by key: the revision, and its time of receipt
 
     def observe(self, items: Iterable[Item]) -> None:
-        """These items are in the state; those whose revision is new here came just now."""
+        """Record the current time for those of the items whose revision was not observed before."""
         for item in items:
             if item.kind in TIMED_KINDS:
                 self._observe(item)
@@ -42,5 +43,5 @@
         return now
 
     def age_s(self, item: Item) -> float:
-        """How long this revision of the item has been here; an item that wasn't observed came just now."""
+        """Return the seconds since this revision of the item was received; 0 if it was not observed before."""
         return self.clock() - self._observe(item)
--- a/otterreach/controller/replication.py
+++ b/otterreach/controller/replication.py
@@ -1,9 +1,10 @@
 """Replication of the control state among controllers.
 
-Epochs, a primary, backups that have every write before it is answered, and witnesses that keep only epochs
-(docs/system.md, "Epochs of the controllers").
+Each epoch has a primary, backups that store every write before it is acknowledged, and witnesses that store only epoch
+configurations (docs/system.md, "Epochs of the controllers").
 
-No clock is trusted for safety: every write waits for every backup, and one promise by one member ends an epoch.
+Safety does not depend on clocks: every write waits for every backup, and a single member's promise to a higher epoch
+ends the present one.
 """
 
 from __future__ import annotations
@@ -34,14 +35,14 @@
 from otterreach.runtime.store import Item, ReplicatedStore
 
 TICK_S = 0.05
-MAX_PUBLISHED_AGE_S = 1.0  # of the published state, for the primary that it names to count as heard
+MAX_PUBLISHED_AGE_S = 1.0  # maximum age of published state for the primary that it names to count as live
 REWRITE_LIMITS = Limits(4 * 1024 * 1024, 4.0)
 
 
 class ControlReplication:
-    """One controller's part in the replication.
+    """The facade of one controller's replication: constructs its components and delegates to them.
 
-    It has no more methods than its users need of it: each is a line that names the part that does the work.
+    It offers only the methods that its users need.
     """
 
     def __init__(
@@ -53,13 +54,13 @@
         random: Random,
         leadership_changed: Callable[[bool], None] = lambda _: None,
     ) -> None:
-        """:param leadership_changed: called when this controller becomes primary (True) and when it no longer is."""
+        """:param leadership_changed: called with True on becoming primary and with False on ceasing to be primary."""
         self.settings = settings
         self.endpoint = endpoint
         self.follower = follower
         self.leadership_changed = leadership_changed
         self.replica = LocalReplica(settings, journal)
-        # The order of the observers is the order in which they are called.
+        # Observers of mode changes are called in the order of their registration.
         self.replica.on_mode_change.append(self._set_root)
         self.acceptor = Acceptor(self.replica, endpoint, follower)
         self.snapshots = SnapshotReceiver(self.replica, endpoint)
@@ -73,16 +74,16 @@
         self.tombstone_clock = TombstoneClock(lambda: self.replica.store)
         self.compaction = Compaction(journal, self.replica.live_records, self.replica.live_bytes, REWRITE_LIMITS)
 
-    # What others see of it -----------------------------------------------------------------------
+    # Interface -----------------------------------------------------------------------------------
 
     @property
     def id(self) -> str:
-        """The id on this controller's disk."""
+        """The id stored on this controller's disk."""
         return self.replica.id
 
     @property
     def mode(self) -> Mode:
-        """The part that this controller takes in its epoch."""
+        """The role of this controller in its epoch."""
         return self.replica.mode
 
     @property
@@ -102,75 +103,75 @@
 
     @property
     def state(self) -> ReplicatedStore:
-        """The control state as it is on this disk; at the primary also what not all members have yet."""
+        """The control state of this replica; at the primary it includes changes that are not committed yet."""
         return self.replica.store
 
     @property
     def is_primary(self) -> bool:
-        """Whether this controller leads, to its knowledge."""
+        """True if this controller is the primary, to its own knowledge."""
         return self.replica.is_primary
 
     @property
     def primary_address(self) -> str:
-        """The primary's address, to this controller's knowledge; empty if it hasn't been heard for long."""
+        """The last known address of the primary; empty if it has not been heard from for PRIMARY_ADDRESS_VALID_S."""
         return self.replica.primary_address
 
     @property
     def live_primary_address(self) -> str:
-        """The address of a primary that was heard a moment ago; empty if none was.
+        """The address of a primary that was heard from recently; empty if there is none.
 
-        A primary sends heartbeats to its witnesses alone; other controllers hear of it by the relay tree.
+        A primary sends heartbeats only to its witnesses; other controllers learn of it through the relay tree.
         """
         return self.replica.live_primary_address or self._published_primary_address()
 
     def _published_primary_address(self) -> str:
-        """The primary as the published state names it, for a controller that is no witness."""
+        """Return the address of the primary named by the published state, for a controller that is not a witness."""
         if self.replica.is_witness or self.follower.age_s() > MAX_PUBLISHED_AGE_S:
             return ""
         record = self.follower.store.record(CoreRecord)
         return record.primary if record and record.primary != self.settings.address else ""
 
     def not_primary(self) -> Failure:
-        """The answer to a call that only the primary takes."""
+        """Return the failure for a call that only the primary serves."""
         return self.replica.not_primary()
 
     async def confirm(self) -> bool:
-        """Whether this is the primary now. Before a read."""
+        """Return True if this controller is confirmed as the primary now. Called before a read is answered."""
         return await self.primary.confirm()
 
     async def committed(self) -> bool:
-        """Whether this is the primary now, and all members have the state as it was at the call."""
+        """Return True if this is the primary now and all members have every change made before the call."""
         return await self.primary.committed()
 
     async def done_when_committed(self) -> Done | Failure:
-        """The answer to a call that has nothing left to change, once what it rests on can't be lost any more."""
+        """Return the reply to a call whose change is in the state already: Done once that state cannot be lost."""
         return Done() if await self.committed() else Failure(Code.NOT_SYNCED, "not at all replicas")
 
     @property
     def accepts_writes(self) -> bool:
-        """Whether `propose`, called now, changes anything."""
+        """True if `propose`, called now, would accept a write."""
         return self.primary.writes.accepts_writes
 
     def on_items(self, observer: Callable[[Iterable[Item]], None]) -> None:
-        """Call `observer` with items that have just come into the state: written, received, loaded or installed."""
+        """Register an observer of items that enter the state: written, received, loaded or installed."""
         self.replica.on_items.append(observer)
 
     def on_committed(self, observer: Callable[[list[Item]], None]) -> None:
-        """Call `observer`, at the primary, with items that all members have from now on."""
+        """Register an observer, called at the primary, of items that all members now have."""
         self.primary.publisher.on_committed.append(observer)
 
     def propose(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
-        """Change items; an empty value deletes one. True once all members have the changes; False: perhaps not."""
+        """Set items to new values; an empty value deletes the item. See WritePipeline.propose."""
         return self.primary.propose(changes)
 
-    # Its work ------------------------------------------------------------------------------------
+    # Operation -----------------------------------------------------------------------------------
 
     def load(self, records: Iterable[Record]) -> None:
-        """The state as the journal has it. `start` makes it last."""
+        """Load the state from the journal's records. What a first start appends is durable once `start` has synced."""
         self.replica.load(records)
 
     def become_primary(self, installed: list[Item]) -> None:
-        """The configuration of which this controller is primary is in force."""
+        """Begin the epoch of the accepted configuration, of which this controller is primary."""
         self.primary.begin_epoch(installed)
 
     def _set_root(self, old: Mode, new: Mode) -> None:
@@ -183,16 +184,16 @@
             self.leadership_changed(new is Mode.PRIMARY)
 
     async def start(self) -> None:
-        """Make the start last, then take part, for ever."""
+        """Sync the journal, then run the decision loop and the primary's loop until the disk fails."""
         if await self.replica.sync():
             await asyncio.gather(self._run(), self.primary.run())
 
     async def leave(self) -> None:
-        """Transfer leadership and replica before the end, within a bounded time."""
+        """Hand over leadership and replica before the process exits, within a bounded time."""
         await self.shutdown.run()
 
     async def _run(self) -> None:
-        """The decision loop: bootstrap, reconcile members as primary, stand for election, ask to join, compact."""
+        """Run the decision loop: bootstrap, reconcile members, stand for election, ask to join, compact the journal."""
         loop = self.replica.loop
         self.membership.asked_to_join_at = loop.time()
         while self.mode is not Mode.FAILED:
@@ -215,8 +216,8 @@
                 self.replica.fail_disk()
 
     def _election_is_due(self) -> bool:
-        """Whether the primary has been silent for so long that this controller stands."""
-        waits = self.mode is Mode.FOLLOWING and not self.election.barred
+        """Return True if the election time-out has expired and this controller may stand for election."""
+        waits = self.mode is Mode.FOLLOWING and not self.election.disabled
         return waits and self.election_timer.has_expired() and self.election.may_stand()
 
     def _collect_tombstones(self, now: float) -> None:
--- a/otterreach/controller/snapshot.py
+++ b/otterreach/controller/snapshot.py
@@ -1,9 +1,9 @@
 """Transfers the complete control state to another controller, in chunks (docs/control-state.md, "Snapshots").
 
-The receiver builds the new state beside the one that it has, and on its disk; only a commit, which names the digests of
-the complete state, puts it in place. A transfer that stopped is resumed: the receiver tells the digests of what it has
-built, and gets the ranges of keys that differ. Each chunk is waited for by itself, so that a thin link or a slow
-machine takes longer and does not fail; heartbeats and writes go between the chunks.
+The receiver stages the new state separately from its present one, also on disk. Only a commit, which carries the
+digests of the complete state, replaces the present state. An interrupted transfer can be resumed: the receiver reports
+the digests of its staged state and is sent the key ranges that differ. Each chunk has its own time-out, so that a slow
+link or machine makes the transfer longer and does not fail it; heartbeats and writes are sent between the chunks.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 from otterreach.runtime.rpc import Done, Endpoint, Link
 from otterreach.runtime.store import ReplicatedStore
 
-CHUNK_BYTES = 64 * 1024  # of items in one message, about: 20 ms of a link of 30 Mbit/s
-CHUNK_TIMEOUT_S = 1.0  # a chunk is waited for so long, and longer by its size
+CHUNK_BYTES = 64 * 1024  # approximate size of the items in one message; 20 ms on a 30 Mbit/s link
+CHUNK_TIMEOUT_S = 1.0  # time-out of a chunk, to which its size divided by SLOWEST_BYTES_PER_S is added
 SLOWEST_BYTES_PER_S = 100_000
 OFFER_TIMEOUT_S = 0.4
-SMALL_STATE_BYTES = 256 * 1024  # a state of so much goes over within an election
-PREPARE_TIMEOUT_S = 30.0  # an election waits no longer for those that it is to make backups
-PREPARED_VALID_S = 5.0  # so long they count as prepared: what changes meanwhile is little
-MAX_ROUNDS = 3  # offers in one transfer: what was lost on its way is sent again
+SMALL_STATE_BYTES = 256 * 1024  # a state up to this size is transferred within the election
+PREPARE_TIMEOUT_S = 30.0  # maximum delay of an election for the preparation of its future backups
+PREPARED_VALID_S = 5.0  # prepared backups count as such for this long, since few changes accumulate meanwhile
+MAX_ROUNDS = 3  # passes of one transfer; later passes resend chunks that were lost
 NEVER_S = -1e9
 
 
 class SnapshotReceiver:
-    """The answering side. Nothing that is built here counts before its commit is on the disk."""
+    """The receiving side of a transfer. A staged state has no effect before its commit is on disk."""
 
     def __init__(self, replica: LocalReplica, endpoint: Endpoint) -> None:
         self.replica = replica
@@ -50,7 +50,7 @@
         return None
 
     async def handle_offer(self, link: Link, offer: SnapshotOffer) -> SnapshotStatus | Failure:
-        """Begin a transfer, or resume one: tell what is here."""
+        """Begin or resume a transfer: reply with the digests of the staged state."""
         if (rejection := self._rejection(offer)) is not None:
             return rejection
         replica = self.replica
@@ -61,27 +61,27 @@
         return SnapshotStatus(list(replica.staged.digests))
 
     async def handle_chunk(self, link: Link, chunk: SnapshotChunk) -> Done | Failure:
-        """Some complete ranges of keys. Done once they are on the disk."""
+        """Stage the complete key ranges of a chunk and reply Done once they are on disk."""
         if (rejection := self._rejection(chunk)) is not None:
             return rejection
         self.replica.stage(chunk)
         return Done() if await self.replica.sync() else self.replica.disk_failure
 
     async def handle_commit(self, link: Link, commit: SnapshotCommit) -> Done | Failure:
-        """The new state is complete and replaces the present one. Done once that is on the disk."""
+        """Replace the present state by the staged one if its digests match; reply Done once that is on disk."""
         if (rejection := self._rejection(commit)) is not None:
             return rejection
         replica = self.replica
         assert replica.staged is not None
         if replica.staged.digests != commit.digests:
             return Failure(Code.NOT_SYNCED, "not complete")
-        replica.step_down("installed")
+        replica.step_down("snapshot installed")
         replica.commit_staged(commit)
         return Done() if await replica.sync() else replica.disk_failure
 
 
 class SnapshotSender:
-    """The asking side: brings other controllers up to a state."""
+    """The sending side of transfers."""
 
     def __init__(self, replica: LocalReplica, endpoint: Endpoint) -> None:
         self.replica = replica
@@ -89,7 +89,10 @@
         self._sessions = 0
 
     async def install(self, target: ControllerInfo, number: int, state: ReplicatedStore) -> bool:
-        """Whether the target has exactly this state in place, on its disk. `state` must not change meanwhile."""
+        """Transfer and commit `state`, which must not change meanwhile.
+
+        :returns: True if the target has exactly this state, on disk
+        """
         session = self._new_session()
         if not await self._send_differing(target, number, session, state):
             return False
@@ -98,7 +101,7 @@
         return isinstance(reply, Done)
 
     async def prepare(self, target: ControllerInfo, number: int, state: ReplicatedStore) -> bool:
-        """Have nearly all of a state that goes on changing at the target, so that a later `install` is short."""
+        """Stage at the target nearly all of a state that keeps changing, so that a later `install` is short."""
         return await self._send_differing(target, number, self._new_session(), state)
 
     def _new_session(self) -> str:
@@ -125,7 +128,7 @@
     async def _send_ranges(
         self, target: ControllerInfo, number: int, session: str, state: ReplicatedStore, ranges: list[int]
     ) -> None:
-        """The ranges, chunk after chunk, until one is not accepted."""
+        """Send the ranges, one chunk after another, until all are sent or one is not accepted."""
         sent = 0
         for chunk_ranges in state.chunks(ranges, CHUNK_BYTES):
             items = state.in_ranges(chunk_ranges)
@@ -142,15 +145,15 @@
 async def install_all(
     sender: SnapshotSender, targets: list[ControllerInfo], number: int, state: ReplicatedStore
 ) -> list[str]:
-    """The ids of those that have the complete state on their disks now."""
+    """Transfer the complete state to all targets and return the ids of those that now have it on disk."""
     installed = await asyncio.gather(*(sender.install(target, number, state) for target in targets))
     return [target.id for target, done in zip(targets, installed, strict=True) if done]
 
 
 class Preparation:
-    """Sends a large state to those that are to become backups before the primary begins an election for it.
+    """Transfers a large state to future backups before the primary starts the election that makes them backups.
 
-    No write is answered during an election; a small state goes over in the election itself.
+    Writes are not answered during an election, so only a small state is transferred within the election itself.
     """
 
     def __init__(self, replica: LocalReplica, sender: SnapshotSender) -> None:
@@ -160,7 +163,7 @@
         self._prepared_at: dict[str, float] = {}
 
     def is_ready(self, targets: Iterable[ControllerInfo]) -> bool:
-        """Whether the election may begin. If not, what is missing is being sent: ask again."""
+        """Return True if the election may begin; otherwise start or continue the transfers, to be polled again."""
         if self.replica.store.bytes <= SMALL_STATE_BYTES:
             return True
         now = self.replica.loop.time()
@@ -171,12 +174,15 @@
         return not self._running
 
     async def _prepare(self, target: ControllerInfo) -> None:
-        """Also where it fails the election may begin: it finds out who has the state."""
+        """Transfer the state to one target.
+
+        The election may begin even if the transfer fails, since the election determines who has the state.
+        """
         try:
             async with asyncio.timeout(PREPARE_TIMEOUT_S):
                 await self.sender.prepare(target, self.replica.number, self.replica.store)
         except TimeoutError:
-            log("snapshot_stopped", target=target.node, number=self.replica.number, reason="slow")
+            log("snapshot_stopped", target=target.node, number=self.replica.number, reason="preparation timed out")
         finally:
             del self._running[target.id]
             self._prepared_at[target.id] = self.replica.loop.time()
--- a/otterreach/controller/witness_contacts.py
+++ b/otterreach/controller/witness_contacts.py
@@ -1,7 +1,7 @@
-"""When each witness last answered the primary, and whether a majority did so a moment ago.
+"""Tracks when each witness last answered the primary, and whether a majority did so recently.
 
-Times are the monotonic clock of the primary, and count from when it asked: a delayed answer passes for no newer one
-than its question.
+Times are on the primary's monotonic clock. A contact is dated by when its request was sent, so that a delayed reply
+does not make the contact look more recent than the request.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 from otterreach.controller.epochs import EpochConfiguration, is_majority
 
-MAX_CONTACT_AGE_S = 0.45  # a primary that a majority of the witnesses has not answered for longer serves nothing
+MAX_CONTACT_AGE_S = 0.45  # without replies of a majority within this time, the primary serves no requests
 
 
 @dataclass(slots=True)
 class WitnessContact:
-    """What the primary knows of a witness."""
+    """The primary's contact with one witness."""
 
-    answered_at: float  # when the last heartbeat that it confirmed was sent
-    in_flight: int = 0  # heartbeats without an answer yet
+    answered_at: float  # time at which the latest request that it answered was sent
+    in_flight: int = 0  # unanswered heartbeats
 
 
 class WitnessContacts:
-    """The contacts of one epoch's primary."""
+    """The primary's contacts with the witnesses of its epoch."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
@@ -33,10 +33,11 @@
         self._changed = asyncio.Event()
 
     def begin_epoch(self, configuration: EpochConfiguration, own_id: str, was_primary: bool) -> None:
-        """The configuration has just come into force.
+        """Track the witnesses of a configuration that has just taken effect.
 
-        Its members count as heard now. Of the others, what the same primary knew before goes on, so that one that is
-        gone is not taken for new at each change.
+        Its members, and witnesses unknown so far, count as in contact now. If this controller was primary before, the
+        contact times of the other witnesses are kept, so that an unreachable one does not count as in contact again
+        at each change of configuration.
         """
         now = self.clock()
         before = self.by_id if was_primary else {}
@@ -47,24 +48,24 @@
         self.wake()
 
     def record_answer(self, ident: str, asked_at: float) -> None:
-        """This witness, asked at that time, said that the epoch holds."""
+        """Record that this witness confirmed the epoch in reply to a request sent at `asked_at`."""
         contact = self.by_id[ident]
         contact.answered_at = max(contact.answered_at, asked_at)
         self.wake()
 
     def wake(self) -> None:
-        """Let those who wait for a majority look again."""
+        """Make all callers of `wait_for_majority` check again."""
         self._changed.set()
 
     def since_contact_s(self) -> dict[str, float]:
-        """Seconds since each was last in touch."""
+        """Return the seconds since the last contact with each witness, by id."""
         now = self.clock()
         return {ident: now - contact.answered_at for ident, contact in self.by_id.items()}
 
     def has_majority(self, since: float | None = None) -> bool:
-        """Whether a majority of the witnesses, this controller included, answered what was asked since then.
+        """Return True if a majority of the witnesses, this controller included, answered requests sent since `since`.
 
-        :param since: on the monotonic clock; by default MAX_CONTACT_AGE_S ago
+        :param since: time on the monotonic clock; by default MAX_CONTACT_AGE_S ago
         """
         configuration = self.configuration
         if configuration is None:
@@ -75,7 +76,10 @@
         return is_majority(in_touch, configuration)
 
     async def wait_for_majority(self, since: float, may_go_on: Callable[[], bool]) -> bool:
-        """True once a majority has answered what was asked since then; False once `may_go_on` does not hold."""
+        """Wait until a majority has answered requests sent since `since`.
+
+        :returns: True once it has; False once `may_go_on` returns False
+        """
         while may_go_on():
             if self.has_majority(since):
                 return True
--- a/otterreach/controller/writes.py
+++ b/otterreach/controller/writes.py
@@ -1,13 +1,13 @@
-"""The way of a write at the primary, from top to bottom: propose, queue, disk and backups, witnesses, answer.
+"""The write pipeline of the primary: propose, queue, append to disk and backups, confirm the epoch, commit.
 
 1. `propose` applies the change to the primary's own state, appends it to its journal and queues it.
-2. `_replicate` takes what is queued as one batch, one batch at a time.
-3. `_append_to_backups` waits until this disk and every backup's have the batch, in this epoch.
-4. `_replicate_batch` waits until a majority of the witnesses, asked meanwhile, has said that the epoch holds.
-5. The batch is published to the relay tree, and its callers are answered with True.
+2. `_replicate` takes the queued changes as one batch, one batch at a time.
+3. `_append_to_backups` waits until the primary's disk and every backup's disk have the batch, in this epoch.
+4. `_replicate_batch` waits until a majority of the witnesses, asked concurrently, has confirmed the epoch.
+5. The batch is committed: it is published to the relay tree, and its callers get True.
 
-Whatever fails on the way leads to a new epoch of this primary, in which the batch is appended again, or to a step
-down, at which the callers are answered with False: their change may be in force or not.
+A failure in any step leads either to a new epoch of this primary, in which the batch is appended again, or to its
+stepping down, upon which the callers get False: the outcome of their change is unknown.
 """
 
 from __future__ import annotations
@@ -29,29 +29,29 @@
 from otterreach.runtime.rpc import Done, Endpoint
 from otterreach.runtime.store import Item
 
-POLL_S = 0.005  # between two looks whether earlier writes are committed
-REPAIR_TIMEOUT_S = 0.8  # a write that waits for a backup's replacement is answered then
-REVISION_BITS = 24  # of an item's revision: the count within its epoch; the epoch's number stands above
-LAST_COUNT = 1 << (REVISION_BITS - 1)  # no write begins behind this count: the largest one still has room
-NEW_EPOCH_COUNT = LAST_COUNT // 2  # from here on the primary begins a new epoch
+POLL_S = 0.005  # polling interval while waiting for earlier writes to be committed or answered
+REPAIR_TIMEOUT_S = 0.8  # time-out of a write that waits for the replacement of a lost backup
+REVISION_BITS = 24  # low bits of an item's revision: the count within its epoch; the epoch number is above them
+LAST_COUNT = 1 << (REVISION_BITS - 1)  # no write is accepted beyond this count, so that the largest one still fits
+NEW_EPOCH_COUNT = LAST_COUNT // 2  # at this count the primary begins a new epoch
 
 
 @dataclass(slots=True)
 class PendingWrite:
-    """A write that its caller waits for."""
+    """A write whose caller waits for the answer."""
 
     answer: asyncio.Future[bool]
-    number: int  # counts up from write to write
+    number: int  # sequence number
     submitted_at: float
 
     def complete(self, committed: bool) -> None:
-        """Answer the caller, once."""
+        """Answer the caller, unless it was answered before."""
         if not self.answer.done():
             self.answer.set_result(committed)
 
 
 class WritePipeline:
-    """The writes of one controller while it is primary."""
+    """Replicates the writes of one controller while it is primary."""
 
     def __init__(
         self,
@@ -66,25 +66,25 @@
         self.election = election
         self.heartbeats = heartbeats
         self.publisher = publisher
-        self.closed = False  # this controller shuts down: it accepts no more writes
+        self.closed = False  # set at graceful shutdown: no more writes are accepted
         self._count_in_epoch = 0  # the low bits of the last revision
         self._queue: list[Item] = []
-        self._queued: list[PendingWrite] = []  # whose items are in the queue
-        self._unanswered: list[PendingWrite] = []  # all, oldest first
+        self._queued: list[PendingWrite] = []  # writes whose items are in the queue
+        self._unanswered: list[PendingWrite] = []  # all pending writes, oldest first
         self._replicating = False
-        self._submitted = 0  # the number of the last write
-        self._committed = 0  # the number of the last write that all members have
+        self._submitted = 0  # sequence number of the last proposed write
+        self._committed = 0  # sequence number of the last write that all members have
         self._step_downs = 0
         replica.on_step_down.append(self._abandon)
 
-    # An epoch begins and ends --------------------------------------------------------------------
+    # Beginning and end of an epoch ---------------------------------------------------------------
 
     def begin_epoch(self) -> None:
-        """Go on behind the highest revision of the epoch, before the first write in it."""
+        """Continue after the highest revision of the epoch. Called before the first write in it."""
         self._count_in_epoch = self._highest_count()
 
     def resume(self) -> None:
-        """The epoch is in force: replicate what is still queued."""
+        """Replicate the queued writes. Called once the epoch has taken effect."""
         if self._queue and not self._replicating:
             self.endpoint.spawn(self._replicate())
 
@@ -95,42 +95,42 @@
         return max([revision & mask for revision in revisions if revision >> REVISION_BITS == number] or [0])
 
     def _abandon(self) -> None:
-        """This controller stepped down: the writes in progress end without a clear answer."""
+        """Answer all pending writes with False (outcome unknown). Called when this controller has stepped down."""
         unanswered = self._unanswered
         self._unanswered = []
         self._queued = []
         self._queue = []
-        self._committed = self._submitted  # if this leads again, all its members begin with its complete state
+        self._committed = self._submitted  # if it becomes primary again, all members start with its complete state
         self._step_downs += 1
         for write in unanswered:
             write.complete(False)
         self.heartbeats.contacts.wake()
 
     async def close(self) -> None:
-        """Accept no more writes; return once those in progress are answered."""
+        """Accept no more writes; return once the pending ones are answered."""
         self.closed = True
         while any(not write.answer.done() for write in self._unanswered):
             await asyncio.sleep(POLL_S)
 
     @property
     def accepts_writes(self) -> bool:
-        """Whether `propose`, called now, changes anything."""
+        """True if `propose`, called now, would accept a write."""
         if self.closed or not self.replica.is_primary or self._count_in_epoch > LAST_COUNT:
             return False
         return self.heartbeats.contacts.has_majority()
 
     @property
     def needs_epoch(self) -> bool:
-        """Whether the revisions of this epoch come to their end."""
+        """True if the revisions of this epoch are running out."""
         return self._count_in_epoch >= NEW_EPOCH_COUNT
 
-    # The way of a write --------------------------------------------------------------------------
+    # Writes --------------------------------------------------------------------------------------
 
     def propose(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
-        """Change items; an empty value deletes one.
+        """Set items to new values; an empty value deletes the item.
 
-        :returns: True once all members have the changes; False if they may be in force or not. Where this is not the
-            primary, or no majority is in touch, False at once, and nothing was changed.
+        :returns: True once all members have the changes; False if the outcome is unknown. Not being the primary, or
+            lacking contact with a majority, gives False at once, and nothing is changed.
         """
         replica = self.replica
         future: asyncio.Future[bool] = replica.loop.create_future()
@@ -180,15 +180,15 @@
                 write.complete(True)
             return
         if self._step_downs != step_downs:
-            return  # these writes were answered then; another may have led since, without the items
-        # Appended once more in the next epoch, or abandoned at the step down.
+            return  # these writes were answered at the step down; a later primary may not have had their items
+        # To be appended again in the next epoch, or abandoned when this controller steps down.
         self._queue = items + self._queue
         self._queued = writes + self._queued
         if self.heartbeats.leads(configuration) and not self.election.in_progress:
             await self.election.run()
 
     def _ask_other_witnesses(self, configuration: EpochConfiguration) -> None:
-        """Where the members alone are no majority: ask the other witnesses beside the write."""
+        """Send heartbeats to the other witnesses concurrently with the write, if the members alone are no majority."""
         if is_majority(configuration.members, configuration):
             return
         for witness in configuration.witnesses:
@@ -196,7 +196,10 @@
                 self.endpoint.spawn(self.heartbeats.send(witness, configuration))
 
     async def _append_to_backups(self, configuration: EpochConfiguration, items: list[Item]) -> bool:
-        """Whether this disk and every backup's have the items, in this epoch."""
+        """Append the items to every backup and return True once they and this controller have them on disk.
+
+        Return False if a backup fails or the epoch has ended.
+        """
         replica = self.replica
         backups = [witness for witness in configuration.witnesses if witness.id in configuration.backups]
         request = AppendItems(configuration.number, items)
@@ -216,13 +219,13 @@
         return True
 
     async def _wait_for_majority(self, configuration: EpochConfiguration, asked_at: float) -> bool:
-        """Whether a majority has said that the epoch holds; False once this leads it no more."""
+        """Return True once a majority has confirmed the epoch; False once this controller no longer leads it."""
         return await self.heartbeats.contacts.wait_for_majority(asked_at, lambda: self.heartbeats.leads(configuration))
 
-    # Beside it -----------------------------------------------------------------------------------
+    # Time-outs and reads -------------------------------------------------------------------------
 
     def answer_late_writes(self) -> None:
-        """Answer, without a clear result, the writes that lack a majority, or a backup, for too long."""
+        """Answer writes that have lacked a majority or a backup for too long with False (outcome unknown)."""
         now = self.replica.loop.time()
         patience_s = REPAIR_TIMEOUT_S if self.heartbeats.contacts.has_majority() else CONFIRM_TIMEOUT_S
         self._unanswered = [write for write in self._unanswered if not write.answer.done()]
@@ -231,9 +234,9 @@
                 write.complete(False)
 
     async def committed(self) -> bool:
-        """Whether this is the primary now, and all members have the complete state as it was at the call.
+        """Return True if this is the primary now and all members have every change made before the call.
 
-        For an answer that rests on the state: a change that not all members have may still vanish.
+        Called before an answer that depends on the state: a change that not all members have may still be lost.
         """
         submitted = self._submitted
         step_downs = self._step_downs
