--- a/otterreach/controller/__init__.py
+++ b/otterreach/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: configuration, servers, members, versions and partitions, kept by the controllers."""
+"""The control plane: controllers that replicate configuration, servers, members, versions and partitions."""
--- a/otterreach/controller/__main__.py
+++ b/otterreach/controller/__main__.py
@@ -1,4 +1,4 @@
-"""python3 -m otterreach.controller: a controller, configured by the settings file."""
+"""Entry point of a controller (`python3 -m otterreach.controller`), configured by the settings file."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def figure_sources(node: Node, journal: Journal, controller: ControllerNode) -> tuple[FigureSource, ...]:
-    """What a controller tells of itself. Imports what a start does without."""
+    """Return the sources of a controller's metrics. Their modules are imported lazily, to keep the start short."""
     from otterreach.controller.figures import controller_figures
     from otterreach.runtime.node_figures import journal_figures, node_figures
 
--- a/otterreach/controller/failure_detector.py
+++ b/otterreach/controller/failure_detector.py
@@ -1,7 +1,7 @@
-"""Who is alive: the last heartbeats of members and servers, as received here and as watchers report them.
+"""Failure detector: the last heartbeats of members and servers, as received here or reported by watchers.
 
-Heartbeats go to two controllers each (the watchers); watchers report them to the primary. Times are the monotonic
-clock of this process. Nothing here decides what follows from silence, and safety never rests on it.
+Each sender's heartbeats go to two controllers, its watchers, which report them to the primary. Times are on the
+monotonic clock of this process. The detector takes no action on missing heartbeats, and safety does not depend on it.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from otterreach.controller.messages import LastHeartbeat, LivenessReport
 
-HEARTBEAT_TIMEOUT_S = 0.9  # a member that no watcher has heard for so long is taken to be dead
+HEARTBEAT_TIMEOUT_S = 0.9  # a member without a heartbeat at any watcher for this long counts as dead
 NEVER_S = -1e9
 
 
@@ -23,24 +23,24 @@
         self.last_server_heartbeat: dict[str, float] = {}
         self._shut_down_at: dict[str, float] = {}
 
-    # What is learned -----------------------------------------------------------------------------
+    # Updates -------------------------------------------------------------------------------------
 
     def record_heartbeat(self, member: str) -> None:
-        """A member's heartbeat has just arrived here."""
+        """Record a member's heartbeat that has just arrived here."""
         self.last_heartbeat[member] = self.clock()
 
     def record_server_heartbeat(self, server: str) -> None:
-        """A server's heartbeat has just arrived here."""
+        """Record a server's heartbeat that has just arrived here."""
         self.last_server_heartbeat[server] = self.clock()
 
     def record_shutdown(self, member: str) -> None:
-        """A member has said that it ends: it counts as dead until it is heard again."""
+        """Record that a member has announced its shutdown; it counts as dead until its next heartbeat."""
         now = self.clock()
         self.last_heartbeat[member] = now - 2 * HEARTBEAT_TIMEOUT_S
         self._shut_down_at[member] = now
 
     def record_report(self, report: LivenessReport) -> None:
-        """A watcher has told whose heartbeats it received."""
+        """Merge a watcher's report of the heartbeats that it received."""
         now = self.clock()
         self._merge(self.last_heartbeat, report.nodes, now)
         self._merge(self.last_server_heartbeat, report.servers, now)
@@ -52,7 +52,7 @@
             known[heartbeat.name] = max(known.get(heartbeat.name, NEVER_S), heartbeat_at)
 
     def assume_alive(self, members: Iterable[str], servers: Iterable[str]) -> None:
-        """Count all of these as heard just now: a new primary does not know yet who is dead."""
+        """Count all of these as alive now. Called by a new primary, which does not know yet which of them are dead."""
         now = self.clock()
         for member in members:
             self.last_heartbeat[member] = now
@@ -62,7 +62,7 @@
     # Reports and queries -------------------------------------------------------------------------
 
     def report_since(self, watcher: str, since: float) -> LivenessReport:
-        """The heartbeats that arrived since then, for the primary."""
+        """Return a report to the primary of the heartbeats that arrived since `since`."""
         return LivenessReport(
             watcher,
             self._heartbeats_since(self.last_heartbeat, since),
@@ -74,20 +74,20 @@
         return [LastHeartbeat(name, int((now - at) * 1000)) for name, at in known.items() if at >= since]
 
     def is_in_contact(self, member: str) -> bool:
-        """Whether a heartbeat of this member is younger than the time-out."""
+        """Return True if this member's last heartbeat is more recent than HEARTBEAT_TIMEOUT_S."""
         return self.clock() - self.last_heartbeat.get(member, NEVER_S) < HEARTBEAT_TIMEOUT_S
 
     def is_alive(self, member: str) -> bool:
-        """Whether this member was heard recently, and after any shutdown that it announced."""
+        """Return True if this member's last heartbeat is recent and not older than any shutdown that it announced."""
         last_heartbeat = self.last_heartbeat.get(member, NEVER_S)
         return self.is_in_contact(member) and last_heartbeat >= self._shut_down_at.get(member, NEVER_S)
 
     def seconds_since_heartbeat(self, member: str) -> float:
-        """Seconds since this member was last heard; of one that is new here the time counts from now."""
+        """Return the seconds since this member's last heartbeat; for an unknown member the time counts from now."""
         now = self.clock()
         return now - self.last_heartbeat.setdefault(member, now)
 
     def seconds_since_server_heartbeat(self, server: str) -> float:
-        """Seconds since this server was last heard; of one that is new here the time counts from now."""
+        """Return the seconds since this server's last heartbeat; for an unknown server the time counts from now."""
         now = self.clock()
         return now - self.last_server_heartbeat.setdefault(server, now)
--- a/otterreach/controller/formation.py
+++ b/otterreach/controller/formation.py
@@ -1,4 +1,4 @@
-"""Forms the configuration of a new epoch: its witnesses, and backups that already hold the complete state."""
+"""Forms the configuration of a new epoch: its witnesses, and backups that hold the complete state already."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """What an election changes besides the primary."""
+    """The changes that an election makes besides the primary."""
 
     drop: frozenset[str] = frozenset()  # witnesses to remove
     add: tuple[ControllerInfo, ...] = ()  # witnesses to add
-    avoid: frozenset[str] = frozenset()  # controllers that shut down: backups only if there is nobody else
-    transfer: bool = False  # the primary itself asked for it
+    avoid: frozenset[str] = frozenset()  # controllers shutting down: made backups only if there are no others
+    transfer: bool = False  # the present primary asked for the election
 
 
 NO_CHANGE = MembershipChange()
@@ -42,14 +42,14 @@
         self.settings = replica.settings
         self.limits = limits_of(replica.settings)
         self.snapshots = SnapshotSender(replica, endpoint)
-        self._unmet: list[str] = []  # kinds of allowed losses that the last configuration does not survive
+        self._unmet: list[str] = []  # kinds of losses that the last configuration should survive and does not
 
     def domains(self, controllers: Iterable[ControllerInfo]) -> dict[str, FailureDomain]:
-        """Where controllers stand, by id."""
+        """Return the failure domains of controllers, by id."""
         return {controller.id: failure_domain_of(controller.zone, self.settings.zones) for controller in controllers}
 
     def first(self, witnesses: list[ControllerInfo]) -> EpochConfiguration:
-        """The very first configuration: there is no state yet that a backup could lack."""
+        """Return the initial configuration. Its backups need no snapshot, since there is no state yet."""
         own_id = self.replica.id
         others = [witness.id for witness in witnesses if witness.id != own_id]
         backups = choose_replicas([own_id], others, self.domains(witnesses), self.limits)
@@ -63,11 +63,11 @@
         promised: dict[str, ControllerInfo],
         change: MembershipChange,
     ) -> EpochConfiguration | None:
-        """The new configuration; its backups have `items`, the complete state, on disk.
+        """Return the new configuration, after its backups have stored `items`, the complete state, on disk.
 
-        :param base: the configuration before
+        :param base: the previous configuration
         :param promised: the witnesses that have promised, by id
-        :returns: None if too few backups could be filled
+        :returns: None if the state could be installed at too few backups
         """
         own_id = self.replica.id
         added = {controller.id for controller in change.add}
@@ -90,7 +90,10 @@
         return EpochConfiguration(number, own_id, backups, witnesses) if len(backups) >= least else None
 
     async def _fill_backups(self, candidates: list[ControllerInfo], number: int, items: list[Item]) -> list[str]:
-        """The ids of the fewest that have the complete state and, with this controller, survive every allowed loss."""
+        """Install the state at as few candidates as survive, with this controller, every allowed loss.
+
+        :returns: the ids of the candidates that have the complete state on disk
+        """
         own_id = self.replica.id
         backups: list[str] = []
         domains = self.domains([self.replica.info, *candidates])
@@ -101,13 +104,13 @@
         return backups
 
     async def _install_snapshots(self, targets: list[ControllerInfo], number: int, items: list[Item]) -> list[str]:
-        """The ids of those that have the complete state on their disks now."""
+        """Install the complete state at all targets and return the ids of those that now have it on disk."""
         state = ReplicatedStore()
         state.apply(items)
         return await install_all(self.snapshots, targets, number, state)
 
     def log_unmet(self, configuration: EpochConfiguration) -> None:
-        """Say so when the machines that are there begin or end not to survive every allowed loss."""
+        """Log the kinds of allowed losses that the configuration does not survive, whenever they change."""
         domains = self.domains(configuration.witnesses)
         by_replicas = unmet_by_replicas([domains[member] for member in configuration.members], self.limits)
         by_voters = unmet_by_voters(list(domains.values()), self.limits)
--- a/otterreach/controller/journal_records.py
+++ b/otterreach/controller/journal_records.py
@@ -1,4 +1,7 @@
-"""The records of a controller's journal, and the control state that they give. The numbers are stored data."""
+"""The records of a controller's journal, and their replay to the control state.
+
+The numbers of the record kinds are stored data and must not change.
+"""
 
 from __future__ import annotations
 
@@ -15,29 +18,29 @@
 
     IDENTITY = 1  # the id of the disk
     PROMISE = 2
-    CONFIGURATION = 3  # accepted
+    CONFIGURATION = 3  # an accepted configuration
     ITEMS = 4  # changes of the state
-    SNAPSHOT = 5  # the state begins anew
-    STAGING = 6  # a snapshot begins to be built beside the state
-    CHUNK = 7  # of that snapshot
-    COMMIT = 8  # that snapshot is complete and replaces the state
+    SNAPSHOT = 5  # replaces the state by the items in the record
+    STAGING = 6  # starts a staged snapshot from a copy of the state
+    CHUNK = 7  # a chunk of the staged snapshot
+    COMMIT = 8  # replaces the state by the staged snapshot, which is complete
 
 
 def decode_configuration(payload: bytes) -> EpochConfiguration:
-    """The configuration in a CONFIGURATION record."""
+    """Return the configuration in a CONFIGURATION record."""
     (configuration,) = decode_as(Accept, payload).configuration
     return configuration
 
 
 class StateReplay:
-    """The control state, record by record."""
+    """Rebuilds the control state record by record."""
 
     def __init__(self) -> None:
         self.store = ReplicatedStore()
-        self.staged: ReplicatedStore | None = None  # a snapshot that is not complete yet
+        self.staged: ReplicatedStore | None = None  # an incomplete snapshot
 
     def apply(self, kind: int, payload: bytes) -> int:
-        """Apply a record. Returns the epoch number below which its writer takes part in nothing; 0 if it tells none."""
+        """Apply a record and return the epoch number that it implies a promise of; 0 if none."""
         if kind == JournalKind.ITEMS:
             self.store.apply(decode_as(AppendItems, payload).items)
         elif kind == JournalKind.SNAPSHOT:
--- a/otterreach/controller/member_registry.py
+++ b/otterreach/controller/member_registry.py
@@ -1,4 +1,4 @@
-"""The registry of members: machines announce themselves, shut down, and are forgotten after a long silence."""
+"""The registry of members: machines register, announce their shutdown, and expire when they send no heartbeats."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from otterreach.runtime.records import MemberRecord, MemberRole, PartitionRecord, delete, put
 from otterreach.runtime.rpc import Done, Endpoint, Link
 
-PROXY_FORGOTTEN_S = 8.0  # of silence, for a member that keeps nothing
-MEMBER_FORGOTTEN_S = 60.0
+PROXY_FORGOTTEN_S = 8.0  # expiry of proxies without a heartbeat; they store nothing
+MEMBER_FORGOTTEN_S = 60.0  # expiry of other members
 
 
 class MemberRegistry:
-    """The items `member/NODE` of the control state. Run by the primary."""
+    """Maintains the items `member/NODE` of the control state. Run by the primary."""
 
     def __init__(
         self,
@@ -34,15 +34,15 @@
         endpoint.on(MemberShutdown, self.handle_shutdown)
 
     def records(self) -> dict[str, MemberRecord]:
-        """All members by their node names."""
+        """Return the records of all members, by node name."""
         return self.control.state.records(MemberRecord)
 
     def member_ids(self) -> list[str]:
-        """The ids of all members."""
+        """Return the ids of all members."""
         return [record.id(node) for node, record in self.records().items()]
 
     def live_proxies(self) -> set[str]:
-        """The node names of the proxies that are alive."""
+        """Return the node names of the proxies with a recent heartbeat."""
         return {
             node
             for node, record in self.records().items()
@@ -50,7 +50,7 @@
         }
 
     async def handle_announcement(self, link: Link, announcement: MemberAnnouncement) -> Done | Failure:
-        """Register a member. Others at its address are no longer there."""
+        """Register a member and delete other members with the same address, which it has replaced."""
         if not self.control.is_primary:
             return self.control.not_primary()
         node = announcement.node
@@ -70,7 +70,7 @@
         return Done()
 
     async def handle_shutdown(self, link: Link, shutdown: MemberShutdown) -> Done | Failure:
-        """A member ends: count it as dead at once."""
+        """Count a member that announces its shutdown as dead at once."""
         if not self.control.is_primary:
             return self.control.not_primary()
         member = member_id(shutdown.node, shutdown.disk)
@@ -80,7 +80,7 @@
         return Done()
 
     def remove_unresponsive_members(self) -> None:
-        """Delete members that have long been silent and keep nothing. One that comes back announces itself anew."""
+        """Delete expired members that hold no replica. One that comes back registers again."""
         partitions = self.control.state.records(PartitionRecord)
         in_use = {member for partition in partitions.values() for member in partition.replicas}
         changes = []
--- a/otterreach/controller/membership.py
+++ b/otterreach/controller/membership.py
@@ -1,6 +1,7 @@
-"""Who is in the configuration.
+"""Membership of the configuration.
 
-The primary replaces lost backups, adds joiners and removes silent witnesses; a controller outside asks to join.
+The primary replaces lost backups, adds joiners and removes unresponsive witnesses. A controller that is not in the
+configuration asks to join.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
 from otterreach.runtime.relay import Follower
 from otterreach.runtime.rpc import Done, Endpoint, Link
 
-BACKUP_TIMEOUT_S = 0.5  # a backup silent for so long is replaced
-WITNESS_TIMEOUT_S = 3.0  # a witness silent for so long may be removed; for a joiner after half of it
-SHUTDOWN_VALID_S = 10.0  # a controller that announced its shutdown gets no replica for so long
-IMPROVE_INTERVAL_S = 2.0  # between two attempts to make the backups survive every allowed loss
-JOIN_INTERVAL_S = 0.3  # between two requests to join, and of silence before the first
-JOINER_VALID_S = 1.0  # a request to join counts for so long: some controllers are of use only together
-SUSPECT_AFTER_S = 1.0  # silent for longer: last in the order of preference for voters
+BACKUP_TIMEOUT_S = 0.5  # an unresponsive backup is replaced after this time
+WITNESS_TIMEOUT_S = 3.0  # an unresponsive witness may be removed after this time; half of it if there are joiners
+SHUTDOWN_VALID_S = 10.0  # a controller is made a backup only as a last resort for this long after announcing shutdown
+IMPROVE_INTERVAL_S = 2.0  # minimum between attempts to find backups that survive every allowed loss
+JOIN_INTERVAL_S = 0.3  # between join requests, and without contact with a primary before the first
+JOINER_VALID_S = 1.0  # a join request is kept for this long, as some joiners are useful only in combination
+SUSPECT_AFTER_S = 1.0  # candidates without contact for longer are the last choice for voters
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +39,7 @@
 
 
 class Membership:
-    """Reconciles the configuration with who is there; asks to join where this controller is outside."""
+    """Reconciles the configuration with the live controllers; asks to join if this controller is not in it."""
 
     def __init__(
         self,
@@ -57,8 +58,8 @@
         self.primary = primary
         self.settings = replica.settings
         self.preparation = Preparation(replica, formation.snapshots)
-        self.joiners: dict[str, Joiner] = {}  # by node: a machine with another disk takes the place of the former
-        self._shutdown_at: dict[str, float] = {}  # by id: when a controller announced its shutdown
+        self.joiners: dict[str, Joiner] = {}  # by node, so that a node with a new disk replaces its former entry
+        self._shutdown_at: dict[str, float] = {}  # by id: time of a controller's shutdown announcement
         self._improved_at = -IMPROVE_INTERVAL_S
         self.asked_to_join_at = replica.loop.time()
         endpoint.on(JoinRequest, self.handle_join)
@@ -66,7 +67,7 @@
     # At the primary ------------------------------------------------------------------------------
 
     async def handle_join(self, link: Link, request: JoinRequest) -> Done | Failure:
-        """Add the controller at the next reconciliation."""
+        """Note the controller as a joiner; the next reconciliation may add it."""
         configuration = self.replica.accepted
         if not self.replica.is_primary or configuration is None:
             return self.replica.not_primary()
@@ -76,23 +77,23 @@
         return Done()
 
     def record_shutdown(self, ident: str) -> None:
-        """This controller is about to end: it gets no replica for a while."""
+        """Record that this controller is shutting down; it is made a backup only as a last resort for a while."""
         self._shutdown_at[ident] = self.replica.loop.time()
 
     @property
     def shutting_down(self) -> frozenset[str]:
-        """The ids of those that announced their shutdown a moment ago."""
+        """The ids of the controllers that announced their shutdown within SHUTDOWN_VALID_S."""
         now = self.replica.loop.time()
         return frozenset(ident for ident, at in self._shutdown_at.items() if now - at < SHUTDOWN_VALID_S)
 
     async def reconcile_members(self) -> None:
-        """Replace backups that are lost, add joiners, remove silent witnesses."""
+        """Replace lost backups, add joiners and remove unresponsive witnesses."""
         configuration = self.replica.accepted
         assert configuration is not None
         since_contact_s = self.primary.contacts.since_contact_s()
         lost = [backup for backup in configuration.backups if since_contact_s.get(backup, 0.0) > BACKUP_TIMEOUT_S]
         if not lost and not self.primary.contacts.has_majority():
-            return  # all members are here: nobody else may lead, and no change can come into force
+            return  # all members are responsive, so no other can lead; without a majority no change can take effect
         change = self._wanted_change(configuration, since_contact_s)
         better = self._better_backups(configuration, since_contact_s)
         if not (change.add or change.drop or lost or better):
@@ -111,7 +112,7 @@
     def _live_non_members(
         self, configuration: EpochConfiguration, since_contact_s: dict[str, float]
     ) -> list[ControllerInfo]:
-        """Witnesses that could become backups."""
+        """Return the responsive witnesses that could become backups."""
         shutting_down = self.shutting_down
         return [
             witness
@@ -122,10 +123,11 @@
         ]
 
     def _wanted_change(self, configuration: EpochConfiguration, since_contact_s: dict[str, float]) -> MembershipChange:
-        """Joiners are added.
+        """Return the change of witnesses to make.
 
-        Removed are those that a joiner replaces, who upset the balance of zones, or who were silent for long while the
-        others still survive each allowed loss.
+        Joiners are added. A witness is removed if a joiner replaces it (same address or node), if keeping it would
+        unbalance the voters among zones, or if it has long been unresponsive and the others still survive each allowed
+        loss.
         """
         joiners = self._joiners_outside(configuration)
         replaced = {joiner.address for joiner in joiners} | {joiner.node for joiner in joiners}
@@ -148,7 +150,7 @@
         )
 
     def _joiners_outside(self, configuration: EpochConfiguration) -> list[ControllerInfo]:
-        """Who asked to join a moment ago and isn't in the configuration; the others are forgotten."""
+        """Return the recent joiners that are not in the configuration, and forget the others."""
         asked_since = self.replica.loop.time() - JOINER_VALID_S
         self.joiners = {
             node: joiner
@@ -158,7 +160,10 @@
         return [joiner.controller for joiner in self.joiners.values()]
 
     def _better_backups(self, configuration: EpochConfiguration, since_contact_s: dict[str, float]) -> list[str]:
-        """Whom to make backups because the present ones don't survive every allowed loss; looked for now and then."""
+        """Return witnesses to make backups because the present ones do not survive every allowed loss.
+
+        Searches at most once per IMPROVE_INTERVAL_S; returns an empty list in between.
+        """
         now = self.replica.loop.time()
         if now - self._improved_at < IMPROVE_INTERVAL_S:
             return []
@@ -170,10 +175,13 @@
         ]
         return choose_replicas(configuration.members, live, domains, self.formation.limits)
 
-    # Outside -------------------------------------------------------------------------------------
+    # At a controller outside the configuration ---------------------------------------------------
 
     def is_outside(self) -> bool:
-        """In no configuration, or in one of which nothing is heard and whose writes are not here."""
+        """Return True if this controller should ask to join.
+
+        It is in no configuration, or it has lost contact with the primary and is not a member, so that it cannot lead.
+        """
         replica = self.replica
         if replica.mode is Mode.NEW:
             return True
@@ -181,7 +189,7 @@
         return replica.mode is Mode.FOLLOWING and since_contact_s > JOIN_INTERVAL_S and not self.election.may_stand()
 
     def ask_to_join_when_due(self, now: float) -> None:
-        """Ask in the background, not more often than each JOIN_INTERVAL_S."""
+        """Ask to join, in the background, at most once per JOIN_INTERVAL_S."""
         if self.is_outside() and now - self.asked_to_join_at > JOIN_INTERVAL_S:
             self.asked_to_join_at = now
             self.endpoint.spawn(self._ask_to_join())
--- a/otterreach/controller/messages.py
+++ b/otterreach/controller/messages.py
@@ -1,4 +1,4 @@
-"""The RPC messages among controllers, and those that servers' and operators' calls are forwarded in."""
+"""The RPC messages between controllers, including those that forward calls of servers and operators."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 @message(21)
 @dataclass(slots=True)
 class Promise:
-    """A witness to a candidate: whether it takes part in nothing lower any more."""
+    """A witness's reply to a Prepare: whether it promises to reject all lower epochs."""
 
     ok: bool
-    promised: int  # the highest number that it has promised
+    promised: int  # the highest number that the witness has promised
     id: str
-    accepted: list[EpochConfiguration]  # the highest that it has accepted, or none
+    accepted: list[EpochConfiguration]  # the highest configuration that it has accepted; empty if none
 
 
 @message(20)
 @dataclass(slots=True)
 class Prepare(Request[Promise]):
-    """A candidate to a witness: take no part in any epoch lower than `number`."""
+    """A candidate's request to a witness to promise to reject all epochs lower than `number`."""
 
     number: int
     candidate: str
-    probe: bool = False  # only asks whether it would be promised
-    transfer: bool = False  # the primary itself asked the candidate to take over: that it is alive is no hindrance
+    probe: bool = False  # asks only whether the witness would promise
+    transfer: bool = False  # the primary requested the transfer, so its being alive is no reason to reject
 
 
 @message(23)
 @dataclass(slots=True)
 class Accepted:
-    """A witness to a new primary: whether it has the configuration on disk."""
+    """A witness's reply to an Accept: whether it has the configuration on disk."""
 
     ok: bool
     promised: int
@@ -47,7 +47,7 @@
 @message(22)
 @dataclass(slots=True)
 class Accept(Request[Accepted]):
-    """A new primary to a witness: accept this configuration. In a journal: the one that was accepted."""
+    """A new primary's request to a witness to accept this configuration. In a journal: an accepted configuration."""
 
     configuration: list[EpochConfiguration]  # exactly one
 
@@ -55,16 +55,16 @@
 @message(29)
 @dataclass(slots=True)
 class IdentityReply:
-    """Who a controller is."""
+    """A controller's identity."""
 
     controller: list[ControllerInfo]  # exactly one
-    uninitialised: bool  # first start of the whole system, and nothing has happened since
+    uninitialised: bool  # started to bootstrap the system, and has accepted no configuration yet
 
 
 @message(28)
 @dataclass(slots=True)
 class IdentityRequest(Request[IdentityReply]):
-    """Asks a seed for its identity, before the very first configuration."""
+    """Asks a seed for its identity, before the initial configuration."""
 
     node: str
 
@@ -75,7 +75,7 @@
 @message(25)
 @dataclass(slots=True)
 class AppendItems(Request[Done]):
-    """The primary to a backup: store these changes. Done once they are on disk. In a journal: changes."""
+    """The primary's request to a backup to store changes; Done once they are on disk. In a journal: changes."""
 
     number: int
     items: list[Item]
@@ -84,7 +84,7 @@
 @message(27)
 @dataclass(slots=True)
 class EpochHeartbeatReply:
-    """A witness to the primary: whether the epoch still holds here."""
+    """A witness's reply to a heartbeat: whether the primary's epoch is still the current one at the witness."""
 
     ok: bool
     promised: int
@@ -94,7 +94,7 @@
 @message(26)
 @dataclass(slots=True)
 class EpochHeartbeat(Request[EpochHeartbeatReply]):
-    """The primary to each witness; to a backup also the question whether the epoch still holds."""
+    """The primary's heartbeat to a witness, which is asked to confirm the epoch."""
 
     number: int
     primary: str
@@ -107,7 +107,7 @@
 @message(24)
 @dataclass(slots=True)
 class InstallSnapshot:
-    """In a journal: the state begins anew with these items. Never sent: a snapshot goes in chunks."""
+    """In a journal: replaces the state by these items. Never sent, since snapshots are transferred in chunks."""
 
     number: int
     target: str
@@ -117,7 +117,7 @@
 @message(37)
 @dataclass(slots=True)
 class SnapshotStatus:
-    """What the receiver of a snapshot has built so far."""
+    """The digests of the state that the receiver of a snapshot has staged so far."""
 
     digests: list[int]
 
@@ -125,17 +125,17 @@
 @message(36)
 @dataclass(slots=True)
 class SnapshotOffer(Request[SnapshotStatus]):
-    """A candidate or primary to a controller: begin a transfer, or resume one. STALE_EPOCH if it may not."""
+    """A candidate's or primary's request to begin or resume a snapshot transfer; STALE_EPOCH if that is rejected."""
 
     number: int
-    target: str  # the id that is meant: nobody else at that address
-    session: str  # of this transfer; another takes its place
+    target: str  # the id of the receiver; rejected by any other controller at its address
+    session: str  # id of this transfer; a transfer with another id replaces it
 
 
 @message(38)
 @dataclass(slots=True)
 class SnapshotChunk(Request[Done]):
-    """All items of some ranges of keys. Done once they are on disk."""
+    """All items of some key ranges; Done once they are on disk."""
 
     number: int
     target: str
@@ -147,7 +147,7 @@
 @message(39)
 @dataclass(slots=True)
 class SnapshotCommit(Request[Done]):
-    """The snapshot is complete if it has these digests: let it replace the state. Done once that is on disk."""
+    """The request to replace the state by the staged snapshot if it has these digests; Done once that is on disk."""
 
     number: int
     target: str
@@ -161,7 +161,7 @@
 @message(30)
 @dataclass(slots=True)
 class JoinRequest(Request[Done]):
-    """A controller outside the configuration to the primary: add me."""
+    """A request to the primary from a controller that is not in the configuration, to be added to it."""
 
     controller: list[ControllerInfo]  # exactly one
 
@@ -169,16 +169,16 @@
 @message(31)
 @dataclass(slots=True)
 class TransferLeadership(Request[Done]):
-    """A primary that shuts down to a backup: lead the next epoch, without me among its backups."""
+    """A request of a primary that shuts down to a backup, to lead the next epoch without the sender as a backup."""
 
-    number: int  # of the epoch that ends
+    number: int  # the epoch that ends
     leaving: str
 
 
 @message(32)
 @dataclass(slots=True)
 class BackupShutdown(Request[Done]):
-    """A backup that shuts down to its primary: replace me. Done once it holds no replica that is needed."""
+    """A request of a backup that shuts down to its primary, to be replaced; Done once its replica is not needed."""
 
     number: int
     leaving: str
@@ -190,7 +190,7 @@
 @message(0)
 @dataclass(slots=True)
 class LastHeartbeat:
-    """How long ago a watcher received the last heartbeat of somebody."""
+    """The age of the last heartbeat that a watcher received from a member or server."""
 
     name: str  # a member id, or a server's id
     age_ms: int
@@ -199,7 +199,7 @@
 @message(33)
 @dataclass(slots=True)
 class LivenessReport:
-    """A watcher to the primary, one way: whose heartbeats it has received since its last report."""
+    """A watcher's one-way report to the primary: the heartbeats that it has received since its last report."""
 
     watcher: str
     nodes: list[LastHeartbeat]
@@ -209,7 +209,7 @@
 @message(35)
 @dataclass(slots=True)
 class ApiResponse:
-    """The answer to an ApiCall."""
+    """The response to an ApiCall."""
 
     status: int
     body: bytes = field(default=b"")
@@ -218,10 +218,10 @@
 @message(34)
 @dataclass(slots=True)
 class ApiCall(Request[ApiResponse]):
-    """A controller to the primary: an HTTP call of a server, a trainer or the operator."""
+    """An HTTP call of a server, a trainer or the operator, forwarded by a controller to the primary."""
 
     method: str
     path: str
     match: str  # the If-Match header
     body: bytes
-    query: str = ""  # of the path
+    query: str = ""  # the query string of the URL
--- a/otterreach/controller/node.py
+++ b/otterreach/controller/node.py
@@ -1,4 +1,4 @@
-"""A controller put together: the replicated control state, its API, and the work of its primary."""
+"""The controller process: the replicated control state, its HTTP API, and the periodic work of the primary."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 from otterreach.runtime.records import CoreRecord, MemberRole, ServerRecord, put
 from otterreach.runtime.settings import Settings
 
-API_BIND = "ctl"  # the name of the API's address in the settings
+API_BIND = "ctl"  # name of the API's address in the settings
 PLAN_INTERVAL_S = 0.2
-STALL_S = 0.4  # the loop stood still for longer: nobody else is to blame for silence
-STALL_REFUSAL_S = 0.1  # after a stall: so long calls may come in that were sent before it
-STABILIZATION_S = 1.0  # after becoming primary, or a stall, before anyone is taken to be dead
+STALL_S = 0.4  # a longer stall of the event loop may itself explain missing heartbeats
+STALL_REFUSAL_S = 0.1  # calls sent before or during a stall may still arrive for this long after it
+STABILIZATION_S = 1.0  # after becoming primary or after a stall, members are not taken to be dead for this long
 
 
 class ControllerNode:
-    """One controller."""
+    """One controller and its components."""
 
     def __init__(self, settings: Settings, node: Node, journal: Journal) -> None:
         self.settings = settings
@@ -71,12 +71,12 @@
             self.control, self.api.histories, self.receipts, events_kept_s(settings)
         )
         self.server = JsonServer(self.api.handle)
-        self._stable_from = 0.0  # from then on silence means something
-        self._planned_at = clock()  # the last round of `_plan`, whose rounds tell a stall
+        self._stable_from = 0.0  # from this time on, missing heartbeats are acted on
+        self._planned_at = clock()  # time of the last iteration of `_plan`; a long gap between them is a stall
         self._stall_ended_at = -STALL_REFUSAL_S
 
     async def run(self, records: Iterable[Record]) -> None:
-        """Load the journal's records and take part until SIGTERM."""
+        """Load the journal's records and run the controller until SIGTERM."""
         self.control.load(records)
         self.node.disk = self.control.id
         host, port = self.settings.binds[API_BIND]
@@ -100,7 +100,7 @@
             self.watches.abandon()
 
     async def _plan(self) -> None:
-        """Compare the control state with who is there, and propose what is to change; for ever."""
+        """Run the primary's periodic work: compare the control state with the live members and propose changes."""
         self._planned_at = self.clock()
         while True:
             await asyncio.sleep(PLAN_INTERVAL_S)
@@ -125,7 +125,7 @@
         return now - self._planned_at > PLAN_INTERVAL_S + STALL_S
 
     def _has_just_stalled(self) -> bool:
-        """Whether this process stood still until a moment ago: what comes in now was sent long before."""
+        """Return True if this process has just resumed from a stall: calls arriving now may be long outdated."""
         now = self.clock()
         return self._is_stalled_at(now) or now - self._stall_ended_at < STALL_REFUSAL_S
 
@@ -133,7 +133,10 @@
         return self.clock() >= self._stable_from
 
     def _stores_once_stable(self) -> StoreMembers | None:
-        """None right after becoming primary or a stall: who is dead isn't known yet."""
+        """Return the job store members, or None right after becoming primary or a stall.
+
+        It is not known then which members are dead.
+        """
         return self.stores.members() if self._is_stable() else None
 
     def _publish_controllers(self) -> None:
--- a/otterreach/controller/publisher.py
+++ b/otterreach/controller/publisher.py
@@ -1,4 +1,4 @@
-"""Hands the committed state to the relay tree, by which it reaches every other process."""
+"""Publishes the committed state to the relay tree, which distributes it to every other process."""
 
 from __future__ import annotations
 
@@ -15,26 +15,29 @@
 
 
 def is_private(item: Item) -> bool:
-    """Whether an item stays among the controllers: no other process has a use for it."""
+    """Return True if an item is not published, because only controllers use it."""
     return item.kind in PRIVATE_KINDS
 
 
 class Publisher:
-    """The primary's root of the relay tree."""
+    """Publishes committed items at the primary, the root of the relay tree."""
 
     def __init__(self, replica: LocalReplica, follower: Follower) -> None:
         self.replica = replica
         self.follower = follower
-        self.on_committed: list[Callable[[list[Item]], None]] = []  # called with private items, too
+        self.on_committed: list[Callable[[list[Item]], None]] = []  # called with all items, including private ones
 
     def publish(self, items: list[Item]) -> None:
-        """These changes are on disk at all members."""
+        """Publish changes that are on disk at all members."""
         self._notify(items)
         newer = self.follower.store.apply(item for item in items if not is_private(item))
         self._pass_on(newer)
 
     def publish_all(self, items: list[Item]) -> None:
-        """These are all items there are: what the published replica had besides, as a follower, is deleted."""
+        """Publish the complete state.
+
+        Other items in the published replica, left from this controller's time as a follower, are deleted.
+        """
         self._notify(items)
         public = [item for item in items if not is_private(item)]
         state = ReplicatedStore()
@@ -47,7 +50,7 @@
             observer(items)
 
     def _pass_on(self, newer: list[Item]) -> None:
-        revision = revision_to_collect(self.follower.store)  # all members have the change that says so
+        revision = revision_to_collect(self.follower.store)  # committed, so all members have the change that set it
         self.follower.store.collect(revision)
         self.replica.store.collect(revision)
         self.follower.relay.publish(newer)
--- a/otterreach/controller/survival.py
+++ b/otterreach/controller/survival.py
@@ -1,7 +1,7 @@
-"""What any allowed loss leaves: arithmetic of replicas and majorities over machines, zones and regions. Pure.
+"""Survival of losses: which replicas and voters remain after the loss of machines, zones or regions. Pure functions.
 
-The allowed losses are each by itself: `nodes` machines, or all machines of `zones` zones, or all of `regions` regions.
-A set of replicas survives if each of them leaves one at least; a set of voters if each leaves a majority.
+The allowed losses are separate, not combined: `nodes` machines, or all machines of `zones` zones, or all machines of
+`regions` regions. Replicas survive if at least one remains after each such loss; voters if a majority remains.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SurviveLimits:
-    """How many machines, or zones, or regions may be lost at once."""
+    """The numbers of machines, zones, or regions that may be lost at once."""
 
     nodes: int
     zones: int = 0
@@ -29,19 +29,22 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureDomain:
-    """What a machine fails together with."""
+    """The zone and region of a machine, which it may fail together with."""
 
     zone: str
     region: str
 
 
 def limits_of(settings: Settings) -> SurviveLimits:
-    """The limits that a settings file states."""
+    """Return the limits given by the settings."""
     return SurviveLimits(settings.survive_nodes, settings.survive_zones, settings.survive_regions)
 
 
 def failure_domain_of(zone: str, regions: Mapping[str, str]) -> FailureDomain:
-    """The failure domain of a machine by its zone; `regions` is the settings' table of the zones' regions."""
+    """Return the failure domain of a machine in `zone`.
+
+    :param regions: the settings' table of the region of each zone
+    """
     return FailureDomain(zone, regions.get(zone, ""))
 
 
@@ -49,7 +52,7 @@
 
 
 def unmet_by_replicas(domains: Collection[FailureDomain], limits: SurviveLimits) -> list[str]:
-    """The kinds of allowed losses (nodes, zones, regions) of which one may take every replica."""
+    """Return the kinds of allowed losses ("nodes", "zones", "regions") that may remove every replica."""
     counts = {
         "nodes": (len(domains), limits.nodes),
         "zones": (len({domain.zone for domain in domains}), limits.zones),
@@ -61,11 +64,11 @@
 def choose_replicas(
     present: Sequence[str], candidates: Sequence[str], domains: Mapping[str, FailureDomain], limits: SurviveLimits
 ) -> list[str]:
-    """The fewest candidates to add to `present` so that the replicas survive every allowed loss.
+    """Return the fewest candidates to add to `present` so that the replicas survive every allowed loss.
 
-    Where that is out of reach, the best that there is: `unmet_by_replicas` tells what is missing.
+    If no choice achieves that, return the best possible one; `unmet_by_replicas` names the losses it does not survive.
 
-    :param candidates: in the order of preference
+    :param candidates: in order of preference
     """
     chosen: list[str] = []
     while True:
@@ -84,7 +87,10 @@
     domains: Mapping[str, FailureDomain],
     unmet: Collection[str],
 ) -> str | None:
-    """The candidate that helps against the widest unmet kind of loss; None if nothing is unmet, or nobody helps."""
+    """Return the first candidate that helps against the widest unmet kind of loss.
+
+    :returns: None if nothing is unmet or no candidate helps
+    """
     regions = {domain.region for domain in present}
     zones = {domain.zone for domain in present}
     useful = {
@@ -102,7 +108,7 @@
 
 
 def unmet_by_voters(domains: Collection[FailureDomain], limits: SurviveLimits) -> list[str]:
-    """The kinds of allowed losses of which one may take the majority."""
+    """Return the kinds of allowed losses ("nodes", "zones", "regions") that may remove the majority."""
     lost = {
         "nodes": limits.nodes,
         "zones": _largest(Counter(domain.zone for domain in domains), limits.zones),
@@ -112,15 +118,18 @@
 
 
 def _largest(counts: Counter[str], groups: int) -> int:
-    """How many voters stand in the `groups` groups that have most of them."""
+    """Return the number of voters in the `groups` largest groups."""
     return sum(count for _, count in counts.most_common(groups))
 
 
 def choose_voters(candidates: Sequence[str], domains: Mapping[str, FailureDomain], limits: SurviveLimits) -> list[str]:
-    """The most candidates that keep a majority after every allowed loss, in the order of preference.
+    """Return the largest set of candidates that keeps a majority after every allowed loss.
 
-    Zones or regions with more machines than others get at most as many voters as keeps the balance. Where no choice
-    keeps a majority after each loss, the one with which it does after most kinds of losses.
+    The number of voters per zone and region is capped, so that zones or regions with more machines than others do not
+    hold the majority. If no choice keeps a majority after every allowed loss, return the one that does so after the
+    most kinds of losses.
+
+    :param candidates: in order of preference
     """
     unmet = unmet_by_voters([domains[candidate] for candidate in candidates], limits)
     if not limits.zones and not limits.regions or not unmet:
@@ -132,7 +141,7 @@
         )
 
     def preference(option: list[str]) -> tuple[int, int]:
-        """The sort key: the fewest losses that are not survived, then the most voters."""
+        """Return the sort key: fewest kinds of losses that are not survived, then most voters."""
         return -len(unmet_by_voters([domains[voter] for voter in option], limits)), len(option)
 
     return max(options, key=preference, default=[])
@@ -141,7 +150,7 @@
 def _capped(
     candidates: Iterable[str], domains: Mapping[str, FailureDomain], zone_cap: int, region_cap: int
 ) -> list[str]:
-    """The first candidates, no more than so many in a zone and in a region."""
+    """Return the first candidates, at most `zone_cap` of a zone and `region_cap` of a region."""
     zones: Counter[str] = Counter()
     regions: Counter[str] = Counter()
     chosen = []
@@ -157,7 +166,11 @@
 def may_remove_voter(
     removed: str, voters: Sequence[str], domains: Mapping[str, FailureDomain], limits: SurviveLimits
 ) -> bool:
-    """Whether the others keep a majority after each loss after which all do now, and after the loss of `nodes`."""
+    """Return True if a voter may be removed.
+
+    The others must keep a majority after the loss of `nodes` machines, and after each other allowed loss that the
+    present voters survive.
+    """
     before = unmet_by_voters([domains[voter] for voter in voters], limits)
     after = unmet_by_voters([domains[voter] for voter in voters if voter != removed], limits)
     return "nodes" not in after and set(after) <= set(before)
--- a/otterreach/controller/tombstones.py
+++ b/otterreach/controller/tombstones.py
@@ -1,9 +1,9 @@
-"""When the tombstones of the control state are dropped: some minutes after nobody can need them any more.
+"""Collection of the control state's tombstones, some minutes after the last moment at which they can be needed.
 
-The item `collected` holds the revision up to which tombstones are dropped at every replica, and the state's revisions
-at the ends of the last periods. After each period that one primary has seen from its start, on its monotonic clock, the
-oldest of those becomes the revision to drop up to. So a tombstone is kept for PERIODS periods at least, whoever is
-primary; a change of primary begins the present period anew. Why that is safe: docs/control-state.md.
+The item `collected` holds the revision up to which every replica drops tombstones, and the state's revisions at the
+ends of the last periods. After each period that one primary has seen in full, on its monotonic clock, the oldest of
+these revisions becomes the revision to drop up to. A tombstone is therefore kept for at least PERIODS periods across
+changes of primary; a change of primary restarts the current period. docs/control-state.md explains why this is safe.
 """
 
 from __future__ import annotations
@@ -14,28 +14,28 @@
 from otterreach.runtime.store import ReplicatedStore
 
 PERIOD_S = 60.0
-PERIODS = 5  # so a late call of a server that has ended finds its tombstone for five minutes
+PERIODS = 5  # a late call of a server that has ended finds its tombstone for at least five minutes
 
 
 def revision_to_collect(state: ReplicatedStore) -> int:
-    """The revision up to which tombstones are to be dropped, as the state has it."""
+    """Return the revision up to which tombstones are to be dropped, as recorded in the state."""
     record = state.record(CollectedRecord)
     return record.revision if record else 0
 
 
 class TombstoneClock:
-    """Run by the primary: says when a period is over, and what the item has to hold then."""
+    """Determines, at the primary, the ends of periods and the resulting changes of the item `collected`."""
 
     def __init__(self, state: Callable[[], ReplicatedStore]) -> None:
         self.state = state
         self._began_at = 0.0
 
     def begin_period(self, now: float) -> None:
-        """This controller has become primary: it has not seen the present period from its start."""
+        """Start a new period. Called on becoming primary, since the current one was not seen from its start."""
         self._began_at = now
 
     def due_change(self, now: float) -> list[ItemChange]:
-        """The change to make now, or none."""
+        """Return the change to make at the end of a period, else an empty list."""
         if now - self._began_at < PERIOD_S:
             return []
         self._began_at = now
