--- a/otterreach/controller/election.py
+++ b/otterreach/controller/election.py
@@ -48,7 +48,7 @@
 
         Only members hold all acknowledged writes, so only they may become primary.
         """
-        configuration = self.replica.newer or self.replica.accepted
+        configuration = self.replica.newer_configuration or self.replica.accepted
         return configuration is not None and self.replica.id in configuration.members
 
     # Bootstrap -----------------------------------------------------------------------------------
@@ -73,13 +73,13 @@
         if len(identities) < len(others):
             return
         witnesses = [replica.info, *(identity.controller[0] for identity in identities)]
-        configuration = self.formation.first(witnesses)
+        configuration = self.formation.initial_configuration(witnesses)
         self.in_progress = True
         try:
             replica.adopt_configuration(configuration)
-            everyone = {witness.id for witness in witnesses}
+            all_ids = {witness.id for witness in witnesses}
             synced = await replica.sync()
-            if synced and await self._accept_configuration(configuration, configuration, everyone):
+            if synced and await self._accept_configuration(configuration, configuration, all_ids):
                 self.formation.log_unmet(configuration)
                 self.become_primary([])
             else:
@@ -105,7 +105,7 @@
 
     async def _run(self, change: MembershipChange) -> bool:
         replica = self.replica
-        base = replica.newer or replica.accepted
+        base = replica.newer_configuration or replica.accepted
         assert base is not None
         self.attempts.note(replica.id, base.number)
         number = max(replica.promised, replica.highest_known_number, base.number) + 1
@@ -120,8 +120,8 @@
         replica.adopt_configuration(configuration)
         if not await replica.sync():
             return False
-        in_force = await self._accept_configuration(base, configuration, {replica.id})
-        if not in_force or replica.promised != number:
+        took_effect = await self._accept_configuration(base, configuration, {replica.id})
+        if not took_effect or replica.promised != number:
             replica.step_down("new epoch not accepted")
             return False
         self.formation.log_unmet(configuration)
@@ -142,7 +142,7 @@
         replica = self.replica
         was_primary = replica.is_primary
         probe = Prepare(number, replica.id, probe=True, transfer=transfer)
-        if await self._ask_for_promises(base, probe) is None:
+        if await self._request_promises(base, probe) is None:
             if was_primary:
                 replica.step_down("probe found no majority of witnesses")
             return None
@@ -157,24 +157,24 @@
         if not await replica.sync() or replica.promised != number:
             replica.step_down("promised to another candidate, or disk failed")
             return None
-        promised = await self._ask_for_promises(base, Prepare(number, replica.id, transfer=transfer))
+        promised = await self._request_promises(base, Prepare(number, replica.id, transfer=transfer))
         if promised is None or replica.promised != number:
             replica.step_down("no majority of witnesses promised")
             return None
         return promised
 
-    async def _ask_for_promises(self, base: EpochConfiguration, request: Prepare) -> dict[str, ControllerInfo] | None:
+    async def _request_promises(self, base: EpochConfiguration, request: Prepare) -> dict[str, ControllerInfo] | None:
         """Return the witnesses that promise, including this controller, by id; None if they are no majority."""
         replica = self.replica
         others = [witness for witness in base.witnesses if witness.id != replica.id]
         granted = {witness.id: witness for witness in base.witnesses if witness.id == replica.id}
 
-        def enough(replies: dict[str, Promise]) -> bool:
+        def is_sufficient(replies: dict[str, Promise]) -> bool:
             """Return True if a majority of the witnesses, and enough candidates for backups, have promised."""
             promised = [ident for ident, reply in replies.items() if reply.ok and reply.id == ident]
             return is_majority([*promised, *granted], base) and len(promised) >= self.formation.limits.replicas - 1
 
-        replies = await self._ask_all(others, request, enough)
+        replies = await self._call_all(others, request, is_sufficient)
         highest = base
         for witness in others:
             reply = replies.get(witness.id)
@@ -186,19 +186,21 @@
             if reply.accepted and reply.accepted[0].number > highest.number:
                 highest = reply.accepted[0]
         if highest.number > base.number:
-            replica.newer = highest  # the next attempt uses its witnesses, if this controller is a member of it
+            # The next attempt uses its witnesses, if this controller is a member of it.
+            replica.newer_configuration = highest
             return None
         return granted if is_majority(granted, base) else None
 
-    async def _ask_all(
+    async def _call_all(
         self,
         targets: list[ControllerInfo],
         request: Request[ReplyT],
-        enough: Callable[[dict[str, ReplyT]], bool],
+        is_sufficient: Callable[[dict[str, ReplyT]], bool],
     ) -> dict[str, ReplyT]:
         """Call all targets concurrently and return the replies by id.
 
-        Once `enough` returns True for the replies so far, stop when no further one arrives within STRAGGLER_WAIT_S.
+        Once `is_sufficient` returns True for the replies so far, stop when no further reply arrives within
+        STRAGGLER_WAIT_S.
         """
         tasks = {
             asyncio.ensure_future(self.endpoint.call(target.address, request, CALL_TIMEOUT_S)): target.id
@@ -207,7 +209,7 @@
         replies: dict[str, ReplyT] = {}
         pending = set(tasks)
         while pending:
-            timeout_s = STRAGGLER_WAIT_S if enough(replies) else None
+            timeout_s = STRAGGLER_WAIT_S if is_sufficient(replies) else None
             done, pending = await asyncio.wait(pending, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
             if not done:
                 break
@@ -233,9 +235,9 @@
         targets = {w.id: w for w in [*base.witnesses, *configuration.witnesses] if w.id != own_id}
         needed = (set(configuration.backups) | required) - {own_id}
 
-        def enough(replies: dict[str, Accepted]) -> bool:
+        def is_sufficient(replies: dict[str, Accepted]) -> bool:
             """Return True if all required controllers and both majorities have the configuration on disk."""
             accepted = {ident for ident, reply in replies.items() if reply.ok and reply.id == ident} | {own_id}
             return needed <= accepted and is_majority(accepted, base) and is_majority(accepted, configuration)
 
-        return enough(await self._ask_all(list(targets.values()), Accept([configuration]), enough))
+        return is_sufficient(await self._call_all(list(targets.values()), Accept([configuration]), is_sufficient))
--- a/otterreach/controller/election_timer.py
+++ b/otterreach/controller/election_timer.py
@@ -28,9 +28,9 @@
 
     def _mode_changed(self, old: Mode, new: Mode) -> None:
         if new is not Mode.PRIMARY:
-            self._timeout_s = START_TIMEOUT_S if old is Mode.NEW else self._draw()
+            self._timeout_s = START_TIMEOUT_S if old is Mode.NEW else self._random_timeout_s()
 
-    def _draw(self) -> float:
+    def _random_timeout_s(self) -> float:
         configuration = self.replica.accepted
         ident = self.replica.id
         rank = configuration.members.index(ident) if configuration and ident in configuration.members else 0
@@ -45,4 +45,4 @@
         replica = self.replica
         replica.last_primary_contact_at = replica.loop.time()
         no_primary_known = not replica.last_primary and not elected
-        self._timeout_s = RETRY_S * (1 + self.random.random()) if no_primary_known else self._draw()
+        self._timeout_s = RETRY_S * (1 + self.random.random()) if no_primary_known else self._random_timeout_s()
--- a/otterreach/controller/epoch_heartbeats.py
+++ b/otterreach/controller/epoch_heartbeats.py
@@ -31,11 +31,11 @@
         self.endpoint = endpoint
         self.election = election
         self.contacts = WitnessContacts(replica.loop.time)
-        self._rounds = 0  # confirmations in progress
-        self._no_round = asyncio.Event()
-        self._next_round: asyncio.Task[bool] | None = None
+        self._confirmations_running = 0
+        self._no_confirmation_running = asyncio.Event()
+        self._next_confirmation: asyncio.Task[bool] | None = None
 
-    def leads(self, configuration: EpochConfiguration) -> bool:
+    def is_primary_of(self, configuration: EpochConfiguration) -> bool:
         """Return True if, to its own knowledge, this controller is still the primary of that epoch."""
         is_current = self.replica.accepted is configuration and self.contacts.configuration is configuration
         return self.replica.is_primary and is_current
@@ -49,7 +49,7 @@
         for witness in configuration.witnesses:
             contact = self.contacts.by_id.get(witness.id)
             if contact and contact.in_flight < MAX_HEARTBEATS_IN_FLIGHT:
-                self.endpoint.spawn(self._keep_in_touch(witness, configuration))
+                self.endpoint.spawn(self._send_heartbeat(witness, configuration))
 
     async def send(self, witness: ControllerInfo, configuration: EpochConfiguration) -> EpochHeartbeatReply | None:
         """Send a heartbeat and record the contact if the epoch is current at the witness.
@@ -64,13 +64,13 @@
         contact.in_flight -= 1
         if isinstance(reply, Failure) or reply.id != witness.id:
             return None  # no reply, or a controller with another disk at that address; that one will ask to join
-        if reply.ok and self.leads(configuration):
-            self.contacts.record_answer(witness.id, asked_at)
+        if reply.ok and self.is_primary_of(configuration):
+            self.contacts.record_reply(witness.id, asked_at)
         return reply
 
-    async def _keep_in_touch(self, witness: ControllerInfo, configuration: EpochConfiguration) -> None:
+    async def _send_heartbeat(self, witness: ControllerInfo, configuration: EpochConfiguration) -> None:
         reply = await self.send(witness, configuration)
-        if reply is None or reply.ok or not self.leads(configuration):
+        if reply is None or reply.ok or not self.is_primary_of(configuration):
             return
         if reply.promised > configuration.number:
             self.replica.highest_known_number = max(self.replica.highest_known_number, reply.promised)
@@ -86,55 +86,55 @@
         Every backup and a majority of the witnesses, asked after this call began, must confirm that the epoch is
         current. Calls that arrive while a confirmation is in progress share the next one.
         """
-        if self._next_round is None:
-            if not self._rounds:
-                return await self._run_round()
-            self._next_round = self.endpoint.spawn(self._run_next_round())
-        return await asyncio.shield(self._next_round)
-
-    async def _run_round(self) -> bool:
-        self._rounds += 1
-        self._no_round.clear()
+        if self._next_confirmation is None:
+            if not self._confirmations_running:
+                return await self._run_confirmation()
+            self._next_confirmation = self.endpoint.spawn(self._run_next_confirmation())
+        return await asyncio.shield(self._next_confirmation)
+
+    async def _run_confirmation(self) -> bool:
+        self._confirmations_running += 1
+        self._no_confirmation_running.clear()
         try:
-            return await self._confirm_by_asking()
+            return await self._confirm_with_witnesses()
         finally:
-            self._rounds -= 1
-            if not self._rounds:
-                self._no_round.set()
+            self._confirmations_running -= 1
+            if not self._confirmations_running:
+                self._no_confirmation_running.set()
 
-    async def _run_next_round(self) -> bool:
+    async def _run_next_confirmation(self) -> bool:
         """Start once the confirmations in progress have ended, or after MAX_SHARED_WAIT_S."""
         try:
             async with asyncio.timeout(MAX_SHARED_WAIT_S):
-                await self._no_round.wait()
+                await self._no_confirmation_running.wait()
         except TimeoutError:
             pass
-        self._next_round = None
-        return await self._run_round()
+        self._next_confirmation = None
+        return await self._run_confirmation()
 
-    async def _confirm_by_asking(self) -> bool:
+    async def _confirm_with_witnesses(self) -> bool:
         """Return True if the epoch was confirmed; return False after CONFIRM_TIMEOUT_S at the latest."""
         deadline = self.replica.loop.time() + CONFIRM_TIMEOUT_S
         while self.replica.is_primary and self.election.in_progress and self.replica.loop.time() < deadline:
             await asyncio.sleep(ELECTION_POLL_S)  # this primary is about to begin its next epoch
         configuration = self.replica.accepted
-        if configuration is None or not self.leads(configuration) or not self.contacts.has_majority():
+        if configuration is None or not self.is_primary_of(configuration) or not self.contacts.has_majority():
             return False
-        return await self._ask_whether_epoch_holds(configuration, deadline) and self.leads(configuration)
+        return await self._collect_confirmations(configuration, deadline) and self.is_primary_of(configuration)
 
-    async def _ask_whether_epoch_holds(self, configuration: EpochConfiguration, deadline: float) -> bool:
+    async def _collect_confirmations(self, configuration: EpochConfiguration, deadline: float) -> bool:
         own_id = self.replica.id
         others = [witness for witness in configuration.witnesses if witness.id != own_id]
-        asked = {self.endpoint.spawn(self.send(witness, configuration)): witness.id for witness in others}
+        tasks = {self.endpoint.spawn(self.send(witness, configuration)): witness.id for witness in others}
         backups = set(configuration.backups)
         confirmed = {own_id}
-        pending = set(asked)
+        pending = set(tasks)
         while True:
             if backups <= confirmed and is_majority(confirmed, configuration):
                 return True
-            possible = confirmed | {asked[task] for task in pending}
-            left = deadline - self.replica.loop.time()
-            if left <= 0 or not backups <= possible or not is_majority(possible, configuration):
+            possible = confirmed | {tasks[task] for task in pending}
+            remaining_s = deadline - self.replica.loop.time()
+            if remaining_s <= 0 or not backups <= possible or not is_majority(possible, configuration):
                 return False
-            done, pending = await asyncio.wait(pending, timeout=left, return_when=asyncio.FIRST_COMPLETED)
-            confirmed |= {asked[task] for task in done if (reply := task.result()) is not None and reply.ok}
+            done, pending = await asyncio.wait(pending, timeout=remaining_s, return_when=asyncio.FIRST_COMPLETED)
+            confirmed |= {tasks[task] for task in done if (reply := task.result()) is not None and reply.ok}
--- a/otterreach/controller/formation.py
+++ b/otterreach/controller/formation.py
@@ -48,7 +48,7 @@
         """Return the failure domains of controllers, by id."""
         return {controller.id: failure_domain_of(controller.zone, self.settings.zones) for controller in controllers}
 
-    def first(self, witnesses: list[ControllerInfo]) -> EpochConfiguration:
+    def initial_configuration(self, witnesses: list[ControllerInfo]) -> EpochConfiguration:
         """Return the initial configuration. Its backups need no snapshot, since there is no state yet."""
         own_id = self.replica.id
         others = [witness.id for witness in witnesses if witness.id != own_id]
@@ -86,8 +86,8 @@
             )
         )
         backups = await self._fill_backups(candidates, number, items)
-        least = min(self.limits.nodes, len(witnesses) - 1)
-        return EpochConfiguration(number, own_id, backups, witnesses) if len(backups) >= least else None
+        min_backups = min(self.limits.nodes, len(witnesses) - 1)
+        return EpochConfiguration(number, own_id, backups, witnesses) if len(backups) >= min_backups else None
 
     async def _fill_backups(self, candidates: list[ControllerInfo], number: int, items: list[Item]) -> list[str]:
         """Install the state at as few candidates as survive, with this controller, every allowed loss.
--- a/otterreach/controller/graceful_shutdown.py
+++ b/otterreach/controller/graceful_shutdown.py
@@ -53,7 +53,7 @@
     async def _transfer(self) -> bool:
         if self.replica.is_primary:
             return await self._transfer_leadership()
-        return await self._be_replaced()
+        return await self._request_replacement()
 
     async def _transfer_leadership(self) -> bool:
         """Answer all pending writes, then transfer leadership to the first backup that accepts it."""
@@ -70,7 +70,7 @@
                 return True
         return False
 
-    async def _be_replaced(self) -> bool:
+    async def _request_replacement(self) -> bool:
         """Ask the primary to replace this backup by another controller."""
         address = self.replica.live_primary_address
         if not address:
--- a/otterreach/controller/local_replica.py
+++ b/otterreach/controller/local_replica.py
@@ -61,7 +61,8 @@
         self.last_primary_contact_at = self.loop.time()
         self.last_primary = ""  # id of the primary or candidate of the last contact
         self.highest_known_number = 0  # highest epoch number seen in any message
-        self.newer: EpochConfiguration | None = None  # configuration above the accepted one, reported by a witness
+        # A configuration above the accepted one, reported by a witness.
+        self.newer_configuration: EpochConfiguration | None = None
         self.on_mode_change: list[Callable[[Mode, Mode], None]] = []
         self.on_step_down: list[Callable[[], None]] = []
         self.on_items: list[Callable[[Iterable[Item]], None]] = []  # called with items that enter the state
@@ -183,10 +184,10 @@
     def commit_staged(self, commit: SnapshotCommit) -> None:
         """Replace the present state by the staged snapshot, which is complete; durable after the next `sync`."""
         self.journal.append(JournalKind.COMMIT, encode(commit))
-        self._replace_by_staged(commit.number)
+        self._install_staged(commit.number)
         self.collect_tombstones()
 
-    def _replace_by_staged(self, number: int) -> None:
+    def _install_staged(self, number: int) -> None:
         assert self.staged is not None
         self.store = self.staged
         self.staged = None
@@ -223,14 +224,14 @@
     @property
     def primary_address(self) -> str:
         """The last known address of the primary; empty if it has not been heard from for PRIMARY_ADDRESS_VALID_S."""
-        return self._primary_in_contact_within(PRIMARY_ADDRESS_VALID_S)
+        return self._primary_address_within(PRIMARY_ADDRESS_VALID_S)
 
     @property
     def live_primary_address(self) -> str:
         """The address of a primary that was heard from within PRIMARY_TIMEOUT_S; empty if there is none."""
-        return self._primary_in_contact_within(PRIMARY_TIMEOUT_S)
+        return self._primary_address_within(PRIMARY_TIMEOUT_S)
 
-    def _primary_in_contact_within(self, seconds: float) -> str:
+    def _primary_address_within(self, seconds: float) -> str:
         if self.is_primary:
             return self.settings.address
         if self.accepted and self.loop.time() - self.last_primary_contact_at < seconds:
@@ -257,8 +258,8 @@
         self.promised = configuration.number
         self.accepted = configuration
         self.uninitialised = False
-        if self.newer and self.newer.number <= configuration.number:
-            self.newer = None
+        if self.newer_configuration and self.newer_configuration.number <= configuration.number:
+            self.newer_configuration = None
         self.journal.append(JournalKind.CONFIGURATION, encode(Accept([configuration])))
         if configuration.primary != self.id:
             is_witness = configuration.witness(self.id) is not None
--- a/otterreach/controller/member_registry.py
+++ b/otterreach/controller/member_registry.py
@@ -13,8 +13,8 @@
 from otterreach.runtime.records import MemberRecord, MemberRole, PartitionRecord, delete, put
 from otterreach.runtime.rpc import Done, Endpoint, Link
 
-PROXY_FORGOTTEN_S = 8.0  # expiry of proxies without a heartbeat; they store nothing
-MEMBER_FORGOTTEN_S = 60.0  # expiry of other members
+PROXY_EXPIRY_S = 8.0  # expiry of proxies without a heartbeat; they store nothing
+MEMBER_EXPIRY_S = 60.0  # expiry of other members
 
 
 class MemberRegistry:
@@ -86,8 +86,8 @@
         changes = []
         for node, record in self.records().items():
             member = record.id(node)
-            patience_s = PROXY_FORGOTTEN_S if record.role == MemberRole.PROXY else MEMBER_FORGOTTEN_S
-            if member not in in_use and self.detector.seconds_since_heartbeat(member) > patience_s:
+            expiry_s = PROXY_EXPIRY_S if record.role == MemberRole.PROXY else MEMBER_EXPIRY_S
+            if member not in in_use and self.detector.seconds_since_heartbeat(member) > expiry_s:
                 changes.append(delete(MemberRecord, node))
                 log("member_gone", member=member, role=record.role)
         if changes:
--- a/otterreach/controller/membership.py
+++ b/otterreach/controller/membership.py
@@ -14,7 +14,7 @@
 from otterreach.controller.local_replica import LocalReplica, Mode
 from otterreach.controller.messages import JoinRequest
 from otterreach.controller.primary import Primary
-from otterreach.controller.snapshot import Preparation
+from otterreach.controller.snapshot import SnapshotPreparation
 from otterreach.controller.survival import choose_replicas, choose_voters, may_remove_voter
 from otterreach.runtime.codes import Failure
 from otterreach.runtime.log import log
@@ -57,7 +57,7 @@
         self.formation = formation
         self.primary = primary
         self.settings = replica.settings
-        self.preparation = Preparation(replica, formation.snapshots)
+        self.preparation = SnapshotPreparation(replica, formation.snapshots)
         self.joiners: dict[str, Joiner] = {}  # by node, so that a node with a new disk replaces its former entry
         self._shutdown_at: dict[str, float] = {}  # by id: time of a controller's shutdown announcement
         self._improved_at = -IMPROVE_INTERVAL_S
@@ -95,7 +95,7 @@
         if not lost and not self.primary.contacts.has_majority():
             return  # all members are responsive, so no other can lead; without a majority no change can take effect
         change = self._wanted_change(configuration, since_contact_s)
-        better = self._better_backups(configuration, since_contact_s)
+        better = self._additional_backups(configuration, since_contact_s)
         if not (change.add or change.drop or lost or better):
             return
         if self.preparation.is_ready([*change.add, *self._live_non_members(configuration, since_contact_s)]):
@@ -131,15 +131,15 @@
         """
         joiners = self._joiners_outside(configuration)
         replaced = {joiner.address for joiner in joiners} | {joiner.node for joiner in joiners}
-        stay = [w for w in configuration.witnesses if w.address not in replaced and w.node not in replaced]
+        kept = [w for w in configuration.witnesses if w.address not in replaced and w.node not in replaced]
         domains = self.formation.domains([*configuration.witnesses, *joiners])
         candidates = sorted(
-            [*stay, *joiners],
+            [*kept, *joiners],
             key=lambda w: (w.id not in configuration.members, since_contact_s.get(w.id, 0.0) > SUSPECT_AFTER_S),
         )
         voters = choose_voters([candidate.id for candidate in candidates], domains, self.formation.limits)
-        patience_s = WITNESS_TIMEOUT_S / 2 if joiners else WITNESS_TIMEOUT_S
-        unresponsive = [voter for voter in voters if since_contact_s.get(voter, 0.0) > patience_s]
+        timeout_s = WITNESS_TIMEOUT_S / 2 if joiners else WITNESS_TIMEOUT_S
+        unresponsive = [voter for voter in voters if since_contact_s.get(voter, 0.0) > timeout_s]
         for ident in sorted(unresponsive, key=lambda voter: -since_contact_s[voter]):
             if may_remove_voter(ident, voters, domains, self.formation.limits):
                 voters.remove(ident)
@@ -159,7 +159,7 @@
         }
         return [joiner.controller for joiner in self.joiners.values()]
 
-    def _better_backups(self, configuration: EpochConfiguration, since_contact_s: dict[str, float]) -> list[str]:
+    def _additional_backups(self, configuration: EpochConfiguration, since_contact_s: dict[str, float]) -> list[str]:
         """Return witnesses to make backups because the present ones do not survive every allowed loss.
 
         Searches at most once per IMPROVE_INTERVAL_S; returns an empty list in between.
--- a/otterreach/controller/node.py
+++ b/otterreach/controller/node.py
@@ -31,8 +31,8 @@
 
 API_BIND = "ctl"  # name of the API's address in the settings
 PLAN_INTERVAL_S = 0.2
-STALL_S = 0.4  # a longer stall of the event loop may itself explain missing heartbeats
-STALL_REFUSAL_S = 0.1  # calls sent before or during a stall may still arrive for this long after it
+STALL_THRESHOLD_S = 0.4  # a longer stall of the event loop may itself explain missing heartbeats
+STALL_REJECTION_S = 0.1  # calls sent before or during a stall may still arrive for this long after it
 STABILIZATION_S = 1.0  # after becoming primary or after a stall, members are not taken to be dead for this long
 
 
@@ -73,7 +73,7 @@
         self.server = JsonServer(self.api.handle)
         self._stable_from = 0.0  # from this time on, missing heartbeats are acted on
         self._planned_at = clock()  # time of the last iteration of `_plan`; a long gap between them is a stall
-        self._stall_ended_at = -STALL_REFUSAL_S
+        self._stall_ended_at = -STALL_REJECTION_S
 
     async def run(self, records: Iterable[Record]) -> None:
         """Load the journal's records and run the controller until SIGTERM."""
@@ -122,12 +122,12 @@
                     self.event_collection.collect()
 
     def _is_stalled_at(self, now: float) -> bool:
-        return now - self._planned_at > PLAN_INTERVAL_S + STALL_S
+        return now - self._planned_at > PLAN_INTERVAL_S + STALL_THRESHOLD_S
 
     def _has_just_stalled(self) -> bool:
         """Return True if this process has just resumed from a stall: calls arriving now may be long outdated."""
         now = self.clock()
-        return self._is_stalled_at(now) or now - self._stall_ended_at < STALL_REFUSAL_S
+        return self._is_stalled_at(now) or now - self._stall_ended_at < STALL_REJECTION_S
 
     def _is_stable(self) -> bool:
         return self.clock() >= self._stable_from
--- a/otterreach/controller/primary.py
+++ b/otterreach/controller/primary.py
@@ -39,7 +39,7 @@
         """
         replica = self.replica
         assert replica.accepted is not None
-        replica.newer = None
+        replica.newer_configuration = None
         self.contacts.begin_epoch(replica.accepted, replica.id, replica.is_primary)
         self.follower.primary = replica.settings.address
         self.writes.begin_epoch()
@@ -55,7 +55,7 @@
             if replica.is_primary and not self.election.in_progress:
                 self.heartbeats.send_to_all()
                 self._refresh_state_age()
-            self.writes.answer_late_writes()
+            self.writes.time_out_writes()
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     def _refresh_state_age(self) -> None:
--- a/otterreach/controller/publisher.py
+++ b/otterreach/controller/publisher.py
@@ -31,7 +31,7 @@
         """Publish changes that are on disk at all members."""
         self._notify(items)
         newer = self.follower.store.apply(item for item in items if not is_private(item))
-        self._pass_on(newer)
+        self._publish_to_relay(newer)
 
     def publish_all(self, items: list[Item]) -> None:
         """Publish the complete state.
@@ -43,13 +43,13 @@
         state = ReplicatedStore()
         state.apply(items)
         newer = self.follower.store.replace_ranges(range(RANGES), public, revision_to_collect(state))
-        self._pass_on(newer)
+        self._publish_to_relay(newer)
 
     def _notify(self, items: list[Item]) -> None:
         for observer in self.on_committed:
             observer(items)
 
-    def _pass_on(self, newer: list[Item]) -> None:
+    def _publish_to_relay(self, newer: list[Item]) -> None:
         revision = revision_to_collect(self.follower.store)  # committed, so all members have the change that set it
         self.follower.store.collect(revision)
         self.replica.store.collect(revision)
--- a/otterreach/controller/snapshot.py
+++ b/otterreach/controller/snapshot.py
@@ -26,7 +26,7 @@
 SMALL_STATE_BYTES = 256 * 1024  # a state up to this size is transferred within the election
 PREPARE_TIMEOUT_S = 30.0  # maximum delay of an election for the preparation of its future backups
 PREPARED_VALID_S = 5.0  # prepared backups count as such for this long, since few changes accumulate meanwhile
-MAX_ROUNDS = 3  # passes of one transfer; later passes resend chunks that were lost
+MAX_PASSES = 3  # passes of one transfer; later passes resend chunks that were lost
 NEVER_S = -1e9
 
 
@@ -94,7 +94,7 @@
         :returns: True if the target has exactly this state, on disk
         """
         session = self._new_session()
-        if not await self._send_differing(target, number, session, state):
+        if not await self._send_differing_ranges(target, number, session, state):
             return False
         commit = SnapshotCommit(number, target.id, session, list(state.digests))
         reply = await self.endpoint.call(target.address, commit, CHUNK_TIMEOUT_S)
@@ -102,14 +102,16 @@
 
     async def prepare(self, target: ControllerInfo, number: int, state: ReplicatedStore) -> bool:
         """Stage at the target nearly all of a state that keeps changing, so that a later `install` is short."""
-        return await self._send_differing(target, number, self._new_session(), state)
+        return await self._send_differing_ranges(target, number, self._new_session(), state)
 
     def _new_session(self) -> str:
         self._sessions += 1
         return f"{self.replica.id}-{self.replica.loop.time():.6f}-{self._sessions}"
 
-    async def _send_differing(self, target: ControllerInfo, number: int, session: str, state: ReplicatedStore) -> bool:
-        for _ in range(MAX_ROUNDS):
+    async def _send_differing_ranges(
+        self, target: ControllerInfo, number: int, session: str, state: ReplicatedStore
+    ) -> bool:
+        for _ in range(MAX_PASSES):
             status = await self._offer(target, number, session)
             if status is None:
                 return False
@@ -150,7 +152,7 @@
     return [target.id for target, done in zip(targets, installed, strict=True) if done]
 
 
-class Preparation:
+class SnapshotPreparation:
     """Transfers a large state to future backups before the primary starts the election that makes them backups.
 
     Writes are not answered during an election, so only a small state is transferred within the election itself.
--- a/otterreach/controller/survival.py
+++ b/otterreach/controller/survival.py
@@ -75,13 +75,13 @@
         replicas = [*present, *chosen]
         unmet = unmet_by_replicas([domains[member] for member in replicas], limits)
         free = [candidate for candidate in candidates if candidate not in replicas]
-        best = _most_useful(free, [domains[member] for member in replicas], domains, unmet)
+        best = _best_candidate(free, [domains[member] for member in replicas], domains, unmet)
         if best is None:
             return chosen
         chosen.append(best)
 
 
-def _most_useful(
+def _best_candidate(
     free: Sequence[str],
     present: Sequence[FailureDomain],
     domains: Mapping[str, FailureDomain],
@@ -111,13 +111,13 @@
     """Return the kinds of allowed losses ("nodes", "zones", "regions") that may remove the majority."""
     lost = {
         "nodes": limits.nodes,
-        "zones": _largest(Counter(domain.zone for domain in domains), limits.zones),
-        "regions": _largest(Counter(domain.region for domain in domains), limits.regions),
+        "zones": _count_in_largest(Counter(domain.zone for domain in domains), limits.zones),
+        "regions": _count_in_largest(Counter(domain.region for domain in domains), limits.regions),
     }
     return [kind for kind, count in lost.items() if (len(domains) - count) * 2 <= len(domains)]
 
 
-def _largest(counts: Counter[str], groups: int) -> int:
+def _count_in_largest(counts: Counter[str], groups: int) -> int:
     """Return the number of voters in the `groups` largest groups."""
     return sum(count for _, count in counts.most_common(groups))
 
--- a/otterreach/controller/witness_contacts.py
+++ b/otterreach/controller/witness_contacts.py
@@ -45,15 +45,15 @@
         self.by_id = {witness.id: WitnessContact(now) for witness in configuration.witnesses if witness.id != own_id}
         for ident in self.by_id.keys() & before.keys() - set(configuration.backups):
             self.by_id[ident].answered_at = before[ident].answered_at
-        self.wake()
+        self.notify_waiters()
 
-    def record_answer(self, ident: str, asked_at: float) -> None:
+    def record_reply(self, ident: str, asked_at: float) -> None:
         """Record that this witness confirmed the epoch in reply to a request sent at `asked_at`."""
         contact = self.by_id[ident]
         contact.answered_at = max(contact.answered_at, asked_at)
-        self.wake()
+        self.notify_waiters()
 
-    def wake(self) -> None:
+    def notify_waiters(self) -> None:
         """Make all callers of `wait_for_majority` check again."""
         self._changed.set()
 
@@ -72,15 +72,15 @@
             return False
         begin = self.clock() - MAX_CONTACT_AGE_S if since is None else since
         unresponsive = {ident for ident, contact in self.by_id.items() if contact.answered_at < begin}
-        in_touch = [witness.id for witness in configuration.witnesses if witness.id not in unresponsive]
-        return is_majority(in_touch, configuration)
+        responsive = [witness.id for witness in configuration.witnesses if witness.id not in unresponsive]
+        return is_majority(responsive, configuration)
 
-    async def wait_for_majority(self, since: float, may_go_on: Callable[[], bool]) -> bool:
+    async def wait_for_majority(self, since: float, may_continue: Callable[[], bool]) -> bool:
         """Wait until a majority has answered requests sent since `since`.
 
-        :returns: True once it has; False once `may_go_on` returns False
+        :returns: True once it has; False once `may_continue` returns False
         """
-        while may_go_on():
+        while may_continue():
             if self.has_majority(since):
                 return True
             self._changed.clear()
--- a/otterreach/controller/writes.py
+++ b/otterreach/controller/writes.py
@@ -104,7 +104,7 @@
         self._step_downs += 1
         for write in unanswered:
             write.complete(False)
-        self.heartbeats.contacts.wake()
+        self.heartbeats.contacts.notify_waiters()
 
     async def close(self) -> None:
         """Accept no more writes; return once the pending ones are answered."""
@@ -171,7 +171,7 @@
         self._queued = []
         step_downs = self._step_downs
         asked_at = self.replica.loop.time()
-        self._ask_other_witnesses(configuration)
+        self._contact_other_witnesses(configuration)
         appended = await self._append_to_backups(configuration, items)
         if appended and await self._wait_for_majority(configuration, asked_at):
             self.publisher.publish(items)
@@ -184,10 +184,10 @@
         # To be appended again in the next epoch, or abandoned when this controller steps down.
         self._queue = items + self._queue
         self._queued = writes + self._queued
-        if self.heartbeats.leads(configuration) and not self.election.in_progress:
+        if self.heartbeats.is_primary_of(configuration) and not self.election.in_progress:
             await self.election.run()
 
-    def _ask_other_witnesses(self, configuration: EpochConfiguration) -> None:
+    def _contact_other_witnesses(self, configuration: EpochConfiguration) -> None:
         """Send heartbeats to the other witnesses concurrently with the write, if the members alone are no majority."""
         if is_majority(configuration.members, configuration):
             return
@@ -208,29 +208,31 @@
             self.endpoint.call(backup.address, request, CALL_TIMEOUT_S) for backup in backups
         ]
         synced, *replies = await asyncio.gather(replica.sync(), *calls)
-        if synced is not True or not self.heartbeats.leads(configuration):
+        if synced is not True or not self.heartbeats.is_primary_of(configuration):
             return False
         for backup, reply in zip(backups, replies, strict=True):
             if not isinstance(reply, Done):
                 reason = reply.reason if isinstance(reply, Failure) else ""
                 log("backup_lost", node=replica.settings.node, backup=backup.node, reason=reason)
                 return False
-            self.heartbeats.contacts.record_answer(backup.id, asked_at)
+            self.heartbeats.contacts.record_reply(backup.id, asked_at)
         return True
 
     async def _wait_for_majority(self, configuration: EpochConfiguration, asked_at: float) -> bool:
         """Return True once a majority has confirmed the epoch; False once this controller no longer leads it."""
-        return await self.heartbeats.contacts.wait_for_majority(asked_at, lambda: self.heartbeats.leads(configuration))
+        return await self.heartbeats.contacts.wait_for_majority(
+            asked_at, lambda: self.heartbeats.is_primary_of(configuration)
+        )
 
     # Time-outs and reads -------------------------------------------------------------------------
 
-    def answer_late_writes(self) -> None:
+    def time_out_writes(self) -> None:
         """Answer writes that have lacked a majority or a backup for too long with False (outcome unknown)."""
         now = self.replica.loop.time()
-        patience_s = REPAIR_TIMEOUT_S if self.heartbeats.contacts.has_majority() else CONFIRM_TIMEOUT_S
+        timeout_s = REPAIR_TIMEOUT_S if self.heartbeats.contacts.has_majority() else CONFIRM_TIMEOUT_S
         self._unanswered = [write for write in self._unanswered if not write.answer.done()]
         for write in self._unanswered:
-            if now - write.submitted_at >= patience_s:
+            if now - write.submitted_at >= timeout_s:
                 write.complete(False)
 
     async def committed(self) -> bool:
--- a/otterreach/simulation/planted_controllers.py
+++ b/otterreach/simulation/planted_controllers.py
@@ -50,8 +50,8 @@
         "a primary answers reads without asking anybody whether the epoch holds",
         (
             Change(
-                f"{HEARTBEATS}._confirm_by_asking",
-                "await self._ask_whether_epoch_holds(configuration, deadline) and ",
+                f"{HEARTBEATS}._confirm_with_witnesses",
+                "await self._collect_confirmations(configuration, deadline) and ",
                 "",
             ),
         ),
--- a/tests/controller/test_contact.py
+++ b/tests/controller/test_contact.py
@@ -244,10 +244,10 @@
         cluster.play(scene)
 
     def test_before_it_asks_for_promises(self) -> None:
-        self.play(Election, "_ask_for_promises", before=True)
+        self.play(Election, "_request_promises", before=True)
 
     def test_after_the_promises(self) -> None:
-        self.play(Election, "_ask_for_promises", before=False)
+        self.play(Election, "_request_promises", before=False)
 
     def test_after_the_snapshots(self) -> None:
         self.play(Formation, "_install_snapshots", before=False)
--- a/tests/controller/test_node.py
+++ b/tests/controller/test_node.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from otterreach.controller.failure_detector import FailureDetector
-from otterreach.controller.member_registry import PROXY_FORGOTTEN_S, MemberRegistry
+from otterreach.controller.member_registry import PROXY_EXPIRY_S, MemberRegistry
 from otterreach.controller.messages import LastHeartbeat, LivenessReport
 from otterreach.controller.order_leases import OrderLeases
 from otterreach.controller.server_registry import ServerRegistry
@@ -194,7 +194,7 @@
             await stage.member("front-1", "front")
             await stage.member("store-1", "store", "d1")
             stage.put(PartitionRecord(1, "store-1#d1"), "0")
-            await asyncio.sleep(PROXY_FORGOTTEN_S * 10)
+            await asyncio.sleep(PROXY_EXPIRY_S * 10)
             stage.members.remove_unresponsive_members()
             self.assertEqual(set(stage.members.records()), {"store-1"})
             await stage.member("front-1", "front")
--- a/tests/controller/test_snapshot.py
+++ b/tests/controller/test_snapshot.py
@@ -11,7 +11,13 @@
 from otterreach.controller.epochs import ControllerInfo
 from otterreach.controller.local_replica import LocalReplica
 from otterreach.controller.messages import SnapshotChunk, SnapshotCommit, SnapshotOffer
-from otterreach.controller.snapshot import CHUNK_BYTES, PREPARE_TIMEOUT_S, Preparation, SnapshotReceiver, SnapshotSender
+from otterreach.controller.snapshot import (
+    CHUNK_BYTES,
+    PREPARE_TIMEOUT_S,
+    SnapshotPreparation,
+    SnapshotReceiver,
+    SnapshotSender,
+)
 from otterreach.runtime.codec import encode
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.settings import read
@@ -234,7 +240,7 @@
         async def scene() -> None:
             receiver = Receiver()
             sender = sender_on(Link(receiver))
-            preparation, replica = Preparation(sender.replica, sender), sender.replica
+            preparation, replica = SnapshotPreparation(sender.replica, sender), sender.replica
             replica.store = state_of(10)
             self.assertTrue(preparation.is_ready([receiver.info]))
             replica.store = state_of(2000)
@@ -250,7 +256,7 @@
         async def scene() -> None:
             receiver = Receiver()
             sender = sender_on(Link(receiver, rate=1000.0))
-            preparation, sender.replica.store = Preparation(sender.replica, sender), state_of(2000)
+            preparation, sender.replica.store = SnapshotPreparation(sender.replica, sender), state_of(2000)
             loop = asyncio.get_running_loop()
             began = loop.time()
             self.assertFalse(preparation.is_ready([receiver.info]))
