--- a/otterreach/controller/local_replica.py
+++ b/otterreach/controller/local_replica.py
@@ -60,7 +60,7 @@
         self._staged_at = 0.0
         self.last_primary_contact_at = self.loop.time()
         self.last_primary = ""  # id of the primary or candidate of the last contact
-        self.highest_known_number = 0  # highest epoch number seen in any message
+        self.highest_known_number = 0  # highest epoch number seen in messages of others, except in probes
         # A configuration above the accepted one, reported by a witness.
         self.newer_configuration: EpochConfiguration | None = None
         self.on_mode_change: list[Callable[[Mode, Mode], None]] = []
--- a/otterreach/controller/node.py
+++ b/otterreach/controller/node.py
@@ -32,7 +32,7 @@
 API_BIND = "ctl"  # name of the API's address in the settings
 PLAN_INTERVAL_S = 0.2
 STALL_THRESHOLD_S = 0.4  # a longer stall of the event loop may itself explain missing heartbeats
-STALL_REJECTION_S = 0.1  # calls sent before or during a stall may still arrive for this long after it
+STALL_REJECTION_S = 0.1  # calls are rejected for this long after a stall, since they may have been sent before it
 STABILIZATION_S = 1.0  # after becoming primary or after a stall, members are not taken to be dead for this long
 
 
