--- a/tests/controller/controller_world.py
+++ b/tests/controller/controller_world.py
@@ -1,4 +1,4 @@
-"""A small core of controllers in the simulation's world, for tests that bring one trouble about by hand."""
+"""A small cluster of controllers in the simulation, for tests that inject single faults."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Cluster:
-    """Controllers core-0, core-1, ... in the zones given; the first three are the seeds."""
+    """Controllers core-0, core-1, ... in the given zones; the first three are the seeds."""
 
     def __init__(
         self,
@@ -33,10 +33,10 @@
         start_after_s: dict[str, float] | None = None,
         slas: dict[str, Any] | None = None,
     ) -> None:
-        """A core that isn't started yet.
+        """Create the cluster without starting it.
 
-        :param start_after_s: by name, for those that don't start at once
-        :param slas: bounds in place of those of the simulation
+        :param start_after_s: start delays by name, for controllers that do not start at once
+        :param slas: bounds that replace those of the simulation
         """
         self.start_after_s = start_after_s or {}
         self.world = World(seed, slas=SLAS | (slas or {}))
@@ -44,7 +44,7 @@
         for number, zone in enumerate(zones):
             self.world.add(f"core-{number}", "core", zone, self._controller)
         self.boxes = self.world.of_role("core")
-        self.expected = len(self.boxes)  # witnesses
+        self.expected = len(self.boxes)  # number of witnesses
         self.world.seeds = [box.ip for box in self.boxes[:3]]
 
     async def _controller(self, box: Box) -> None:
@@ -55,10 +55,10 @@
         records = journal.read()
         box.object = ControllerNode(settings, box.node, journal)  # type: ignore[arg-type]
         await box.object.run(records)
-        self.world.plainly(0.0, box.kill)  # the end of the program
+        self.world.plainly(0.0, box.kill)  # the process exits
 
-    def play(self, scene: Callable[[Cluster], Awaitable[None]]) -> None:
-        """Start all, wait until all are in the configuration, then run the scene."""
+    def play(self, scenario: Callable[[Cluster], Awaitable[None]]) -> None:
+        """Start all controllers, wait until all are in the configuration, then run the scenario."""
 
         async def whole() -> None:
             for box in self.boxes:
@@ -67,7 +67,7 @@
             status, _ = await self.put(self.primary, 0, 1, "first")
             assert status == 200, status
             await asyncio.sleep(0.5)
-            await scene(self)
+            await scenario(self)
 
         self.world.run(whole)
         if self.world.failure is not None:
@@ -81,14 +81,14 @@
         return configuration is not None and len(configuration.witnesses) == self.expected
 
     async def until(self, holds: Callable[[], Any], within_s: float, what: str) -> float:
-        """Seconds until it holds; an error if it does not in time."""
+        """Wait until `holds` returns true and return the seconds that took; fail if it takes longer than `within_s`."""
         began = self.world.now
         while not holds():
             assert self.world.now - began < within_s, f"{what}: not within {within_s} s"
             await asyncio.sleep(POLL_S)
         return self.world.now - began
 
-    # Who is what ---------------------------------------------------------------------------------
+    # Roles ---------------------------------------------------------------------------------------
 
     def control(self, box: Box) -> ControlReplication:
         control: ControlReplication = box.object.control
@@ -103,11 +103,11 @@
         return max(self.primaries(), key=lambda box: self.control(box).number)
 
     def led_by(self, boxes: Iterable[Box]) -> bool:
-        """Whether one of these is a primary."""
+        """Return True if one of these machines is a primary."""
         return any(box in boxes for box in self.primaries())
 
     def named(self, idents: Iterable[str]) -> list[Box]:
-        """The machines of these ids."""
+        """Return the machines with these controller ids."""
         wanted = set(idents)
         return [box for box in self.boxes if box.object and self.control(box).id in wanted]
 
@@ -120,10 +120,10 @@
     def others(self, *inside: Box) -> list[Box]:
         return [box for box in self.boxes if box not in inside]
 
-    # Trouble -------------------------------------------------------------------------------------
+    # Faults --------------------------------------------------------------------------------------
 
     def cut(self, inside: Iterable[Box], outside: Iterable[Box], both_ways: bool = True) -> None:
-        """Nothing passes from one side to the other any more."""
+        """Drop all messages from `inside` to `outside`, and the other way round if `both_ways`."""
         self.world.net.cut([b.ip for b in inside], [b.ip for b in outside], both_ways=both_ways)
 
     def isolate(self, *inside: Box) -> None:
@@ -133,18 +133,18 @@
         self.world.net.heal()
 
     def terminate(self, box: Box, again: bool = False) -> None:
-        """SIGTERM; `again`: the machine starts a new process after the end."""
+        """Send SIGTERM; if `again`, the machine starts a new process after the exit."""
         assert box.node is not None
         box.wanted = again
         box.node.stopping.set()
 
     def replace(self, box: Box) -> None:
-        """The machine is gone; another takes its address, with an empty disk."""
+        """Replace the machine by one with the same address and an empty disk."""
         box.power_off(wipe=True)
         box.power_on()
 
     def add(self, zone: int) -> Box:
-        """One more machine starts, with an empty disk; its seeds are three that run."""
+        """Start one more machine, with an empty disk and three running controllers as its seeds."""
         self.world.seeds = [b.ip for b in self.boxes if b.up][:3]
         box = self.world.add(f"core-{len(self.boxes)}", "core", zone, self._controller)
         box.first = False
@@ -152,12 +152,12 @@
         box.start()
         return box
 
-    # Callers -------------------------------------------------------------------------------------
+    # HTTP calls ----------------------------------------------------------------------------------
 
     async def call(
         self, box: Box, method: str, path: str, body: bytes = b"", match: int | None = None, timeout_s: float = 1.0
     ) -> tuple[int, float, bytes]:
-        """Status (0: no answer), seconds and body of a call over HTTP."""
+        """Return the status (0: no response), seconds and body of an HTTP call."""
         headers = {} if match is None else {b"If-Match": str(match).encode()}
         began = self.world.now
         response = await client.ask(f"{box.ip}:{CTL}", method, path, body, headers, timeout_s)
@@ -165,17 +165,17 @@
         return (response.status, took, response.body) if response else (0, took, b"")
 
     async def put(self, box: Box, base: int, gen: int, name: str) -> tuple[int, float]:
-        """Status and seconds of a change of the configuration."""
+        """Put a configuration and return the status and seconds."""
         status, took, _ = await self.call(box, "PUT", "/config", configuration_of(gen, name), base)
         return status, took
 
     async def get(self, box: Box) -> tuple[int, float, int]:
-        """Status, seconds, and the number of the configuration."""
+        """Get the configuration and return the status, the seconds, and its version number."""
         status, took, body = await self.call(box, "GET", "/config")
         return status, took, json.loads(body)["gen"] if status == 200 else 0
 
 
 def configuration_of(gen: int, name: str) -> bytes:
-    """A valid configuration with one route of this name."""
+    """Return a valid configuration with one route of this name."""
     route = {"name": name, "host": "h.example", "prefix": "/p/", "kind": "idem", "timeoutMs": 1, "backend": "b"}
     return json.dumps({"gen": gen, "routes": [route], "backends": [{"name": "b"}]}).encode()
--- a/tests/controller/test_contact.py
+++ b/tests/controller/test_contact.py
@@ -1,4 +1,4 @@
-"""A primary answers only while a majority of the witnesses is in touch (docs/control-replication.md)."""
+"""A primary serves only while a majority of the witnesses answers it (docs/control-replication.md)."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from tests.controller.controller_world import Cluster, configuration_of
 
 UNCLEAR = (0, 503)
-ANSWER_S = 0.5  # by then a caller has its 5xx
-TAKE_OVER_S = 1.6
+MAX_ANSWER_S = 0.5  # by then a caller has a 5xx response
+FAILOVER_S = 1.6
 
 
-async def expect_no_answer(cluster: Cluster, box: Box, seconds: float = ANSWER_S) -> None:
-    """Every kind of call ends with 503 in time: a read, a new change, one that is there already, an invalid one."""
+async def expect_no_answer(cluster: Cluster, box: Box, seconds: float = MAX_ANSWER_S) -> None:
+    """Check that every kind of call is answered 503 in time: reads, new, repeated, stale and invalid changes."""
     calls: list[tuple[str, bytes, int | None]] = [
         ("GET", b"", None),
         ("PUT", configuration_of(2, "other"), 1),
@@ -34,7 +34,7 @@
 
 
 async def expect_service(cluster: Cluster, box: Box) -> int:
-    """A change on what is read is taken, is taken when it comes again, and is read back: its number."""
+    """Put a change based on the current version, repeat it, and read it back; return the new version."""
     status, _, base = await cluster.get(box)
     assert status == 200, status
     for _ in range(2):
@@ -45,29 +45,29 @@
     return base + 1
 
 
-async def expect_another(cluster: Cluster, old: Box) -> None:
-    """Another than the old primary leads soon."""
+async def expect_new_primary(cluster: Cluster, old: Box) -> None:
+    """Wait until another controller than the old primary leads."""
     others = cluster.others(old)
-    await cluster.until(lambda: cluster.led_by(others), TAKE_OVER_S, "another primary")
+    await cluster.until(lambda: cluster.led_by(others), FAILOVER_S, "another primary")
 
 
-class CutTest(unittest.TestCase):
+class PartitionTest(unittest.TestCase):
     def test_primary_alone_answers_503_in_time_and_another_leads(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             old = cluster.primary
             cluster.isolate(old)
             await expect_no_answer(cluster, old)
             others = cluster.others(old)
-            await cluster.until(lambda: cluster.led_by(others), TAKE_OVER_S, "another primary")
+            await cluster.until(lambda: cluster.led_by(others), FAILOVER_S, "another primary")
             await expect_service(cluster, cluster.primary)
             await expect_no_answer(cluster, old)
             cluster.heal()
             await cluster.until(lambda: len(cluster.primaries()) == 1, 1.0, "one primary")
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
     def test_primary_with_all_its_backups_answers_503_without_a_majority(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             old, backups = cluster.primary, cluster.backups
             cluster.isolate(old, *backups)
             for _ in range(8):
@@ -76,15 +76,15 @@
                 await asyncio.sleep(0.5)
             cluster.heal()
             await asyncio.sleep(0.5)
-            self.assertEqual(cluster.primaries(), [old])  # nobody else could lead: it goes on at once
+            self.assertEqual(cluster.primaries(), [old])  # no other could be elected: it continues at once
             await expect_service(cluster, old)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
     def test_without_the_majority_rule_that_primary_would_answer(self) -> None:
-        """The trouble above is brought about: it is the rule that keeps the answers back."""
+        """Without the majority check the isolated primary answers, so the tests above depend on that check."""
 
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             old, backups = cluster.primary, cluster.backups
             cluster.isolate(old, *backups)
             await asyncio.sleep(1.0)
@@ -92,69 +92,69 @@
             self.assertEqual(status, 200)
 
         with mock.patch.object(WitnessContacts, "has_majority", lambda *_: True):
-            Cluster().play(scene)
+            Cluster().play(scenario)
 
     def test_primary_with_one_of_two_backups(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             old = cluster.primary
             inside = cluster.backups[0]
             cluster.isolate(old, inside)
             await expect_no_answer(cluster, old)
             others = cluster.others(old, inside)
-            await cluster.until(lambda: cluster.led_by(others), TAKE_OVER_S, "another primary")
+            await cluster.until(lambda: cluster.led_by(others), FAILOVER_S, "another primary")
             await expect_service(cluster, cluster.primary)
             await expect_no_answer(cluster, old)
             await expect_no_answer(cluster, inside)
 
-        Cluster(survive={"nodes": 2}).play(scene)
+        Cluster(survive={"nodes": 2}).play(scenario)
 
-    def test_answers_that_do_not_come_back(self) -> None:
-        """The primary is heard by all and hears nobody."""
+    def test_primary_that_receives_nothing(self) -> None:
+        """Messages from the primary arrive, and messages to it are lost."""
 
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             old = cluster.primary
             others = cluster.others(old)
             cluster.cut(others, [old], both_ways=False)
             await expect_no_answer(cluster, old)
-            await cluster.until(lambda: cluster.led_by(others), 2 * TAKE_OVER_S, "another primary")
+            await cluster.until(lambda: cluster.led_by(others), 2 * FAILOVER_S, "another primary")
             await expect_service(cluster, cluster.primary)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    def test_questions_that_do_not_get_out(self) -> None:
-        """The primary hears all and is heard by nobody."""
+    def test_primary_whose_messages_are_lost(self) -> None:
+        """Messages to the primary arrive, and messages from it are lost."""
 
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             old = cluster.primary
             others = cluster.others(old)
             cluster.cut([old], others, both_ways=False)
             await expect_no_answer(cluster, old)
-            await cluster.until(lambda: cluster.led_by(others), TAKE_OVER_S, "another primary")
+            await cluster.until(lambda: cluster.led_by(others), FAILOVER_S, "another primary")
             await expect_service(cluster, cluster.primary)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
     def test_follower_that_cannot_reach_the_primary_answers_503_at_once(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             follower = next(b for b in cluster.boxes if b not in (cluster.primary, *cluster.backups))
             cluster.isolate(follower)
             await expect_no_answer(cluster, follower, 0.6)
             await asyncio.sleep(0.6)
             await expect_no_answer(cluster, follower, 0.01)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    def test_order_under_way_when_the_cut_comes_ends_unclear_and_is_taken_once(self) -> None:
-        async def scene(cluster: Cluster) -> None:
-            for number, moment in enumerate((0.0, 0.0005, 0.001, 0.002, 0.003, 0.004, 0.006, 0.01)):
+    def test_put_in_flight_at_a_partition_may_end_unclear_and_is_applied_once(self) -> None:
+        async def scenario(cluster: Cluster) -> None:
+            for number, delay_s in enumerate((0.0, 0.0005, 0.001, 0.002, 0.003, 0.004, 0.006, 0.01)):
                 gen, old = number + 2, cluster.primary
                 call = asyncio.ensure_future(cluster.put(old, gen - 1, gen, f"cut-{number}"))
-                await asyncio.sleep(moment)
+                await asyncio.sleep(delay_s)
                 cluster.isolate(old)
                 status, took = await call
                 self.assertIn(status, (*UNCLEAR, 200))
-                self.assertLess(took, ANSWER_S)
-                await expect_another(cluster, old)
+                self.assertLess(took, MAX_ANSWER_S)
+                await expect_new_primary(cluster, old)
                 if status == 200:
                     read = await cluster.get(cluster.primary)
                     self.assertEqual((read[0], read[2]), (200, gen))
@@ -163,16 +163,16 @@
                 cluster.heal()
                 await asyncio.sleep(1.5)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    def test_primary_that_thaws_into_a_newer_epoch(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+    def test_primary_that_thaws_in_a_newer_epoch_steps_down(self) -> None:
+        async def scenario(cluster: Cluster) -> None:
             old = cluster.primary
             write = asyncio.ensure_future(cluster.call(old, "PUT", "/config", configuration_of(2, "lost"), 1, 9.0))
             read = asyncio.ensure_future(cluster.call(old, "GET", "/config", timeout_s=9.0))
             await asyncio.sleep(0.0021)
             old.freeze()
-            await cluster.until(lambda: cluster.led_by(cluster.others(old)), TAKE_OVER_S, "another primary")
+            await cluster.until(lambda: cluster.led_by(cluster.others(old)), FAILOVER_S, "another primary")
             leader = cluster.primary
             gen = await expect_service(cluster, leader)
             old.thaw()
@@ -184,28 +184,28 @@
             await asyncio.sleep(0.2)
             self.assertEqual((await cluster.get(old))[2], gen)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
-class ElectionCutTest(unittest.TestCase):
-    """The candidate is cut off between two messages of its election."""
+class ElectionPartitionTest(unittest.TestCase):
+    """The candidate is isolated between two steps of its election."""
 
     def play(self, owner: type, step: str, before: bool) -> None:
         cluster = Cluster()
-        cut_off: list[Box] = []
+        isolated: list[Box] = []
 
-        def around(plain: Any) -> Any:
-            async def cutting(part: Election | Formation, *args: Any, **named: Any) -> Any:
-                probe = named.get("probe", False)
-                due = armed and not cut_off and not probe
+        def around(original: Any) -> Any:
+            async def isolating(part: Election | Formation, *args: Any, **kwargs: Any) -> Any:
+                probe = kwargs.get("probe", False)
+                due = armed and not isolated and not probe
                 if due and before:
                     isolate(part)
-                result = await plain(part, *args, **named)
+                result = await original(part, *args, **kwargs)
                 if due and not before:
                     isolate(part)
                 return result
 
-            return cutting
+            return isolating
 
         def isolate(part: Election | Formation) -> None:
             box = next(
@@ -213,18 +213,18 @@
                 for b in cluster.boxes
                 if b.object and part in (cluster.control(b).election, cluster.control(b).formation)
             )
-            cut_off.append(box)
+            isolated.append(box)
             cluster.isolate(box)
 
         armed: list[bool] = []
 
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             first = cluster.primary
             armed.append(True)
             first.kill()
-            await cluster.until(lambda: cut_off, TAKE_OVER_S, "an election")
+            await cluster.until(lambda: isolated, FAILOVER_S, "an election")
             first.start()
-            candidate = cut_off[0]
+            candidate = isolated[0]
             await asyncio.sleep(0.05)
             await expect_no_answer(cluster, candidate, 0.6)
             others = cluster.others(candidate)
@@ -241,7 +241,7 @@
             self.assertEqual((status, read), (200, gen))
 
         cluster.world.wrap(owner, step, around)
-        cluster.play(scene)
+        cluster.play(scenario)
 
     def test_before_it_asks_for_promises(self) -> None:
         self.play(Election, "_request_promises", before=True)
--- a/tests/controller/test_election.py
+++ b/tests/controller/test_election.py
@@ -1,4 +1,4 @@
-"""Elections of the controllers, with the other controllers' answers given by hand."""
+"""Elections of the controllers, with scripted replies of the other controllers."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 
 
 class Witnesses:
-    """Stands in for the endpoint: all witnesses promise. `during_probe` happens while a probe is out."""
+    """Stands in for the endpoint: all witnesses promise. `during_probe` is called while a probe is in flight."""
 
     def __init__(self) -> None:
-        self.asked: list[Prepare] = []
+        self.requests: list[Prepare] = []
         self.during_probe: Any = lambda: None
 
-    async def call(self, address: str, ask: Prepare, timeout_s: float) -> Promise:
-        self.asked.append(ask)
-        if ask.probe:
+    async def call(self, address: str, request: Prepare, timeout_s: float) -> Promise:
+        self.requests.append(request)
+        if request.probe:
             self.during_probe()
         return Promise(True, NUMBER, address, [])
 
 
 class ElectionTest(unittest.TestCase):
     def collect(self, witnesses: Witnesses, promise_during_probe: int) -> Any:
-        """What `_collect_promises` gives for the number after NUMBER, and what this controller has promised then."""
+        """Return the result of `_collect_promises` for the number after NUMBER, and the number promised here then."""
 
         async def work() -> Any:
             async def idle(box: Box) -> None: ...
@@ -55,15 +55,15 @@
 
     def test_majority_promises(self) -> None:
         witnesses = Witnesses()
-        promised, own_id = self.collect(witnesses, 0)
+        promised, promised_number = self.collect(witnesses, 0)
         self.assertEqual({OWN, "b", "c"}, set(promised))
-        self.assertEqual(NUMBER + 1, own_id)
+        self.assertEqual(NUMBER + 1, promised_number)
 
     def test_number_promised_to_another_during_the_probe(self) -> None:
-        """It was promised to another candidate meanwhile: not to itself as well."""
+        """A candidate must not use a number that it promised to another candidate during its probe."""
         for taken in (NUMBER + 1, NUMBER + 2):
             witnesses = Witnesses()
-            promised, own_id = self.collect(witnesses, taken)
+            promised, promised_number = self.collect(witnesses, taken)
             self.assertIsNone(promised)
-            self.assertEqual(taken, own_id)
-            self.assertTrue(all(ask.probe for ask in witnesses.asked))
+            self.assertEqual(taken, promised_number)
+            self.assertTrue(all(request.probe for request in witnesses.requests))
--- a/tests/controller/test_heartbeat_ends.py
+++ b/tests/controller/test_heartbeat_ends.py
@@ -1,4 +1,4 @@
-"""Heartbeats of servers with numbers at the ends: refused, or of use to the proxies that share the server's slots."""
+"""Heartbeats of servers with boundary numbers: rejected, or usable by the proxies that share the server's slots."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from otterreach.runtime.records import ServerRecord
 
 HEARTBEAT = {"backend": "b", "addr": "127.0.0.1:1", "az": "z", "cap": 4, "state": "up", "warmLeftMs": 0, "calls": 1}
-BEYOND = [MAX_INTEGER + 1, 10**400, float("inf")]
-NUMBERS: list[Any] = [-MAX_INTEGER, -1, 0, 0.5, 1, MAX_INTEGER, *BEYOND, float("nan"), "x"]
+OUT_OF_RANGE = [MAX_INTEGER + 1, 10**400, float("inf")]
+NUMBERS: list[Any] = [-MAX_INTEGER, -1, 0, 0.5, 1, MAX_INTEGER, *OUT_OF_RANGE, float("nan"), "x"]
 
 
 def heartbeat(**changes: Any) -> ServerRecord | Failure:
@@ -24,7 +24,7 @@
 
 
 class HeartbeatTest(unittest.TestCase):
-    def test_each_number_is_refused_or_can_be_worked_with(self) -> None:
+    def test_each_number_is_rejected_or_usable(self) -> None:
         for number in NUMBERS:
             for change in ({"cap": number}, {"calls": number}, {"warmLeftMs": number}, {"models": [model(number)]}):
                 with self.subTest(change=change):
@@ -36,11 +36,11 @@
                     self.assertEqual(ServerRecord.decode(read.encode()).capacity, read.capacity)
                     encode(ApiCall("PUT", "/servers/i", "", read.encode()))
 
-    def test_what_is_out_of_range_is_refused(self) -> None:
-        for number in BEYOND:
+    def test_out_of_range_numbers_are_rejected(self) -> None:
+        for number in OUT_OF_RANGE:
             self.assertIsInstance(heartbeat(cap=number), Failure)
 
-    def test_a_body_nested_without_end_is_refused(self) -> None:
+    def test_a_deeply_nested_body_is_rejected(self) -> None:
         self.assertIsInstance(read_heartbeat(b"[" * 100_000), Failure)
 
 
--- a/tests/controller/test_many_changes.py
+++ b/tests/controller/test_many_changes.py
@@ -1,4 +1,4 @@
-"""After 2,000 changes with restarts and losses in between, 600 routes: file and time to catch up stay bounded."""
+"""Journal size and catch-up time stay bounded over 2,000 changes of 600 routes, with power losses in between."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.virtual import run
 
 CHANGES, ROUTES, RESTART_EVERY, CHANGE_S = 2000, 600, 100, 2.0
-DUTY = json.dumps({"holder": "front-1", "wait_ms": 0}).encode()
+LEASE = json.dumps({"holder": "front-1", "wait_ms": 0}).encode()
 SERVER = json.dumps({"backend": "b", "addr": "10.0.0.1:80", "az": "z", "cap": 8, "state": "up", "models": []}).encode()
 
 
@@ -33,10 +33,10 @@
 
 
 class Controller:
-    """The state of a primary and its journal; its processes end and begin, and at times the power goes."""
+    """The state of a primary and its journal, across restarts and power losses."""
 
     def __init__(self) -> None:
-        self.disk, self.revision, self.longest = Disk(Random(3)), 0, 0
+        self.disk, self.revision, self.max_file_bytes = Disk(Random(3)), 0, 0
         self.start()
 
     def start(self) -> None:
@@ -58,16 +58,16 @@
         assert await self.journal.sync()
         self.replica.store.collect(revision_to_collect(self.replica.store))
         self.compaction.start_if_due()
-        self.longest = max(self.longest, len(self.disk.data))
+        self.max_file_bytes = max(self.max_file_bytes, len(self.disk.data))
 
 
 class ManyChangesTest(unittest.TestCase):
-    def test_file_state_and_catching_up_stay_bounded(self) -> None:
-        async def scene() -> None:
+    def test_journal_state_and_catch_up_stay_bounded(self) -> None:
+        async def scenario() -> None:
             controller, loop = Controller(), asyncio.get_running_loop()
             for n in range(CHANGES):
                 ended = [(f"server/{n - 1}", b""), (f"duty/{n - 1}", b"")] if n else []
-                started = [(f"server/{n}", SERVER), (f"duty/{n}", DUTY)]
+                started = [(f"server/{n}", SERVER), (f"duty/{n}", LEASE)]
                 await controller.write([("config", configuration(n)), *ended, *started])
                 await asyncio.sleep(CHANGE_S)
                 if due := controller.clock.due_change(loop.time()):
@@ -79,9 +79,9 @@
                     self.assertEqual(before, controller.replica.store.items)
             store = controller.replica.store
             live = store.bytes
-            print(f"items {len(store.items)}, state {live} B, longest file {controller.longest} B", end=", ")
+            print(f"items {len(store.items)}, state {live} B, longest file {controller.max_file_bytes} B", end=", ")
             self.assertLess(len(store.items), 4 * (PERIODS + 3) * 60 / CHANGE_S)
-            self.assertLess(controller.longest, REWRITE_LIMITS.bytes + 5 * live)
+            self.assertLess(controller.max_file_bytes, REWRITE_LIMITS.bytes + 5 * live)
             receiver = Receiver()
             link = Link(receiver)
             began = loop.time()
@@ -91,7 +91,7 @@
             self.assertEqual(store.items, receiver.replica.store.items)
             self.assertLess(seconds, 2.0)
 
-        run(scene)
+        run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_node.py
+++ b/tests/controller/test_node.py
@@ -1,4 +1,4 @@
-"""The primary controller's work: members, order leases, silent servers, job store nodes that leave."""
+"""The periodic work of the primary: members, order leases, unresponsive servers, retiring job store nodes."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class ControlStandIn:
-    """Stands in for ControlReplication: what is proposed is in force at once."""
+    """Stands in for ControlReplication: proposed changes are committed at once."""
 
     def __init__(self) -> None:
         self.state = ReplicatedStore()
@@ -70,8 +70,8 @@
         return Failure(Code.NOT_PRIMARY, "")
 
 
-class Stage:
-    """The parts of a ControllerNode that a primary runs."""
+class PrimaryFixture:
+    """The components of a ControllerNode that a primary runs."""
 
     def __init__(self) -> None:
         self.control = ControlStandIn()
@@ -115,172 +115,172 @@
 
 
 class PrimaryWorkTest(unittest.TestCase):
-    def play(self, scene: Any) -> None:
+    def play(self, scenario: Any) -> None:
         loop = VirtualLoop()
         self.addCleanup(loop.close)
 
         async def whole() -> None:
-            await scene(Stage())
+            await scenario(PrimaryFixture())
 
         loop.run_until_complete(whole())
 
     def test_a_dead_holder_is_replaced_and_the_next_one_waits(self) -> None:
-        async def scene(stage: Stage) -> None:
+        async def scenario(fixture: PrimaryFixture) -> None:
             for node in ("front-1", "front-2"):
-                await stage.member(node, "front")
-            stage.server("a")
-            first = stage.lease("a")
+                await fixture.member(node, "front")
+            fixture.server("a")
+            first = fixture.lease("a")
             self.assertEqual(first.wait_ms, 0)
             other = ({"front-1", "front-2"} - {first.holder}).pop()
             for _ in range(5):
                 await asyncio.sleep(0.25)
-                await stage.heartbeat(other)
-            second = stage.lease("a")
+                await fixture.heartbeat(other)
+            second = fixture.lease("a")
             self.assertEqual(second.holder, other)
             self.assertGreater(second.wait_ms, 3000)
 
-        self.play(scene)
+        self.play(scenario)
 
-    def test_one_that_lets_go_tells_how_long_the_next_has_to_wait(self) -> None:
-        async def scene(stage: Stage) -> None:
+    def test_a_released_lease_states_how_long_the_next_holder_waits(self) -> None:
+        async def scenario(fixture: PrimaryFixture) -> None:
             link: Any = None
             for node in ("front-1", "front-2"):
-                await stage.member(node, "front")
-            stage.server("a")
-            holder = stage.lease("a").holder
-            self.assertEqual(await stage.leases.handle_release(link, LeaseRelease(holder, "a", 10**9)), Done())
-            new = stage.lease("a")
+                await fixture.member(node, "front")
+            fixture.server("a")
+            holder = fixture.lease("a").holder
+            self.assertEqual(await fixture.leases.handle_release(link, LeaseRelease(holder, "a", 10**9)), Done())
+            new = fixture.lease("a")
             self.assertNotEqual(new.holder, holder)
             self.assertEqual(new.wait_ms, 0)
-            reply = await stage.leases.handle_release(link, LeaseRelease(new.holder, "a", 500))
-            self.assertIsInstance(reply, Failure)  # the only other one has just let go
+            reply = await fixture.leases.handle_release(link, LeaseRelease(new.holder, "a", 500))
+            self.assertIsInstance(reply, Failure)  # the only other proxy has just released the lease
 
-        self.play(scene)
+        self.play(scenario)
 
-    def test_a_load_is_noted_upwards_only(self) -> None:
-        async def scene(stage: Stage) -> None:
+    def test_a_loaded_version_never_decreases(self) -> None:
+        async def scenario(fixture: PrimaryFixture) -> None:
             link: Any = None
-            stage.server("a", version=3)
-            await stage.servers.handle_model_loaded(link, ModelLoaded("a", "m", 4))
-            await stage.servers.handle_model_loaded(link, ModelLoaded("a", "m", 2))
-            self.assertEqual(stage.server_record("a").models, (ModelVersion("m", 4),))
+            fixture.server("a", version=3)
+            await fixture.servers.handle_model_loaded(link, ModelLoaded("a", "m", 4))
+            await fixture.servers.handle_model_loaded(link, ModelLoaded("a", "m", 2))
+            self.assertEqual(fixture.server_record("a").models, (ModelVersion("m", 4),))
 
-        self.play(scene)
+        self.play(scenario)
 
     def test_a_repeat_is_not_confirmed_before_it_is_committed(self) -> None:
-        """What the first call changed may still vanish with the primary."""
+        """A change made by the first call is lost with the primary unless it is committed."""
 
-        async def scene(stage: Stage) -> None:
+        async def scenario(fixture: PrimaryFixture) -> None:
             link: Any = None
             announce = MemberAnnouncement("front-1", "", "front", "front-1:1", "z", "r")
-            stage.server("a", version=3)
+            fixture.server("a", version=3)
             calls: list[Callable[[], Awaitable[Any]]] = [
-                lambda: stage.members.handle_announcement(link, announce),
-                lambda: stage.servers.handle_model_loaded(link, ModelLoaded("a", "m", 3)),
-                lambda: stage.servers.handle_model_loaded(link, ModelLoaded("unknown", "m", 3)),
-                lambda: stage.leases.handle_release(link, LeaseRelease("front-1", "a", 500)),
+                lambda: fixture.members.handle_announcement(link, announce),
+                lambda: fixture.servers.handle_model_loaded(link, ModelLoaded("a", "m", 3)),
+                lambda: fixture.servers.handle_model_loaded(link, ModelLoaded("unknown", "m", 3)),
+                lambda: fixture.leases.handle_release(link, LeaseRelease("front-1", "a", 500)),
             ]
             self.assertEqual(await calls[0](), Done())
             for call in calls:
                 self.assertEqual(await call(), Done())
-            stage.control.is_committed = False
+            fixture.control.is_committed = False
             for call in calls:
                 self.assertIsInstance(await call(), Failure)
 
-        self.play(scene)
+        self.play(scenario)
 
-    def test_a_silent_proxy_is_forgotten_and_a_store_that_keeps_something_is_not(self) -> None:
-        async def scene(stage: Stage) -> None:
-            await stage.member("front-1", "front")
-            await stage.member("store-1", "store", "d1")
-            stage.put(PartitionRecord(1, "store-1#d1"), "0")
+    def test_an_unresponsive_proxy_expires_and_a_store_with_replicas_does_not(self) -> None:
+        async def scenario(fixture: PrimaryFixture) -> None:
+            await fixture.member("front-1", "front")
+            await fixture.member("store-1", "store", "d1")
+            fixture.put(PartitionRecord(1, "store-1#d1"), "0")
             await asyncio.sleep(PROXY_EXPIRY_S * 10)
-            stage.members.remove_unresponsive_members()
-            self.assertEqual(set(stage.members.records()), {"store-1"})
-            await stage.member("front-1", "front")
-            self.assertIn("front-1", stage.members.records())
+            fixture.members.remove_unresponsive_members()
+            self.assertEqual(set(fixture.members.records()), {"store-1"})
+            await fixture.member("front-1", "front")
+            self.assertIn("front-1", fixture.members.records())
 
-        self.play(scene)
+        self.play(scenario)
 
-    def test_retiring_means_the_disk_that_was_there(self) -> None:
-        async def scene(stage: Stage) -> None:
-            await stage.member("store-1", "store", "d1")
-            stage.put(RetirementRecord("d1"), "store-1")
-            self.assertEqual(stage.stores.members().leaving, frozenset({"store-1#d1"}))
-            await stage.member("store-1", "store", "d2")
-            self.assertEqual(stage.stores.members().usable, ["store-1#d2"])
+    def test_a_retirement_applies_to_the_disk_present_at_the_time(self) -> None:
+        async def scenario(fixture: PrimaryFixture) -> None:
+            await fixture.member("store-1", "store", "d1")
+            fixture.put(RetirementRecord("d1"), "store-1")
+            self.assertEqual(fixture.stores.members().leaving, frozenset({"store-1#d1"}))
+            await fixture.member("store-1", "store", "d2")
+            self.assertEqual(fixture.stores.members().usable, ["store-1#d2"])
 
-        self.play(scene)
+        self.play(scenario)
 
-    def test_one_that_announces_its_shutdown_counts_as_dead_at_once_and_as_alive_when_it_is_back(self) -> None:
-        async def scene(stage: Stage) -> None:
+    def test_a_member_counts_as_dead_from_its_shutdown_announcement_to_its_next_heartbeat(self) -> None:
+        async def scenario(fixture: PrimaryFixture) -> None:
             link: Any = None
-            await stage.member("store-1", "store", "d1")
-            self.assertEqual(stage.stores.members().usable, ["store-1#d1"])
-            await stage.members.handle_shutdown(link, MemberShutdown("store-1", "d1"))
-            self.assertEqual(stage.stores.members().usable, [])
-            await stage.heartbeat("store-1", "d1")
-            self.assertEqual(stage.stores.members().usable, ["store-1#d1"])
+            await fixture.member("store-1", "store", "d1")
+            self.assertEqual(fixture.stores.members().usable, ["store-1#d1"])
+            await fixture.members.handle_shutdown(link, MemberShutdown("store-1", "d1"))
+            self.assertEqual(fixture.stores.members().usable, [])
+            await fixture.heartbeat("store-1", "d1")
+            self.assertEqual(fixture.stores.members().usable, ["store-1#d1"])
 
-        self.play(scene)
+        self.play(scenario)
 
-    def test_what_watchers_heard_before_a_shutdown_does_not_bring_a_member_back(self) -> None:
-        async def scene(stage: Stage) -> None:
+    def test_heartbeats_from_before_a_shutdown_do_not_revive_a_member(self) -> None:
+        async def scenario(fixture: PrimaryFixture) -> None:
             link: Any = None
-            await stage.member("store-1", "store", "d1")
+            await fixture.member("store-1", "store", "d1")
             await asyncio.sleep(0.1)
-            await stage.members.handle_shutdown(link, MemberShutdown("store-1", "d1"))
+            await fixture.members.handle_shutdown(link, MemberShutdown("store-1", "d1"))
             await asyncio.sleep(0.1)
-            await stage.watcher.handle_liveness_report(
+            await fixture.watcher.handle_liveness_report(
                 link, LivenessReport("core-2", [LastHeartbeat("store-1#d1", 150)], [])
             )
-            self.assertEqual(stage.stores.members().usable, [])
+            self.assertEqual(fixture.stores.members().usable, [])
 
-        self.play(scene)
+        self.play(scenario)
 
-    def test_a_member_whose_disk_stalls_is_as_good_as_lost_while_it_says_so(self) -> None:
-        async def scene(stage: Stage) -> None:
+    def test_a_member_counts_as_lost_while_it_reports_a_stalled_disk(self) -> None:
+        async def scenario(fixture: PrimaryFixture) -> None:
             link: Any = None
-            await stage.member("store-1", "store", "d1")
-            await stage.stores.handle_disk_stalled(link, DiskStalled("store-1", "d1", 700))
-            self.assertEqual(stage.stores.members().domains, {})
+            await fixture.member("store-1", "store", "d1")
+            await fixture.stores.handle_disk_stalled(link, DiskStalled("store-1", "d1", 700))
+            self.assertEqual(fixture.stores.members().domains, {})
             for _ in range(5):
                 await asyncio.sleep(0.25)
-                await stage.heartbeat("store-1", "d1")
-            self.assertEqual(stage.stores.members().usable, ["store-1#d1"])
+                await fixture.heartbeat("store-1", "d1")
+            self.assertEqual(fixture.stores.members().usable, ["store-1#d1"])
 
-        self.play(scene)
+        self.play(scenario)
 
-    def test_one_that_is_about_to_end_is_treated_as_retiring_if_others_can_take_its_replicas(self) -> None:
-        async def scene(stage: Stage) -> None:
+    def test_a_draining_store_is_treated_as_retiring_if_others_can_take_its_replicas(self) -> None:
+        async def scenario(fixture: PrimaryFixture) -> None:
             link: Any = None
             for node in ("store-1", "store-2"):
-                await stage.member(node, "store", "d")
-            reply = await stage.stores.handle_draining(link, StoreDraining("store-1", "d"))
+                await fixture.member(node, "store", "d")
+            reply = await fixture.stores.handle_draining(link, StoreDraining("store-1", "d"))
             self.assertIs(Code.TOO_FEW_LEFT, getattr(reply, "code", None))
-            await stage.member("store-3", "store", "d")
-            self.assertEqual(await stage.stores.handle_draining(link, StoreDraining("store-1", "d")), Done())
-            self.assertEqual(stage.stores.members().usable, ["store-2#d", "store-3#d"])
+            await fixture.member("store-3", "store", "d")
+            self.assertEqual(await fixture.stores.handle_draining(link, StoreDraining("store-1", "d")), Done())
+            self.assertEqual(fixture.stores.members().usable, ["store-2#d", "store-3#d"])
             for _ in range(7):
                 await asyncio.sleep(0.25)
                 for node in ("store-1", "store-2", "store-3"):
-                    await stage.heartbeat(node, "d")
-            self.assertEqual(len(stage.stores.members().usable), 3)
+                    await fixture.heartbeat(node, "d")
+            self.assertEqual(len(fixture.stores.members().usable), 3)
 
-        self.play(scene)
+        self.play(scenario)
 
-    def test_silent_servers_are_marked_and_heard_ones_are_not(self) -> None:
-        async def scene(stage: Stage) -> None:
-            stage.server("a")
-            stage.servers.mark_unresponsive_servers()
+    def test_unresponsive_servers_are_marked_silent_and_responsive_ones_are_not(self) -> None:
+        async def scenario(fixture: PrimaryFixture) -> None:
+            fixture.server("a")
+            fixture.servers.mark_unresponsive_servers()
             await asyncio.sleep(10)
-            stage.servers.mark_unresponsive_servers()
-            self.assertIs(True, stage.server_record("a").silent)
-            stage.detector.record_server_heartbeat("a")
-            stage.servers.mark_unresponsive_servers()
-            self.assertIs(False, stage.server_record("a").silent)
+            fixture.servers.mark_unresponsive_servers()
+            self.assertIs(True, fixture.server_record("a").silent)
+            fixture.detector.record_server_heartbeat("a")
+            fixture.servers.mark_unresponsive_servers()
+            self.assertIs(False, fixture.server_record("a").silent)
 
-        self.play(scene)
+        self.play(scenario)
 
     def test_the_ring_is_the_same_everywhere_and_spreads_members(self) -> None:
         controllers = [f"10.0.0.{n}:7000" for n in range(5)]
--- a/tests/controller/test_primary.py
+++ b/tests/controller/test_primary.py
@@ -1,4 +1,4 @@
-"""controller/primary.py: what becomes of a write under way when its primary steps down."""
+"""The outcome of a write in flight when its primary steps down (otterreach/controller/primary.py)."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Follower:
-    """Takes no part: nothing is published to anyone."""
+    """Stands in for the relay follower: records published items and sends nothing."""
 
     def __init__(self) -> None:
         self.store, self.relay, self.primary, self.fresh_at = ReplicatedStore(), self, "", 0.0
@@ -31,7 +31,7 @@
 
 
 class Endpoint:
-    """The backup: each append is answered when the test says so."""
+    """Stands in for the backup: each append gets its reply from the test."""
 
     def __init__(self) -> None:
         self.appended: list[AppendItems] = []
@@ -54,7 +54,7 @@
         return False
 
 
-class Stage:
+class PrimaryFixture:
     """A primary with one backup."""
 
     def __init__(self) -> None:
@@ -66,47 +66,47 @@
         self.lead(1)
 
     def lead(self, number: int) -> None:
-        """An election that this controller has won."""
+        """Begin an epoch as after an election that this controller has won."""
         witnesses = [ControllerInfo(name, name, f"{name}:1", "z") for name in ("me", "other")]
         self.replica.accepted = EpochConfiguration(number, "me", ["other"], witnesses)
         self.primary.begin_epoch([])
 
     def step_down(self) -> None:
         self.replica.become(Mode.FOLLOWING, "another leads")
-        for told in self.replica.on_step_down:
-            told()
+        for observer in self.replica.on_step_down:
+            observer()
 
 
 class WriteTest(unittest.TestCase):
-    def test_at_all_members(self) -> None:
-        async def scene() -> None:
-            stage = Stage()
-            write = stage.primary.propose([("config", b"1")])
-            stage.endpoint.answers.put_nowait(Done())
+    def test_write_is_acknowledged_once_all_members_have_it(self) -> None:
+        async def scenario() -> None:
+            fixture = PrimaryFixture()
+            write = fixture.primary.propose([("config", b"1")])
+            fixture.endpoint.answers.put_nowait(Done())
             self.assertTrue(await write)
 
-        virtual.run(scene)
+        virtual.run(scenario)
 
-    def test_is_not_taken_into_a_later_term(self) -> None:
-        """Between the two terms another may have led without it, and have accepted something else in its place."""
+    def test_abandoned_write_is_not_appended_in_a_later_epoch(self) -> None:
+        """Another primary may have led in between without the write, and accepted a conflicting one."""
 
-        async def scene() -> None:
-            stage = Stage()
-            write = stage.primary.propose([("config", b"1")])
+        async def scenario() -> None:
+            fixture = PrimaryFixture()
+            write = fixture.primary.propose([("config", b"1")])
             await asyncio.sleep(0.01)
-            stage.step_down()
-            stage.lead(3)
-            stage.endpoint.answers.put_nowait(Failure(Code.TIMED_OUT, "no answer in time"))
+            fixture.step_down()
+            fixture.lead(3)
+            fixture.endpoint.answers.put_nowait(Failure(Code.TIMED_OUT, "no answer in time"))
             await asyncio.sleep(0.01)
-            self.assertEqual(1, len(stage.endpoint.appended), "appended once more in the later term")
+            self.assertEqual(1, len(fixture.endpoint.appended), "appended once more in the later epoch")
             self.assertTrue(write.done())
             self.assertFalse(write.result())
-            later = stage.primary.propose([("config", b"2")])
-            stage.endpoint.answers.put_nowait(Done())
+            later = fixture.primary.propose([("config", b"2")])
+            fixture.endpoint.answers.put_nowait(Done())
             self.assertTrue(await later)
-            self.assertEqual([1, 3], [append.number for append in stage.endpoint.appended])
+            self.assertEqual([1, 3], [append.number for append in fixture.endpoint.appended])
 
-        virtual.run(scene)
+        virtual.run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_snapshot.py
+++ b/tests/controller/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The whole control state in pieces: a thin link, stops, restarts, others (otterreach/controller/snapshot.py)."""
+"""Snapshot transfers in chunks: slow links, interruptions, power losses (otterreach/controller/snapshot.py)."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 from otterreach.simulation.disk import Disk, VirtualJournal
 from tests.virtual import run
 
-THIN = 30e6 / 8  # bytes in a second
+SLOW_LINK_BYTES_PER_S = 30e6 / 8
 SETTINGS = read(
     {"node": "c", "ip": "127.0.0.1", "portRange": [7000, 7001], "machine": "core", "peers": ["127.0.0.1:7000"]}
 )
 
 
 class Receiver:
-    """A controller with its disk; `restart` reads it again, after a loss of power if told."""
+    """A controller with its disk; `restart` reads the disk again, optionally after a power loss."""
 
     def __init__(self, seed: int = 1) -> None:
         self.disk = Disk(Random(seed))
@@ -42,8 +42,8 @@
     def on(self, kind: type, handler: Any) -> None:
         self.handlers[kind] = handler
 
-    def restart(self, power: bool = False) -> None:
-        if power:
+    def restart(self, power_loss: bool = False) -> None:
+        if power_loss:
             self.disk.power_lost()
         self.journal = VirtualJournal(self.disk)
         records = self.journal.read()
@@ -57,24 +57,24 @@
 
 
 class Link:
-    """Stands in for an endpoint: one receiver, a thin link to it, and a moment at which it is cut."""
+    """Stands in for an endpoint: one receiver behind a slow link; requests for which `drops` returns True are lost."""
 
-    def __init__(self, receiver: Receiver, rate: float = THIN) -> None:
-        self.receiver, self.rate = receiver, rate
+    def __init__(self, receiver: Receiver, bytes_per_s: float = SLOW_LINK_BYTES_PER_S) -> None:
+        self.receiver, self.bytes_per_s = receiver, bytes_per_s
         self.loop = asyncio.get_running_loop()
         self.bytes = self.largest = 0
-        self.cut: Callable[[Any], bool] = lambda ask: False
+        self.drops: Callable[[Any], bool] = lambda request: False
 
-    async def call(self, address: str, ask: Any, timeout_s: float) -> Any:
-        size = len(encode(ask))
+    async def call(self, address: str, request: Any, timeout_s: float) -> Any:
+        size = len(encode(request))
         self.bytes += size
         self.largest = max(self.largest, size)
-        if self.cut(ask):
+        if self.drops(request):
             return Failure(Code.CLOSED, "cut")
         try:
             async with asyncio.timeout(timeout_s):
-                await asyncio.sleep(0.02 + size / self.rate)
-                return await self.receiver.handlers[type(ask)](None, ask)
+                await asyncio.sleep(0.02 + size / self.bytes_per_s)
+                return await self.receiver.handlers[type(request)](None, request)
         except TimeoutError:
             return Failure(Code.TIMED_OUT, "no answer in time")
 
@@ -90,23 +90,23 @@
 
 
 class TransferTest(unittest.TestCase):
-    def test_twenty_megabytes_over_a_thin_link(self) -> None:
-        """In one message with 0.8 s to it this never came through: 20 MB take 5.3 s."""
+    def test_twenty_megabytes_over_a_slow_link(self) -> None:
+        """Guards against a state that is too large for one message: 20 MB take 5.3 s, and the time-out was 0.8 s."""
 
-        async def scene() -> None:
+        async def scenario() -> None:
             receiver = Receiver()
             link, state = Link(receiver), state_of(20_000)
             self.assertTrue(await sender_on(link).install(receiver.info, 3, state))
             self.assertEqual(state.items, receiver.replica.store.items)
             self.assertLess(link.largest, 5 * CHUNK_BYTES)
-            receiver.restart(power=True)
+            receiver.restart(power_loss=True)
             self.assertEqual(state.items, receiver.replica.store.items)
             self.assertEqual(3, receiver.replica.promised)
 
-        run(scene)
+        run(scenario)
 
     def test_only_what_differs_is_sent(self) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             receiver = Receiver()
             link, state = Link(receiver), state_of(2000)
             sender = sender_on(link)
@@ -117,62 +117,62 @@
             self.assertEqual(state.items, receiver.replica.store.items)
             self.assertLess(link.bytes, 100_000)
 
-        run(scene)
+        run(scenario)
 
-    def test_taken_up_where_it_stopped(self) -> None:
-        """Also after a loss of power there, and by another sender."""
+    def test_an_interrupted_transfer_is_resumed(self) -> None:
+        """The transfer is resumed by another sender, and after a power loss at the receiver."""
 
-        async def scene() -> None:
+        async def scenario() -> None:
             receiver = Receiver()
             link, state = Link(receiver), state_of(5000)
-            pieces = 0
+            chunks = 0
 
-            def cut(ask: Any) -> bool:
-                nonlocal pieces
-                pieces += isinstance(ask, SnapshotChunk)
-                return pieces > 40
+            def drops(request: Any) -> bool:
+                nonlocal chunks
+                chunks += isinstance(request, SnapshotChunk)
+                return chunks > 40
 
-            link.cut = cut
+            link.drops = drops
             self.assertFalse(await sender_on(link).install(receiver.info, 3, state))
             self.assertEqual({}, receiver.replica.store.items)
             ident = receiver.replica.id
-            receiver.restart(power=True)
+            receiver.restart(power_loss=True)
             self.assertEqual(ident, receiver.replica.id)
-            link.cut = lambda ask: False
+            link.drops = lambda request: False
             first, link.bytes = link.bytes, 0
             self.assertTrue(await sender_on(link).install(receiver.info, 5, state))
             self.assertEqual(state.items, receiver.replica.store.items)
             self.assertGreater(first, 2_000_000)
             self.assertLess(link.bytes, 3_500_000)
 
-        run(scene)
+        run(scenario)
 
-    def test_a_copy_that_is_not_whole_does_not_count(self) -> None:
-        """Cut after each message, with a loss of power: the state is the former one or the new one, never between."""
+    def test_an_incomplete_snapshot_has_no_effect(self) -> None:
+        """Interrupted after any message and a power loss, the receiver has the former or the new state, never a mix."""
 
-        async def scene() -> None:
+        async def scenario() -> None:
             for stop in range(1, 30):
                 receiver = Receiver(stop)
                 former, state = state_of(300, 100), state_of(300, 2000, 1000)
                 self.assertTrue(await sender_on(Link(receiver)).install(receiver.info, 2, former))
                 link, count = Link(receiver), 0
 
-                def cut(ask: Any, stop: int = stop) -> bool:
+                def drops(request: Any, stop: int = stop) -> bool:
                     nonlocal count
                     count += 1
                     return count > stop
 
-                link.cut = cut
+                link.drops = drops
                 done = await sender_on(link).install(receiver.info, 3, state)
-                receiver.restart(power=True)
+                receiver.restart(power_loss=True)
                 expected = state if done else former
                 self.assertEqual(expected.items, receiver.replica.store.items, stop)
                 self.assertEqual(3 if done else 2, receiver.replica.promised)
 
-        run(scene)
+        run(scenario)
 
-    def test_a_commit_of_another_state_is_refused(self) -> None:
-        async def scene() -> None:
+    def test_a_commit_of_another_state_is_rejected(self) -> None:
+        async def scenario() -> None:
             receiver, state = Receiver(), state_of(10)
             link, ident = Link(receiver), receiver.replica.id
             await link.call("", SnapshotOffer(3, ident, "s"), 1.0)
@@ -180,10 +180,10 @@
             self.assertIs(Code.NOT_SYNCED, reply.code)
             self.assertEqual(0, receiver.replica.promised)
 
-        run(scene)
+        run(scenario)
 
-    def test_a_late_piece_of_a_former_transfer_is_refused(self) -> None:
-        async def scene() -> None:
+    def test_a_late_chunk_of_a_former_transfer_is_rejected(self) -> None:
+        async def scenario() -> None:
             receiver, link = Receiver(), None
             link, ident = Link(receiver), receiver.replica.id
             late = SnapshotChunk(3, ident, "old", [1], [])
@@ -194,10 +194,10 @@
             offer = SnapshotOffer(4, ident, "new")
             self.assertIs(Code.STALE_EPOCH, (await link.call("", offer, 1.0)).code)
 
-        run(scene)
+        run(scenario)
 
-    def test_the_journal_is_not_rewritten_into_the_middle_of_a_transfer(self) -> None:
-        async def scene() -> None:
+    def test_the_journal_is_not_rewritten_during_a_transfer(self) -> None:
+        async def scenario() -> None:
             receiver, state = Receiver(), state_of(200)
             link, replica = Link(receiver), receiver.replica
             self.assertTrue(await sender_on(link).install(receiver.info, 2, state_of(200, 500, 1000)))
@@ -206,19 +206,19 @@
             await asyncio.sleep(0)
             self.assertTrue(await sender_on(link).install(receiver.info, 3, state))
             self.assertFalse(await rewriting)
-            receiver.restart(power=True)
+            receiver.restart(power_loss=True)
             self.assertEqual(state.items, receiver.replica.store.items)
             await link.call("", SnapshotOffer(4, receiver.replica.id, "s"), 1.0)
             self.assertFalse(receiver.replica.may_rewrite())
             await asyncio.sleep(11.0)
             self.assertTrue(receiver.replica.may_rewrite())
 
-        run(scene)
+        run(scenario)
 
-    def test_prepared_beside_changes_the_rest_is_short(self) -> None:
-        """The state goes on changing while it is brought over; then little is left for the election."""
+    def test_an_install_after_preparation_is_short(self) -> None:
+        """The state changes while it is prepared at the target; little is left to send in the election."""
 
-        async def scene() -> None:
+        async def scenario() -> None:
             receiver = Receiver()
             link, state = Link(receiver), state_of(5000)
             sender = sender_on(link)
@@ -234,10 +234,10 @@
             self.assertEqual(state.items, receiver.replica.store.items)
             self.assertLess(asyncio.get_running_loop().time() - began, 0.5)
 
-        run(scene)
+        run(scenario)
 
     def test_an_election_waits_for_a_large_state_and_not_for_a_small_one(self) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             receiver = Receiver()
             sender = sender_on(Link(receiver))
             preparation, replica = SnapshotPreparation(sender.replica, sender), sender.replica
@@ -250,21 +250,21 @@
             assert receiver.replica.staged is not None
             self.assertEqual(replica.store.items, receiver.replica.staged.items)
 
-        run(scene)
+        run(scenario)
 
-    def test_one_that_takes_nothing_does_not_hold_up_an_election(self) -> None:
-        async def scene() -> None:
+    def test_a_stuck_target_delays_an_election_only_for_a_bounded_time(self) -> None:
+        async def scenario() -> None:
             receiver = Receiver()
-            sender = sender_on(Link(receiver, rate=1000.0))
+            sender = sender_on(Link(receiver, bytes_per_s=1000.0))
             preparation, sender.replica.store = SnapshotPreparation(sender.replica, sender), state_of(2000)
             loop = asyncio.get_running_loop()
             began = loop.time()
             self.assertFalse(preparation.is_ready([receiver.info]))
-            while not preparation.is_ready([receiver.info]):  # as the primary asks, again and again
+            while not preparation.is_ready([receiver.info]):  # the primary polls like this
                 await asyncio.sleep(0.05)
                 self.assertLess(loop.time() - began, PREPARE_TIMEOUT_S + 1.0)
 
-        run(scene)
+        run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_spread.py
+++ b/tests/controller/test_spread.py
@@ -1,4 +1,4 @@
-"""Copies of partitions outlast every loss that `survive` allows: machines, zones or regions, each alone."""
+"""Replicas of partitions survive every loss that `survive` allows: machines, zones or regions, each separately."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 from otterreach.controller.survival import FailureDomain, SurviveLimits, unmet_by_replicas
 from otterreach.runtime.records import PartitionRecord
 
-PARTS = 4
-MOST_STEPS = 200
-PLACES = {
+PARTITIONS = 4
+MAX_STEPS = 200
+DOMAINS = {
     "a1#1": FailureDomain("a", "north"),
     "a2#1": FailureDomain("a", "north"),
     "b1#1": FailureDomain("b", "north"),
@@ -36,40 +36,40 @@
 
 
 def stores(*names: str, retiring: tuple[str, ...] = ()) -> StoreMembers:
-    return StoreMembers({f"{n}#1": PLACES[f"{n}#1"] for n in names}, frozenset(f"{n}#1" for n in retiring))
+    return StoreMembers({f"{n}#1": DOMAINS[f"{n}#1"] for n in names}, frozenset(f"{n}#1" for n in retiring))
 
 
-def outlasts(members: Collection[str], limits: SurviveLimits) -> bool:
-    return not unmet_by_replicas([PLACES[m] for m in members], limits)
+def survives(members: Collection[str], limits: SurviveLimits) -> bool:
+    return not unmet_by_replicas([DOMAINS[m] for m in members], limits)
 
 
-def losses(places: dict[str, FailureDomain], survive: tuple[int, int, int]) -> Iterator[set[str]]:
-    """Every set of machines that may go at once."""
+def losses(domains: dict[str, FailureDomain], survive: tuple[int, int, int]) -> Iterator[set[str]]:
+    """Yield every set of machines that may be lost at once."""
     nodes, zones, regions = survive
-    for gone in itertools.combinations(sorted(places), min(nodes, len(places))):
-        yield set(gone)
+    for lost in itertools.combinations(sorted(domains), min(nodes, len(domains))):
+        yield set(lost)
     for count, attribute in ((zones, "zone"), (regions, "region")):
-        found = sorted({str(getattr(p, attribute)) for p in places.values()})
+        found = sorted({str(getattr(p, attribute)) for p in domains.values()})
         for names in itertools.combinations(found, min(count, len(found))):
-            yield {m for m, p in places.items() if getattr(p, attribute) in names}
+            yield {m for m, p in domains.items() if getattr(p, attribute) in names}
 
 
 class PlannedSpreadTest(unittest.TestCase):
-    def test_the_first_records_are_in_as_many_zones_and_regions_as_asked(self) -> None:
+    def test_initial_records_are_in_as_many_zones_and_regions_as_required(self) -> None:
         everywhere = stores("a1", "a2", "b1", "b2", "c1", "c2", "d1", "e1")
         for survive in ((1, 0, 0), (1, 1, 0), (1, 1, 1), (1, 2, 0), (1, 2, 1), (2, 1, 2), (0, 1, 0)):
             limits = SurviveLimits(*survive)
             with self.subTest(survive):
                 for record in initial_records(16, limits, everywhere).values():
-                    self.assertTrue(outlasts(record.members, limits))
+                    self.assertTrue(survives(record.members, limits))
                     self.assertEqual(limits.replicas, len(record.members))
 
-    def test_a_repair_takes_another_zone_though_the_own_one_has_less_to_do(self) -> None:
+    def test_a_repair_takes_another_zone_though_the_own_one_has_less_load(self) -> None:
         records = {n: PartitionRecord(1, "a1#1", ("b1#1",)) for n in range(4)}
         changes = plan(records, SurviveLimits(1, 1, 0), stores("a1", "a2", "c1"))
         self.assertEqual([("c1#1",)] * 4, [record.learners for record in changes.values()])
 
-    def test_with_one_zone_left_the_copies_are_on_other_machines_and_go_back_when_the_zone_does(self) -> None:
+    def test_replicas_move_within_the_remaining_zone_and_back_when_the_other_returns(self) -> None:
         limits = SurviveLimits(1, 1, 0)
         one_zone = stores("a1", "a2")
         record = plan({0: PartitionRecord(1, "b1#1", ("a1#1",))}, limits, one_zone)[0]
@@ -82,9 +82,9 @@
         record = promote_learner(record, "b1#1", limits, both)
         record = plan({0: record}, limits, both)[0]
         self.assertEqual(2, len(record.members))
-        self.assertTrue(outlasts(record.members, limits))
+        self.assertTrue(survives(record.members, limits))
 
-    def test_copies_in_one_zone_are_spread_when_zones_are_asked_for(self) -> None:
+    def test_replicas_in_one_zone_are_spread_when_a_zone_loss_must_be_survived(self) -> None:
         changes = plan({0: PartitionRecord(1, "a1#1", ("a2#1",))}, SurviveLimits(1, 1, 0), stores("a1", "a2", "b1"))
         self.assertEqual(("b1#1",), changes[0].learners)
 
@@ -97,7 +97,7 @@
         kept = promote_learner(PartitionRecord(2, "a1#1", ("b1#1",), ("a2#1",)), "a2#1", limits, now)
         self.assertIn("b1#1", kept.members)
 
-    def test_of_one_member_too_many_the_dead_one_leaves(self) -> None:
+    def test_a_dead_surplus_member_is_removed(self) -> None:
         record = PartitionRecord(3, "a1#1", ("b1#1", "c1#1"))
         limits = SurviveLimits(1, 0, 0)
         trimmed = remove_surplus(record, limits, stores("a1", "b1"), Counter({"a1#1": 9, "b1#1": 9}))
@@ -105,88 +105,88 @@
 
 
 SURVIVE = st.tuples(st.integers(0, 2), st.integers(0, 2), st.integers(0, 2)).filter(any)
-MACHINES = st.sets(st.sampled_from(sorted(PLACES)), min_size=2)
+MACHINES = st.sets(st.sampled_from(sorted(DOMAINS)), min_size=2)
 
 
-class Plan:
-    """Records that the planner changes, learner by learner, until nothing is left to change."""
+class PlannedPartitions:
+    """Partition records that the planner changes, learner by learner, until no change is left."""
 
     def __init__(self, machines: set[str], limits: SurviveLimits) -> None:
         self.limits = limits
-        self.records = initial_records(PARTS, limits, self.stores(machines))
+        self.records = initial_records(PARTITIONS, limits, self.stores(machines))
 
-    def stores(self, living: set[str], retiring: Collection[str] = ()) -> StoreMembers:
-        return StoreMembers({m: PLACES[m] for m in sorted(living)}, frozenset(retiring))
+    def stores(self, live: set[str], retiring: Collection[str] = ()) -> StoreMembers:
+        return StoreMembers({m: DOMAINS[m] for m in sorted(live)}, frozenset(retiring))
 
-    def steps(self, living: set[str], retiring: Collection[str] = ()) -> Iterator[None]:
-        """Each change of a record by itself; ends when all is calm."""
-        now = self.stores(living, retiring)
-        for _ in range(MOST_STEPS):
+    def steps(self, live: set[str], retiring: Collection[str] = ()) -> Iterator[None]:
+        """Apply the planner's changes, yielding after each change of a record; end when no change is left."""
+        now = self.stores(live, retiring)
+        for _ in range(MAX_STEPS):
             changes = plan(self.records, self.limits, now)
             self.records |= changes
             yield
-            syncing = [n for n, r in self.records.items() if r.learners and r.primary in living]
+            syncing = [n for n, r in self.records.items() if r.learners and r.primary in live]
             for n in syncing:
                 self.records[n] = promote_learner(self.records[n], self.records[n].learners[0], self.limits, now)
                 yield
             if not changes and not syncing:
                 return
-        raise AssertionError("never calm")
+        raise AssertionError("the planner did not converge")
 
 
 class AnyLossTest(unittest.TestCase):
     @settings(max_examples=150, deadline=None)
     @given(MACHINES, SURVIVE, st.data())
-    def test_any_allowed_loss_leaves_a_copy_before_and_after_every_repair(
+    def test_any_allowed_loss_leaves_a_replica_before_and_after_every_repair(
         self, machines: set[str], survive: tuple[int, int, int], data: st.DataObject
     ) -> None:
         limits = SurviveLimits(*survive)
-        places = {m: PLACES[m] for m in machines}
-        if attainable(places.values(), limits) != limits or len(machines) < limits.replicas:
-            return  # these machines can't do it
-        it = Plan(machines, limits)
+        domains = {m: DOMAINS[m] for m in machines}
+        if attainable(domains.values(), limits) != limits or len(machines) < limits.replicas:
+            return  # these machines cannot survive the losses
+        planned = PlannedPartitions(machines, limits)
         for _ in range(3):
-            every = list(losses(places, survive))
-            for gone in every:
-                for record in it.records.values():
-                    self.assertTrue(set(record.members) - gone, f"{record} without {gone}")
-            gone = data.draw(st.sampled_from(every))
-            for _ in it.steps(machines - gone):
-                for record in it.records.values():
-                    self.assertTrue(set(record.members) - gone)
-            self._check_strength(it, machines - gone)
-            for _ in it.steps(machines):
+            every = list(losses(domains, survive))
+            for lost in every:
+                for record in planned.records.values():
+                    self.assertTrue(set(record.members) - lost, f"{record} without {lost}")
+            lost = data.draw(st.sampled_from(every))
+            for _ in planned.steps(machines - lost):
+                for record in planned.records.values():
+                    self.assertTrue(set(record.members) - lost)
+            self._check_strength(planned, machines - lost)
+            for _ in planned.steps(machines):
                 pass
-            self._check_strength(it, machines)
+            self._check_strength(planned, machines)
 
-    def _check_strength(self, it: Plan, living: set[str]) -> None:
-        target = attainable([PLACES[m] for m in living], it.limits)
-        if len(living) < target.replicas:
+    def _check_strength(self, planned: PlannedPartitions, live: set[str]) -> None:
+        target = attainable([DOMAINS[m] for m in live], planned.limits)
+        if len(live) < target.replicas:
             return
-        for record in it.records.values():
-            self.assertTrue(outlasts(set(record.members) & living, target), f"{record} {target}")
+        for record in planned.records.values():
+            self.assertTrue(survives(set(record.members) & live, target), f"{record} {target}")
 
     @settings(max_examples=100, deadline=None)
     @given(MACHINES, SURVIVE, st.data())
-    def test_moves_and_retiring_never_have_less_than_was_asked_for(
+    def test_moves_and_retirement_keep_surviving_the_allowed_losses(
         self, machines: set[str], survive: tuple[int, int, int], data: st.DataObject
     ) -> None:
         limits = SurviveLimits(*survive)
         first = data.draw(st.sets(st.sampled_from(sorted(machines)), min_size=1))
-        if attainable([PLACES[m] for m in first], limits) != limits or len(first) < limits.replicas:
+        if attainable([DOMAINS[m] for m in first], limits) != limits or len(first) < limits.replicas:
             return
-        it = Plan(first, limits)
+        planned = PlannedPartitions(first, limits)
         retiring = {data.draw(st.sampled_from(sorted(machines)))}
-        staying = {m: PLACES[m] for m in machines - retiring}
-        for _ in it.steps(machines):
-            for record in it.records.values():
-                self.assertTrue(outlasts(record.members, limits), f"moved: {record}")
+        staying = {m: DOMAINS[m] for m in machines - retiring}
+        for _ in planned.steps(machines):
+            for record in planned.records.values():
+                self.assertTrue(survives(record.members, limits), f"moved: {record}")
         if attainable(staying.values(), limits) != limits or len(staying) < limits.replicas:
             return
-        for _ in it.steps(machines, retiring):
-            for record in it.records.values():
-                self.assertTrue(outlasts(record.members, limits), f"retiring: {record}")
-        self.assertFalse(retiring & {m for r in it.records.values() for m in r.members})
+        for _ in planned.steps(machines, retiring):
+            for record in planned.records.values():
+                self.assertTrue(survives(record.members, limits), f"retiring: {record}")
+        self.assertFalse(retiring & {m for r in planned.records.values() for m in r.members})
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_survival.py
+++ b/tests/controller/test_survival.py
@@ -1,4 +1,4 @@
-"""What any allowed loss leaves of replicas and of voters (otterreach/controller/survival.py)."""
+"""Survival of allowed losses by replicas and voters (otterreach/controller/survival.py)."""
 
 from __future__ import annotations
 
@@ -21,31 +21,31 @@
 )
 from otterreach.runtime.settings import read
 
-# Two regions: a1, a2, a3 are zones of "a"; b1, b2 of "b".
+# Two regions: "a" with zones a1, a2, a3, and "b" with zones b1, b2.
 REGIONS = {"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b"}
 
 
 def machines(*zones: str) -> dict[str, FailureDomain]:
-    """One machine for each zone named, in this order: m0, m1, ..."""
+    """Return one machine for each zone given, named m0, m1, ... in this order."""
     return {f"m{n}": failure_domain_of(zone, REGIONS) for n, zone in enumerate(zones)}
 
 
-def losses(places: dict[str, FailureDomain], limits: SurviveLimits) -> list[set[str]]:
-    """Every allowed loss, found by trying them all: the machines that are gone."""
+def losses(domains: dict[str, FailureDomain], limits: SurviveLimits) -> list[set[str]]:
+    """Return every allowed loss as the set of lost machines, by enumeration."""
     found: list[set[str]] = []
     for count in range(limits.nodes + 1):
-        found += [set(gone) for gone in combinations(places, count)]
+        found += [set(gone) for gone in combinations(domains, count)]
     for count, kind in ((limits.zones, "zone"), (limits.regions, "region")):
-        groups = {getattr(place, kind) for place in places.values()}
+        groups = {getattr(domain, kind) for domain in domains.values()}
         for gone in combinations(sorted(groups), min(count, len(groups))):
-            found.append({m for m, place in places.items() if getattr(place, kind) in gone})
+            found.append({m for m, domain in domains.items() if getattr(domain, kind) in gone})
     return found
 
 
 class ReplicasTest(unittest.TestCase):
     def test_table(self) -> None:
         table = [
-            # zones of the machines, limits, what is chosen, what stays unmet
+            # zones of the machines, limits, chosen machines, unmet kinds of losses
             (("a1",), (0, 0, 0), ["m0"], []),
             (("a1", "a1"), (1, 0, 0), ["m0", "m1"], []),
             (("a1",), (1, 0, 0), ["m0"], ["nodes"]),
@@ -60,16 +60,16 @@
         ]
         for zones, limits, chosen, unmet in table:
             with self.subTest(zones=zones, limits=limits):
-                places, what = machines(*zones), SurviveLimits(*limits)
-                found = choose_replicas([], list(places), places, what)
+                domains, allowed = machines(*zones), SurviveLimits(*limits)
+                found = choose_replicas([], list(domains), domains, allowed)
                 self.assertEqual(found, chosen)
                 expected = [*unmet, *(["zones", "regions"] if not zones else [])]
-                self.assertEqual(unmet_by_replicas([places[m] for m in found], what), expected)
+                self.assertEqual(unmet_by_replicas([domains[m] for m in found], allowed), expected)
 
-    def test_those_that_are_there_count(self) -> None:
-        places = machines("a1", "a1", "a2")
-        self.assertEqual(choose_replicas(["m1"], ["m0", "m2"], places, SurviveLimits(1, 1)), ["m2"])
-        self.assertEqual(choose_replicas(["m1", "m2"], ["m0"], places, SurviveLimits(1, 1)), [])
+    def test_present_replicas_count(self) -> None:
+        domains = machines("a1", "a1", "a2")
+        self.assertEqual(choose_replicas(["m1"], ["m0", "m2"], domains, SurviveLimits(1, 1)), ["m2"])
+        self.assertEqual(choose_replicas(["m1", "m2"], ["m0"], domains, SurviveLimits(1, 1)), [])
 
     def test_fewest_replicas(self) -> None:
         self.assertEqual(SurviveLimits(1, 0, 0).replicas, 2)
@@ -82,14 +82,14 @@
         st.integers(0, 1),
     )
     def test_every_allowed_loss_leaves_one(self, zones: list[str], nodes: int, lost: int, regions: int) -> None:
-        places, limits = machines(*zones), SurviveLimits(nodes, lost, regions)
-        chosen = choose_replicas([], list(places), places, limits)
-        if not unmet_by_replicas([places[m] for m in chosen], limits):
-            self.assertTrue(all(set(chosen) - gone for gone in losses(places, limits)))
+        domains, limits = machines(*zones), SurviveLimits(nodes, lost, regions)
+        chosen = choose_replicas([], list(domains), domains, limits)
+        if not unmet_by_replicas([domains[m] for m in chosen], limits):
+            self.assertTrue(all(set(chosen) - gone for gone in losses(domains, limits)))
             self.assertEqual(len(chosen), limits.replicas)
-        else:  # all machines together give no more
-            unmet = unmet_by_replicas(list(places.values()), limits)
-            self.assertEqual(unmet_by_replicas([places[m] for m in chosen], limits), unmet)
+        else:  # all machines together survive no more kinds of losses
+            unmet = unmet_by_replicas(list(domains.values()), limits)
+            self.assertEqual(unmet_by_replicas([domains[m] for m in chosen], limits), unmet)
 
 
 class VotersTest(unittest.TestCase):
@@ -107,10 +107,10 @@
         ]
         for zones, limits, count, unmet in table:
             with self.subTest(zones=zones, limits=limits):
-                places, what = machines(*zones), SurviveLimits(*limits)
-                found = choose_voters(list(places), places, what)
+                domains, allowed = machines(*zones), SurviveLimits(*limits)
+                found = choose_voters(list(domains), domains, allowed)
                 self.assertEqual(len(found), count)
-                self.assertEqual(unmet_by_voters([places[m] for m in found], what), unmet)
+                self.assertEqual(unmet_by_voters([domains[m] for m in found], allowed), unmet)
 
     @given(
         st.lists(st.sampled_from(sorted(REGIONS)), min_size=1, max_size=6),
@@ -119,25 +119,25 @@
         st.integers(0, 1),
     )
     def test_every_allowed_loss_leaves_a_majority(self, zones: list[str], nodes: int, lost: int, regions: int) -> None:
-        places, limits = machines(*zones), SurviveLimits(nodes, lost, regions)
-        chosen = choose_voters(list(places), places, limits)
-        unmet = unmet_by_voters([places[m] for m in chosen], limits)
+        domains, limits = machines(*zones), SurviveLimits(nodes, lost, regions)
+        chosen = choose_voters(list(domains), domains, limits)
+        unmet = unmet_by_voters([domains[m] for m in chosen], limits)
         if not unmet:
-            inside = {m: places[m] for m in chosen}
+            inside = {m: domains[m] for m in chosen}
             self.assertTrue(all(len(set(chosen) - gone) * 2 > len(chosen) for gone in losses(inside, limits)))
-        options = [c for n in range(1, len(places) + 1) for c in combinations(places, n)]
-        fewest = min(len(unmet_by_voters([places[m] for m in option], limits)) for option in options)
+        options = [c for n in range(1, len(domains) + 1) for c in combinations(domains, n)]
+        fewest = min(len(unmet_by_voters([domains[m] for m in option], limits)) for option in options)
         self.assertEqual(len(unmet), fewest)
 
     def test_a_voter_leaves_only_while_the_others_are_enough(self) -> None:
-        places = machines("a1", "a2", "a3", "a1")
+        domains = machines("a1", "a2", "a3", "a1")
         limits = SurviveLimits(1)
-        self.assertTrue(may_remove_voter("m3", ["m0", "m1", "m2", "m3"], places, limits))
-        self.assertFalse(may_remove_voter("m2", ["m0", "m1", "m2"], places, limits))
-        self.assertFalse(may_remove_voter("m2", ["m0", "m2"], places, limits))  # no loss is borne already
+        self.assertTrue(may_remove_voter("m3", ["m0", "m1", "m2", "m3"], domains, limits))
+        self.assertFalse(may_remove_voter("m2", ["m0", "m1", "m2"], domains, limits))
+        self.assertFalse(may_remove_voter("m2", ["m0", "m2"], domains, limits))  # no loss is survived even now
         across, spread = SurviveLimits(1, 1), machines("a1", "a2", "a3", "a1", "a2")
-        self.assertTrue(may_remove_voter("m3", list(places), places, across))
-        self.assertFalse(may_remove_voter("m2", list(spread), spread, across))  # a1 would have half of them
+        self.assertTrue(may_remove_voter("m3", list(domains), domains, across))
+        self.assertFalse(may_remove_voter("m2", list(spread), spread, across))  # zone a1 would have half of the voters
 
 
 class SettingsTest(unittest.TestCase):
--- a/tests/controller/test_tombstones.py
+++ b/tests/controller/test_tombstones.py
@@ -1,4 +1,4 @@
-"""Tombstones of the control state are dropped in time, and not sooner (otterreach/controller/tombstones.py)."""
+"""Tombstones of the control state are dropped in time, and not too early (otterreach/controller/tombstones.py)."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Primary:
-    """A state, and a clock that writes into it as the primary does."""
+    """A state, and a TombstoneClock whose changes are written to it as by a primary."""
 
     def __init__(self) -> None:
         self.state, self.revision, self.now = ReplicatedStore(), 0, 0.0
@@ -46,17 +46,17 @@
             primary.pass_time(2 * PERIOD_S)
             self.assertFalse(primary.has("server/a"), start)
 
-    def test_a_new_primary_goes_on_from_the_marks_that_are_there(self) -> None:
+    def test_a_new_primary_continues_from_the_recorded_period_ends(self) -> None:
         primary = Primary()
         primary.write("server/a", b"")
-        for term in range(PERIODS + 1):
-            self.assertTrue(primary.has("server/a"), term)
+        for epoch in range(PERIODS + 1):
+            self.assertTrue(primary.has("server/a"), epoch)
             primary.clock = TombstoneClock(lambda: primary.state)
             primary.clock.begin_period(primary.now)
             primary.pass_time(PERIOD_S + 5)
         self.assertFalse(primary.has("server/a"))
 
-    def test_a_period_that_was_not_seen_whole_does_not_count(self) -> None:
+    def test_a_period_not_seen_in_full_does_not_count(self) -> None:
         primary = Primary()
         primary.write("server/a", b"")
         for _ in range(50):
@@ -65,7 +65,7 @@
         self.assertTrue(primary.has("server/a"))
         self.assertFalse(primary.has(key_of(CollectedRecord)))
 
-    def test_nothing_is_written_while_there_are_none(self) -> None:
+    def test_nothing_is_written_without_tombstones(self) -> None:
         primary = Primary()
         primary.write("server/a", b"{}")
         primary.pass_time(10 * PERIOD_S)
@@ -82,10 +82,10 @@
 
 class SimulationTest(unittest.TestCase):
     def test_all_promises_hold_while_tombstones_go_soon(self) -> None:
-        """Far sooner than in service, so that followers and backups that missed much are there.
+        """Tombstones are dropped much earlier than in service, so that followers and backups miss some of them.
 
-        But not within the time in which a late call of a server may come: here that was seen 3 s after the server's
-        end.
+        They are still kept for longer than a late call of a server may take: such calls were seen 3 s after the
+        server's end in this simulation.
         """
         dropped, real = set(), ReplicatedStore.collect
 
