--- a/otterreach/controller/epoch_heartbeats.py
+++ b/otterreach/controller/epoch_heartbeats.py
@@ -57,7 +57,7 @@
         :returns: the reply; None if there was none, or if another controller answered at the witness's address
         """
         contact = self.contacts.by_id[witness.id]
-        asked_at = self.replica.loop.time()
+        sent_at = self.replica.loop.time()
         heartbeat = EpochHeartbeat(configuration.number, self.replica.id, self.replica.settings.address)
         contact.in_flight += 1
         reply = await self.endpoint.call(witness.address, heartbeat, CALL_TIMEOUT_S)
@@ -65,7 +65,7 @@
         if isinstance(reply, Failure) or reply.id != witness.id:
             return None  # no reply, or a controller with another disk at that address; that one will ask to join
         if reply.ok and self.is_primary_of(configuration):
-            self.contacts.record_reply(witness.id, asked_at)
+            self.contacts.record_reply(witness.id, sent_at)
         return reply
 
     async def _send_heartbeat(self, witness: ControllerInfo, configuration: EpochConfiguration) -> None:
--- a/otterreach/controller/replication.py
+++ b/otterreach/controller/replication.py
@@ -202,7 +202,7 @@
             if self.election.may_bootstrap():
                 await self.election.bootstrap()
             if self.is_primary and not self.election.in_progress:
-                if self.primary.writes.needs_epoch:
+                if self.primary.writes.needs_new_epoch:
                     await self.election.run()
                 await self.membership.reconcile_members()
                 self._collect_tombstones(now)
--- a/otterreach/controller/witness_contacts.py
+++ b/otterreach/controller/witness_contacts.py
@@ -47,10 +47,10 @@
             self.by_id[ident].answered_at = before[ident].answered_at
         self.notify_waiters()
 
-    def record_reply(self, ident: str, asked_at: float) -> None:
-        """Record that this witness confirmed the epoch in reply to a request sent at `asked_at`."""
+    def record_reply(self, ident: str, sent_at: float) -> None:
+        """Record that this witness confirmed the epoch in reply to a request sent at `sent_at`."""
         contact = self.by_id[ident]
-        contact.answered_at = max(contact.answered_at, asked_at)
+        contact.answered_at = max(contact.answered_at, sent_at)
         self.notify_waiters()
 
     def notify_waiters(self) -> None:
--- a/otterreach/controller/writes.py
+++ b/otterreach/controller/writes.py
@@ -68,8 +68,8 @@
         self.publisher = publisher
         self.closed = False  # set at graceful shutdown: no more writes are accepted
         self._count_in_epoch = 0  # the low bits of the last revision
-        self._queue: list[Item] = []
-        self._queued: list[PendingWrite] = []  # writes whose items are in the queue
+        self._queued_items: list[Item] = []
+        self._queued_writes: list[PendingWrite] = []  # writes whose items are in _queued_items
         self._unanswered: list[PendingWrite] = []  # all pending writes, oldest first
         self._replicating = False
         self._submitted = 0  # sequence number of the last proposed write
@@ -85,7 +85,7 @@
 
     def resume(self) -> None:
         """Replicate the queued writes. Called once the epoch has taken effect."""
-        if self._queue and not self._replicating:
+        if self._queued_items and not self._replicating:
             self.endpoint.spawn(self._replicate())
 
     def _highest_count(self) -> int:
@@ -98,8 +98,8 @@
         """Answer all pending writes with False (outcome unknown). Called when this controller has stepped down."""
         unanswered = self._unanswered
         self._unanswered = []
-        self._queued = []
-        self._queue = []
+        self._queued_writes = []
+        self._queued_items = []
         self._committed = self._submitted  # if it becomes primary again, all members start with its complete state
         self._step_downs += 1
         for write in unanswered:
@@ -120,7 +120,7 @@
         return self.heartbeats.contacts.has_majority()
 
     @property
-    def needs_epoch(self) -> bool:
+    def needs_new_epoch(self) -> bool:
         """True if the revisions of this epoch are running out."""
         return self._count_in_epoch >= NEW_EPOCH_COUNT
 
@@ -145,8 +145,8 @@
         replica.journal.append(JournalKind.ITEMS, encode(AppendItems(replica.number, items)))
         self._submitted += 1
         write = PendingWrite(future, self._submitted, replica.loop.time())
-        self._queue += items
-        self._queued.append(write)
+        self._queued_items += items
+        self._queued_writes.append(write)
         self._unanswered.append(write)
         if not self._replicating:
             self.endpoint.spawn(self._replicate())
@@ -155,7 +155,7 @@
     async def _replicate(self) -> None:
         self._replicating = True
         try:
-            while self._queue and self.replica.is_primary and not self.election.in_progress:
+            while self._queued_items and self.replica.is_primary and not self.election.in_progress:
                 await self._replicate_batch()
         finally:
             self._replicating = False
@@ -165,15 +165,15 @@
     async def _replicate_batch(self) -> None:
         configuration = self.replica.accepted
         assert configuration is not None
-        items = self._queue
-        writes = self._queued
-        self._queue = []
-        self._queued = []
+        items = self._queued_items
+        writes = self._queued_writes
+        self._queued_items = []
+        self._queued_writes = []
         step_downs = self._step_downs
-        asked_at = self.replica.loop.time()
+        sent_at = self.replica.loop.time()
         self._contact_other_witnesses(configuration)
         appended = await self._append_to_backups(configuration, items)
-        if appended and await self._wait_for_majority(configuration, asked_at):
+        if appended and await self._wait_for_majority(configuration, sent_at):
             self.publisher.publish(items)
             for write in writes:
                 self._committed = max(self._committed, write.number)
@@ -182,8 +182,8 @@
         if self._step_downs != step_downs:
             return  # these writes were answered at the step down; a later primary may not have had their items
         # To be appended again in the next epoch, or abandoned when this controller steps down.
-        self._queue = items + self._queue
-        self._queued = writes + self._queued
+        self._queued_items = items + self._queued_items
+        self._queued_writes = writes + self._queued_writes
         if self.heartbeats.is_primary_of(configuration) and not self.election.in_progress:
             await self.election.run()
 
@@ -203,7 +203,7 @@
         replica = self.replica
         backups = [witness for witness in configuration.witnesses if witness.id in configuration.backups]
         request = AppendItems(configuration.number, items)
-        asked_at = replica.loop.time()
+        sent_at = replica.loop.time()
         calls: list[Coroutine[object, object, Done | Failure]] = [
             self.endpoint.call(backup.address, request, CALL_TIMEOUT_S) for backup in backups
         ]
@@ -215,13 +215,13 @@
                 reason = reply.reason if isinstance(reply, Failure) else ""
                 log("backup_lost", node=replica.settings.node, backup=backup.node, reason=reason)
                 return False
-            self.heartbeats.contacts.record_reply(backup.id, asked_at)
+            self.heartbeats.contacts.record_reply(backup.id, sent_at)
         return True
 
-    async def _wait_for_majority(self, configuration: EpochConfiguration, asked_at: float) -> bool:
+    async def _wait_for_majority(self, configuration: EpochConfiguration, sent_at: float) -> bool:
         """Return True once a majority has confirmed the epoch; False once this controller no longer leads it."""
         return await self.heartbeats.contacts.wait_for_majority(
-            asked_at, lambda: self.heartbeats.is_primary_of(configuration)
+            sent_at, lambda: self.heartbeats.is_primary_of(configuration)
         )
 
     # Time-outs and reads -------------------------------------------------------------------------
