--- a/otterreach/coordination/__init__.py
+++ b/otterreach/coordination/__init__.py
@@ -1,1 +1,4 @@
-"""Locks, counters, compare-and-put keys and watches as pure state machines: no I/O, time and state handed in."""
+"""Locks, counters, compare-and-put keys and watches as pure state machines without I/O.
+
+The caller passes time and state as arguments.
+"""
--- a/otterreach/coordination/counters.py
+++ b/otterreach/coordination/counters.py
@@ -1,4 +1,4 @@
-"""Counters whose values rise for ever. A value may be skipped; none is given twice.
+"""Strictly increasing counters. Values may be skipped, but no value is returned twice.
 
 >>> next_value(None)
 1
@@ -10,8 +10,8 @@
 
 
 def next_value(last: int | None) -> int:
-    """The value to give out once it is stored as the last one.
+    """Return the next value. It may be handed out only after it has been stored as the last one.
 
-    :param last: the value that was stored last; None before the first
+    :param last: the value stored last; None before the first one
     """
     return 1 if last is None else last + 1
--- a/otterreach/coordination/history.py
+++ b/otterreach/coordination/history.py
@@ -1,7 +1,7 @@
-"""The newest puts of a group of keys, by which watches resume and repeated puts are recognised.
+"""History of the most recent puts of a key group, used to resume watches and to recognise repeated puts.
 
-Events live in numbered slots. A new event takes the slot of the oldest one, once that has been kept for long enough,
-or a new slot. Old events may be removed besides, but for the newest one, which holds the group's revision.
+Events are stored in numbered slots. A new event overwrites the oldest one if that has passed its retention period, and
+takes a new slot otherwise. Old events may also be removed, except the newest one, which stores the group's revision.
 
     >>> history = GroupHistory()
     >>> history.store(0, Event("g1.a", "v1", revision=1, expected=0))
@@ -9,7 +9,7 @@
     >>> [event.name for event in history.between(1, 2)]
     ['g1.b']
     >>> history.store(0, Event("g1.a", "v3", revision=3, expected=1))
-    >>> history.between(0, 3) is None  # the first event is gone
+    >>> history.between(0, 3) is None  # the first event has been overwritten
     True
 """
 
@@ -17,40 +17,40 @@
 
 from dataclasses import dataclass
 
-EVENT_OVERHEAD_BYTES = 64  # of an event, besides its name and value, about
+EVENT_OVERHEAD_BYTES = 64  # estimated size of an event without its name and value
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One accepted put."""
+    """An accepted put."""
 
     name: str
     value: str
-    revision: int  # in the group
-    expected: int | None  # the revision that the key had to have; None: any
+    revision: int  # the group revision assigned to the put
+    expected: int | None  # the key revision required by the put; None: any revision
 
     @property
     def size(self) -> int:
-        """About how many bytes it takes."""
+        """Estimated size in bytes."""
         return len(self.name) + len(self.value) + EVENT_OVERHEAD_BYTES
 
 
 class GroupHistory:
-    """The events of one group that are kept."""
+    """The retained events of one group."""
 
     def __init__(self) -> None:
-        self.revision = 0  # the group's newest
+        self.revision = 0  # newest revision of the group
         self.bytes = 0
         self._slots: dict[int, Event] = {}
-        self._next_slot = 0  # above all that were ever in use
-        self._slot_of: dict[int, int] = {}  # by revision
-        self._by_call: dict[tuple[str, str, int | None], Event] = {}  # by name, value and expected revision
+        self._next_slot = 0  # above every slot ever used
+        self._slot_of: dict[int, int] = {}  # keyed by revision
+        self._by_call: dict[tuple[str, str, int | None], Event] = {}  # keyed by name, value and expected revision
 
     def __len__(self) -> int:
         return len(self._slots)
 
     def store(self, slot: int, event: Event) -> None:
-        """Put an event into a slot, in place of the one there."""
+        """Store an event in a slot, replacing the event already there."""
         former = self._slots.get(slot)
         if former is not None:
             self._remove(former)
@@ -64,7 +64,7 @@
         self.revision = max(self.revision, event.revision)
 
     def remove(self, slot: int) -> None:
-        """Empty a slot, if it is in use. Not that of the newest event."""
+        """Empty a slot if it is in use. The slot of the newest event must not be removed."""
         former = self._slots.pop(slot, None)
         if former is not None:
             self._remove(former)
@@ -77,19 +77,19 @@
             del self._by_call[call]
 
     def oldest_slot(self) -> int | None:
-        """The slot of the oldest event; None if there is none."""
+        """Return the slot of the oldest event, or None if the history is empty."""
         return self._slot_of[min(self._slot_of)] if self._slot_of else None
 
     def new_slot(self) -> int:
-        """A slot that is not in use."""
+        """Return an unused slot."""
         return self._next_slot
 
     def find(self, name: str, value: str, expected: int | None) -> Event | None:
-        """The accepted put of this value, if its event is still kept."""
+        """Return the event of an accepted put with these arguments, or None if it is not retained."""
         return self._by_call.get((name, value, expected))
 
     def between(self, past: int, revision: int) -> list[Event] | None:
-        """All events above `past` up to `revision`, rising; None if some of them aren't kept any more."""
+        """Return the events after `past` up to `revision` in ascending order; None if any is no longer retained."""
         events = []
         for number in range(past + 1, revision + 1):
             slot = self._slot_of.get(number)
--- a/otterreach/coordination/keyspace.py
+++ b/otterreach/coordination/keyspace.py
@@ -1,4 +1,4 @@
-"""Keys with compare-and-put. Keys that begin alike up to the first dot are a group and share one count of revisions.
+"""Keys with compare-and-put. Keys with the same prefix up to the first dot form a group and share a revision counter.
 
 >>> history = GroupHistory()
 >>> put(Put("g1.a", "v1", expected=0), None, history)
@@ -18,16 +18,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """The present value of a key."""
+    """The current value of a key."""
 
     value: str
     revision: int
-    expected: int | None  # the revision that the key had to have; None: any
+    expected: int | None  # the key revision required by the put that wrote it; None: any revision
 
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Sets a key that has the revision `expected`, or doesn't exist if that is 0; whatever it has if that is None."""
+    """Request to set a key if its revision is `expected`; 0 requires that the key doesn't exist, None allows any."""
 
     name: str
     value: str
@@ -36,39 +36,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Written:
-    """The put is accepted once `entry`, and its event in the history, are stored."""
+    """Result of a put that is accepted once `entry` and its history event have been stored."""
 
     entry: Entry
 
 
 @dataclass(frozen=True, slots=True)
 class Repeated:
-    """Exactly this put was accepted before, with this revision. Nothing changes."""
+    """Result of a put that has already been accepted with this revision. Nothing changes."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The key has another revision than expected: this one. Nothing changes."""
+    """Result of a put whose expected revision differs from the key's, which is given. Nothing changes."""
 
     revision: int
 
 
 def group_of(name: str) -> str:
-    """The group that a key belongs to, its dot included; a key without a dot is a group of its own."""
+    """Return the group of a key, including the dot; a key without a dot is its own group."""
     group, dot, _ = name.partition(SEPARATOR)
     return group + dot
 
 
 def put(call: Put, entry: Entry | None, history: GroupHistory) -> Written | Repeated | Conflict:
-    """Decide a put.
+    """Decide on a put.
 
-    A put with the value and the expected revision of an accepted one is that one, sent again, however many came since.
-    With an expected revision that is sure, for a key has one accepted put at most on each; without one, values that
-    are put within the time that the history spans have to differ.
+    A put with the same value and expected revision as an accepted one is a retry of it, however many puts have been
+    accepted since. With an expected revision this is exact, since at most one put per key is accepted for each
+    revision; without one, callers have to put different values within the period that the history covers.
 
-    :param history: of the key's group; it has to keep events for as long as puts may be sent again
+    :param history: history of the key's group; it has to retain events for as long as puts may be retried
     """
     earlier = history.find(call.name, call.value, call.expected)
     if earlier is not None:
--- a/otterreach/coordination/locks.py
+++ b/otterreach/coordination/locks.py
@@ -1,10 +1,10 @@
-"""Locks with an owner, a fencing token and a time after which they are free again.
+"""Locks with an owner, a fencing token and an expiry time.
 
-Each function decides one call on the present hold and returns what the hold is to become; the caller stores it. Times
-are durations in seconds on a steady clock: `elapsed_s` is how long ago the hold was stored, which it is when a call is
-accepted. An embedder may store a running hold anew at any time, with what `left_ms` says as its `hold_ms`. A holder
-counts itself as such until `hold_ms` after it sent its last accepted call. A call is received after it was sent, so a
-hold that lasts `hold_ms` from the receipt ends after its holder has stopped.
+Each function decides one call against the current hold and returns the new hold, which the caller stores. Times are
+durations in seconds on a monotonic clock: `elapsed_s` is the time since the hold was stored. A hold is stored when a
+call is accepted, and an embedder may store an active hold again at any time with `hold_ms` set to the result of
+`left_ms`. A holder considers the lock its own until `hold_ms` after it sent its last accepted call. A call is received
+after it was sent, so a hold that lasts `hold_ms` from the receipt expires after its holder has stopped relying on it.
 
     >>> granted = acquire(None, 0.0, Acquire("worker-1", hold_ms=3000), fence=41)
     >>> granted
@@ -20,23 +20,23 @@
 from dataclasses import dataclass, replace
 from math import ceil
 
-EXPIRY_MARGIN_S = 0.05  # beyond `hold_ms`
-MAX_CLOCK_DRIFT = 0.001  # between two steady clocks, each of which may be slewed by 500 ppm
+EXPIRY_MARGIN_S = 0.05  # added to `hold_ms` before a hold counts as expired
+MAX_CLOCK_DRIFT = 0.001  # between two monotonic clocks, each of which may be slewed by 500 ppm
 
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """One holder's uninterrupted possession of a lock."""
+    """Uninterrupted ownership of a lock by one holder."""
 
     owner: str
-    fence: int  # of its last acquisition
-    first_fence: int  # of its first acquisition: renewals of any of them are for this hold
-    hold_ms: int  # so long it lasts from when it was stored for its last accepted call, or stored anew since
+    fence: int  # fencing token of the last acquisition
+    first_fence: int  # fencing token of the first acquisition; renewals with any token from it to `fence` are valid
+    hold_ms: int  # duration, from when the hold was last stored
 
 
 @dataclass(frozen=True, slots=True)
 class Acquire:
-    """Asks for the lock, or for more time and a new token where the owner has it already."""
+    """Request to acquire a lock. If the owner already holds it, the hold is extended and gets a new fencing token."""
 
     owner: str
     hold_ms: int
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Renew:
-    """Asks for more time."""
+    """Request to extend a hold."""
 
     owner: str
     fence: int
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Gives the lock back."""
+    """Request to release a hold."""
 
     owner: str
     fence: int
@@ -61,51 +61,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """The call is accepted once `hold` is stored."""
+    """Result of a call that is accepted once `hold` has been stored."""
 
     hold: Hold
 
 
 @dataclass(frozen=True, slots=True)
 class HeldByOther:
-    """Another owner may hold the lock still. Nothing changes."""
+    """Result of an acquisition while another owner may still hold the lock. Nothing changes."""
 
     owner: str
 
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """The hold that was to be renewed has ended. Nothing changes."""
+    """Result of a renewal of a hold that has ended. Nothing changes."""
 
 
 def _surely_passed_s(elapsed_s: float) -> float:
-    """How much of a time on this machine's clock has passed on the holder's as well."""
+    """Return the time that has passed on the holder's clock at least, given the time elapsed on the local clock."""
     return elapsed_s * (1 - MAX_CLOCK_DRIFT)
 
 
 def is_over(hold: Hold, elapsed_s: float) -> bool:
-    """Whether the holder has surely stopped counting itself as such."""
+    """Return True if the hold has expired on the holder's clock as well, even at the maximum clock drift."""
     return _surely_passed_s(elapsed_s) >= hold.hold_ms / 1000 + EXPIRY_MARGIN_S
 
 
 def left_ms(hold: Hold, elapsed_s: float) -> int:
-    """How long the hold lasts from now on, without the margin; 0 or less if its holder has stopped."""
+    """Return the remaining duration of a hold without the expiry margin; 0 or less if it has expired for its holder."""
     return ceil(hold.hold_ms - _surely_passed_s(elapsed_s) * 1000)
 
 
 def _extended_ms(hold: Hold, elapsed_s: float, hold_ms: int) -> int:
-    """How long from now a hold lasts that is asked to last for `hold_ms`: no call makes it end sooner.
+    """Return the duration of a hold that is extended by `hold_ms` from now; no call shortens a hold.
 
-    The answer to a call that asks for less than is left may be lost, and then its holder goes on for what is left.
+    The response to a call that asks for less than the remaining time may be lost, in which case the holder relies on
+    the remaining time.
     """
     return max(left_ms(hold, elapsed_s), hold_ms)
 
 
 def acquire(hold: Hold | None, elapsed_s: float, call: Acquire, fence: int) -> Granted | HeldByOther:
-    """Decide an acquisition.
+    """Decide on an acquisition.
 
-    :param fence: above all tokens that were given for this lock. Also the same owner gets it: a release of its earlier
-        acquisition may still be under way, and must not end this one.
+    :param fence: a token above all those issued for this lock. The current owner gets a new token as well, because a
+        release of its earlier acquisition may still be in flight and must not end this one.
     """
     if hold is None or is_over(hold, elapsed_s):
         return Granted(Hold(call.owner, fence, fence, call.hold_ms))
@@ -115,7 +116,7 @@
 
 
 def renew(hold: Hold | None, elapsed_s: float, call: Renew) -> Granted | Lost:
-    """Decide a renewal: only for the hold that the token belongs to, and only while that lasts."""
+    """Decide on a renewal. It is granted only for the hold that the token belongs to, and only until that expires."""
     if hold is None or hold.owner != call.owner or is_over(hold, elapsed_s):
         return Lost()
     if not hold.first_fence <= call.fence <= hold.fence:
@@ -124,5 +125,5 @@
 
 
 def ends(hold: Hold | None, call: Release) -> bool:
-    """Whether a release ends the present hold: only that of its last acquisition does."""
+    """Return True if a release ends the current hold. Only a release with the token of its last acquisition does."""
     return hold is not None and (hold.owner, hold.fence) == (call.owner, call.fence)
--- a/otterreach/coordination/watches.py
+++ b/otterreach/coordination/watches.py
@@ -1,6 +1,6 @@
-"""Who waits for which group to pass which revision.
+"""Table of the waiters for new revisions of key groups.
 
-A waiter is whatever the embedder wakes, a future for instance. Waiting costs an entry in a table and nothing else.
+A waiter is any object that the embedder wakes, for instance a future. A waiter costs one table entry and nothing else.
 
     >>> table = WatchTable(limit=100)
     >>> table.add("g1.", 7, "first")
@@ -20,10 +20,10 @@
 
 
 class WatchTable(Generic[WaiterT]):
-    """Waiters by the group that they wait for."""
+    """Waiters, indexed by group."""
 
     def __init__(self, limit: int) -> None:
-        """:param limit: so many may wait at a time"""
+        """:param limit: the maximum number of waiters at a time"""
         self.limit = limit
         self._waiters: dict[str, dict[WaiterT, int]] = {}
         self._count = 0
@@ -32,7 +32,7 @@
         return self._count
 
     def add(self, group: str, past: int, waiter: WaiterT) -> bool:
-        """Let it wait for a revision above `past`; False if too many wait already."""
+        """Register a waiter for a revision above `past`. Return False if the table is full."""
         if self._count >= self.limit:
             return False
         self._waiters.setdefault(group, {})[waiter] = past
@@ -40,7 +40,7 @@
         return True
 
     def remove(self, group: str, waiter: WaiterT) -> None:
-        """It waits no more. Nothing happens if it doesn't."""
+        """Unregister a waiter. An unknown waiter is ignored."""
         waiters = self._waiters.get(group, {})
         if waiters.pop(waiter, None) is None:
             return
@@ -49,7 +49,7 @@
             del self._waiters[group]
 
     def take(self, group: str, revision: int) -> list[WaiterT]:
-        """Remove and return those that this revision of the group is news to."""
+        """Remove and return the waiters of a group that wait for this revision or a lower one."""
         waiters = self._waiters.get(group, {})
         reached = [waiter for waiter, past in waiters.items() if past < revision]
         for waiter in reached:
@@ -57,8 +57,8 @@
         return reached
 
     def take_all(self) -> list[WaiterT]:
-        """Remove and return all."""
-        everyone = [waiter for waiters in self._waiters.values() for waiter in waiters]
+        """Remove and return all waiters."""
+        waiters = [waiter for waiters in self._waiters.values() for waiter in waiters]
         self._waiters.clear()
         self._count = 0
-        return everyone
+        return waiters
