--- a/otterreach/controller/api/__init__.py
+++ b/otterreach/controller/api/__init__.py
@@ -1,7 +1,7 @@
-"""The calls of servers, trainers and the operator: a module for each resource, and the router that finds it.
+"""HTTP API for servers, trainers and the operator: one module per resource, and the router that dispatches calls.
 
-Each resource decides on the primary's own state without waiting in between, so that two calls can't both be accepted
-on one version. That state is ahead of what all replicas have: so a call is answered only once the write that it made,
-or the writes that its answer rests on, are at all replicas (`ControlReplication.committed`). A call that fails there
-gets 503, which leaves open whether it was accepted; its caller sends it again.
+Each resource decides on the primary's own state without awaiting anything in between, so that two calls can't both be
+accepted on the same version. That state is ahead of the replicated state. A call is therefore answered only after its
+own write, or the writes that its response depends on, are on all replicas (`ControlReplication.committed`). If that
+fails, the response is 503, which leaves open whether the call was accepted; the caller retries it.
 """
--- a/otterreach/controller/api/configuration.py
+++ b/otterreach/controller/api/configuration.py
@@ -22,23 +22,23 @@
 from otterreach.runtime.records import FormerChangeList, ItemChange, delete, key_of, put
 from otterreach.runtime.store import ReplicatedStore
 
-MAX_CHANGES_IN_PROGRESS = 32  # more than these get 503 at once: each may have a body of many megabytes
+MAX_CHANGES_IN_PROGRESS = 32  # further changes get 503 immediately: each may have a body of many megabytes
 CONFIGURATION_KEY = key_of(ConfigurationRecord)
 FORMER_CHANGES_KEY = key_of(FormerChangeList)
 
 
 class ConfigurationResource:
-    """Changes and reads of the configuration."""
+    """Handles changes and reads of the configuration."""
 
     def __init__(self, control: ControlState, published: ReplicatedStore) -> None:
         self.control = control
-        self.published = published  # what all replicas have
+        self.published = published  # the state that is on all replicas
         self._changes_in_progress = 0
-        self._followed: ReplicatedStore | None = None  # the state that `_followed_history` goes with
-        self._followed_history = EMPTY_HISTORY
+        self._cached: ReplicatedStore | None = None  # the state that `_cached_history` was read from
+        self._cached_history = EMPTY_HISTORY
 
     async def handle(self, call: ApiCall) -> ApiResponse:
-        """Answer a call, at the primary."""
+        """Handle a call on the primary."""
         if call.method == "GET":
             return await self._read()
         if call.method not in ("PUT", "PATCH"):
@@ -63,7 +63,7 @@
         if_match = config.parse_if_match(call.match)
         if isinstance(if_match, Failure):
             return rejection(if_match)
-        # From here to `write` nothing is waited for: no other change comes in between.
+        # Nothing may be awaited from here to `write`, so that no other change is accepted in between.
         state = self.control.state
         history = self._history_of(state)
         current = state.record(ConfigurationRecord)
@@ -78,11 +78,14 @@
         return await self._accept(result, history.item_for(config.change_of(call.method, call.body, if_match)))
 
     def _history_of(self, state: ReplicatedStore) -> ChangeHistory:
-        """Read anew only when the whole state was replaced: reading thousands of changes takes its time."""
-        if self._followed is not state:
-            self._followed = state
-            self._followed_history = ChangeHistory.follow(state)
-        return self._followed_history
+        """Return the change history of a state.
+
+        It is rebuilt only after the whole state has been replaced, because reading thousands of changes is slow.
+        """
+        if self._cached is not state:
+            self._cached = state
+            self._cached_history = ChangeHistory.follow(state)
+        return self._cached_history
 
     async def _accept(self, document: Document, history_item: ItemChange) -> ApiResponse:
         record = ConfigurationRecord(document)
--- a/otterreach/controller/api/coordination_answers.py
+++ b/otterreach/controller/api/coordination_answers.py
@@ -1,6 +1,6 @@
-"""What the resources of locks, numbers, keys and watches share: their answers, and what each promises.
+"""Responses shared by the lock, number, key and watch resources.
 
-412, 409, 429 and 503 promise that the call has changed nothing and never will; 504 promises nothing.
+412, 409, 429 and 503 guarantee that the call has changed nothing and never will; 504 guarantees nothing.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from otterreach.runtime.records import ItemChange, Record
 from otterreach.runtime.store import ReplicatedStore
 
-UNCLEAR = ApiResponse(504)  # done or not; sent again, the call is recognised where that matters
+UNCLEAR = ApiResponse(504)  # the call may have been applied; a retry is recognised where that matters
 EMPTY_OBJECT = b"{}"
 DONE = ApiResponse(200, EMPTY_OBJECT)
-MAX_NAMES = 100_000  # of one kind
-MAX_STATE_BYTES = 24 * 1024 * 1024  # of the whole control state: then no key is added, and none grows
-RESERVED_BYTES = 4 * 1024 * 1024  # so much more for locks and numbers: full keys don't stop them
+MAX_NAMES = 100_000  # items of one kind
+MAX_STATE_BYTES = 24 * 1024 * 1024  # size of the whole control state at which no key is added and none grows
+RESERVED_BYTES = 4 * 1024 * 1024  # additional space for locks and numbers, so that keys can't exhaust it
 
 _STATUSES = {
     Code.COORDINATION_FIELD: 400,
@@ -32,33 +32,34 @@
 
 
 class CoordinationState(ControlState, Protocol):
-    """A control state that tells whether a write would be begun."""
+    """A control state that reports whether it accepts writes."""
 
     @property
     def accepts_writes(self) -> bool:
-        """Whether `propose`, called now, changes anything."""
+        """True if a call of `propose` made now would change anything."""
 
 
 def has_room(state: ReplicatedStore, kind: type[Record]) -> bool:
-    """Whether one more lock or number may be added."""
+    """Return True if one more lock or number may be added."""
     return state.count(kind) < MAX_NAMES and state.bytes < MAX_STATE_BYTES + RESERVED_BYTES
 
 
 def refusal(failure: Failure) -> ApiResponse:
-    """The status that goes with a failure, with its code and reason as the body."""
+    """Return the response for a failure, with its code and reason in the body."""
     body = json.dumps({"code": int(failure.code), "reason": failure.reason}).encode()
     return ApiResponse(_STATUSES[failure.code], body)
 
 
 def answer(**fields: object) -> ApiResponse:
-    """A 200 with these fields."""
+    """Return a response with status 200 and a JSON object of these fields."""
     return ApiResponse(200, json.dumps(fields, separators=(",", ":")).encode())
 
 
 async def after_write(control: CoordinationState, changes: Iterable[ItemChange], accepted: ApiResponse) -> ApiResponse:
-    """Write, and give `accepted` once all replicas have the changes.
+    """Write the changes and return `accepted` once they are on all replicas.
 
-    Danger: nothing may be waited for between the decision that the changes are for and this call.
+    Nothing may be awaited between the decision that led to the changes and this call; otherwise the state that the
+    decision was based on may have changed.
     """
     if not control.accepts_writes:
         return UNAVAILABLE
@@ -66,10 +67,13 @@
 
 
 async def after_commit(control: CoordinationState, rejected: ApiResponse) -> ApiResponse:
-    """An answer to a call that changes nothing, once the state that it rests on can't be lost any more."""
+    """Return the response to a call that changes nothing, once the state that it depends on is committed."""
     return await when_committed(control, rejected)
 
 
 async def after_repeat(control: CoordinationState, accepted: ApiResponse) -> ApiResponse:
-    """The answer to a call that was accepted before: it may be in force already, so it is never called undone."""
+    """Return the response to a repeat of an accepted call.
+
+    The call may already be in effect, so a failure must not be answered with a status that says that it is not.
+    """
     return accepted if await control.committed() else UNCLEAR
--- a/otterreach/controller/api/coordination_calls.py
+++ b/otterreach/controller/api/coordination_calls.py
@@ -1,4 +1,4 @@
-"""Reads the calls for locks, numbers, keys and watches. Each function raises FieldError for what can't be used."""
+"""Parsing of the calls for locks, numbers, keys and watches. Each function raises FieldError for invalid input."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Asks for the events of a group above a revision; 0 asks for the group's revision only."""
+    """Request for the events of a group after a revision; 0 requests the group's current revision only."""
 
     group: str
     past: int
@@ -31,7 +31,7 @@
 
 
 def read_name(call: ApiCall) -> str:
-    """The name of the lock, counter, key or group: all of the path behind its first segment."""
+    """Return the name of the lock, counter, key or group: the path after its first segment."""
     name = call.path.lstrip("/").partition("/")[2]
     if not 0 < len(name) <= MAX_NAME_CHARS:
         raise FieldError("ID", f"1 to {MAX_NAME_CHARS} characters are needed")
@@ -41,31 +41,31 @@
 
 
 def read_acquire(body: bytes) -> Acquire:
-    """The body of POST /locks/ID."""
+    """Parse the body of POST /locks/ID."""
     fields = Fields.of_body(body, ("owner", "holdMs"))
     return Acquire(fields.owner(), fields.hold_ms())
 
 
 def read_renew(body: bytes) -> Renew:
-    """The body of PUT /locks/ID."""
+    """Parse the body of PUT /locks/ID."""
     fields = Fields.of_body(body, ("owner", "fence", "holdMs"))
     return Renew(fields.owner(), fields.fence(), fields.hold_ms())
 
 
 def read_release(body: bytes) -> Release:
-    """The body of DELETE /locks/ID."""
+    """Parse the body of DELETE /locks/ID."""
     fields = Fields.of_body(body, ("owner", "fence"))
     return Release(fields.owner(), fields.fence())
 
 
 def check_number(body: bytes) -> None:
-    """The body of POST /numbers/ID, which has no fields."""
+    """Validate the body of POST /numbers/ID, which has no fields."""
     if body:
         Fields.of_body(body, ())
 
 
 def read_put(name: str, body: bytes) -> Put:
-    """The body of PUT /cells/ID. Without `expect` the key may have any revision."""
+    """Parse the body of PUT /cells/ID. Without `expect` the key may have any revision."""
     fields = Fields.of_body(body, ("value", "expect"))
     value = fields.text("value", 0, MAX_VALUE_BYTES)
     expected = fields.integer("expect", 0, MAX_NUMBER) if "expect" in fields else None
@@ -73,7 +73,7 @@
 
 
 def read_watch(group: str, query: str) -> Watch:
-    """The query of GET /watch/GROUP. Without `waitMs` the answer is given at once."""
+    """Parse the query of GET /watch/GROUP. Without `waitMs` the response is sent immediately."""
     if SEPARATOR in group[:-1]:
         raise FieldError("ID", "a group is needed, up to its first dot")
     fields = Fields.of_query(query, ("past", "waitMs"))
--- a/otterreach/controller/api/coordination_fields.py
+++ b/otterreach/controller/api/coordination_fields.py
@@ -1,4 +1,4 @@
-"""The fields of calls for locks, numbers, keys and watches, each with its bounds."""
+"""Fields of the calls for locks, numbers, keys and watches, with their bounds."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 MAX_NAME_CHARS = 256
 MAX_OWNER_BYTES = 256
 MAX_VALUE_BYTES = 64 * 1024
-MAX_BODY_BYTES = 8 * MAX_VALUE_BYTES  # a character may be escaped
+MAX_BODY_BYTES = 8 * MAX_VALUE_BYTES  # leaves space for escaped characters
 MAX_HOLD_MS = 24 * 3600 * 1000
 MAX_WAIT_MS = 60_000
-MAX_NUMBER = (1 << 53) - 1  # what every JSON reader takes for a whole number
+MAX_NUMBER = (1 << 53) - 1  # the largest integer that every JSON parser reads exactly
 
 _DIGITS = re.compile(r"[0-9]{1,16}")
 
 
 class FieldError(ValueError):
-    """A field can't be used, or doesn't belong to the call."""
+    """A field is invalid or unknown."""
 
     def __init__(self, field: str, reason: str) -> None:
         super().__init__(f"{field[:MAX_NAME_CHARS]}: {reason}")
 
     @property
     def failure(self) -> Failure:
-        """What the caller is answered."""
+        """The failure returned to the caller."""
         return Failure(Code.COORDINATION_FIELD, str(self))
 
 
 def _unique_fields(pairs: list[tuple[str, object]]) -> dict[str, object]:
-    """A JSON object from its fields, none of which may stand twice: which of the two is meant can't be known."""
+    """Return a JSON object from its fields. A field that occurs twice is ambiguous and raises FieldError."""
     fields: dict[str, object] = {}
     for field, value in pairs:
         if field in fields:
@@ -43,7 +43,7 @@
 
 
 class Fields:
-    """The fields of one call. Each method gives one of them, or raises FieldError."""
+    """The fields of a call. Each accessor returns the value of a field or raises FieldError."""
 
     def __init__(self, values: dict[str, object], known: Collection[str]) -> None:
         unknown = sorted(set(values) - set(known))
@@ -53,7 +53,7 @@
 
     @classmethod
     def of_body(cls, body: bytes, known: Collection[str]) -> Fields:
-        """Those of a JSON object that has no others than the known ones."""
+        """Parse the fields of a JSON object, which must all be known."""
         if len(body) > MAX_BODY_BYTES:
             raise FieldError("body", f"longer than {MAX_BODY_BYTES} bytes")
         try:
@@ -68,7 +68,7 @@
 
     @classmethod
     def of_query(cls, query: str, known: Collection[str]) -> Fields:
-        """Those of a query; what is no whole number counts as missing."""
+        """Parse the fields of a query string; values other than integers count as missing."""
         pairs = parse_qsl(query, keep_blank_values=True)
         texts = dict(pairs)
         if len(texts) < len(pairs):
@@ -79,14 +79,14 @@
         return field in self._values
 
     def integer(self, field: str, least: int, most: int) -> int:
-        """A whole number within these bounds."""
+        """Return an integer within these bounds."""
         value = self._values.get(field)
         if type(value) is not int or not least <= value <= most:
             raise FieldError(field, f"a whole number from {least} to {most} is needed")
         return value
 
     def text(self, field: str, least_bytes: int, most_bytes: int) -> str:
-        """A string of so many bytes."""
+        """Return a string whose encoded length is within these bounds."""
         value = self._values.get(field)
         if not isinstance(value, str):
             raise FieldError(field, "a string is needed")
@@ -99,13 +99,13 @@
         return value
 
     def owner(self) -> str:
-        """The holder of a lock."""
+        """Return the owner of a lock."""
         return self.text("owner", 1, MAX_OWNER_BYTES)
 
     def fence(self) -> int:
-        """A fencing token."""
+        """Return a fencing token."""
         return self.integer("fence", 1, MAX_NUMBER)
 
     def hold_ms(self) -> int:
-        """How long a lock is to be held."""
+        """Return the requested duration of a hold."""
         return self.integer("holdMs", 1, MAX_HOLD_MS)
--- a/otterreach/controller/api/coordination_resource.py
+++ b/otterreach/controller/api/coordination_resource.py
@@ -1,4 +1,4 @@
-"""What the resources of locks, numbers, keys and watches have in common: a call that can't be read is refused."""
+"""Base class of the lock, number, key and watch resources, which rejects invalid calls."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class CoordinationResource(ABC):
-    """Handles the calls of one kind, at the primary."""
+    """Handles the calls of one resource on the primary."""
 
     async def handle(self, call: ApiCall) -> ApiResponse:
-        """The answer; 400 names the field that can't be used, and nothing was changed."""
+        """Return the response. 400 names the invalid field, in which case nothing has been changed."""
         try:
             return await self.decide(call)
         except FieldError as error:
@@ -21,4 +21,4 @@
 
     @abstractmethod
     async def decide(self, call: ApiCall) -> ApiResponse:
-        """The answer to a call. Raises FieldError before anything is changed."""
+        """Return the response to a call. Raise FieldError before anything is changed."""
--- a/otterreach/controller/api/keys.py
+++ b/otterreach/controller/api/keys.py
@@ -1,4 +1,4 @@
-"""GET and PUT /cells/ID: read a key, and set it on the revision that it is expected to have."""
+"""GET and PUT /cells/ID: read a key, and set it if it has the expected revision."""
 
 from __future__ import annotations
 
@@ -27,24 +27,24 @@
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.records import put
 
-MAX_GROUP_EVENTS = 16_384  # younger than they have to be kept
-MAX_GROUP_BYTES = 4 * 1024 * 1024  # of those events
+MAX_GROUP_EVENTS = 16_384  # events of a group within their retention period
+MAX_GROUP_BYTES = 4 * 1024 * 1024  # total size of those events
 
 
 class KeyResource(CoordinationResource):
-    """Keys, and the histories of their groups."""
+    """Handles keys and the histories of their groups."""
 
     def __init__(
         self, control: CoordinationState, histories: FollowedHistories, receipts: ReceiptTimes, kept_s: float
     ) -> None:
-        """:param kept_s: so long the event of a put stays in its group's history at least"""
+        """:param kept_s: the minimum time for which an event is retained in its group's history"""
         self.control = control
         self.histories = histories
         self.receipts = receipts
         self.kept_s = kept_s
 
     async def decide(self, call: ApiCall) -> ApiResponse:
-        """Answer a call, at the primary."""
+        """Handle a call on the primary."""
         name = read_name(call)
         if call.method == "GET":
             return await self._read(name)
@@ -81,7 +81,7 @@
         return await after_write(self.control, changes, answer(rev=written.revision))
 
     def _slot_for(self, group: str) -> int | None:
-        """Where the next event of a group goes; None if the history is full of events that have to be kept."""
+        """Return the slot for the next event of a group, or None if the history is full of events to be retained."""
         histories = self.histories.of(self.control.state)
         history = histories.of(group)
         oldest = histories.oldest_item(group)
--- a/otterreach/controller/api/locks.py
+++ b/otterreach/controller/api/locks.py
@@ -1,7 +1,7 @@
 """POST, PUT and DELETE /locks/ID: acquire, renew and release a lock.
 
-A hold's time counts from the receipt of its last accepted call at this replica (receipt_times.py). So a renewal is
-written like every other change: a backup that takes over knows when it came.
+The duration of a hold counts from the receipt of its last accepted call at this replica (receipt_times.py). A renewal
+is therefore written like any other change, so that a backup that becomes primary knows when it was received.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 
 class LockResource(CoordinationResource):
-    """Locks. Elections are locks that are held for long."""
+    """Handles locks. An election is a lock that is held for a long time."""
 
     def __init__(self, control: CoordinationState, receipts: ReceiptTimes) -> None:
         self.control = control
         self.receipts = receipts
 
     async def decide(self, call: ApiCall) -> ApiResponse:
-        """Answer a call, at the primary."""
+        """Handle a call on the primary."""
         name = read_name(call)
         if call.method == "POST":
             return await self._acquire(name, call.body)
@@ -65,16 +65,17 @@
         fence = next_value(last_fence.last if last_fence else None)
         result = locks.acquire(hold, self._elapsed_s(name), request, fence)
         if isinstance(result, locks.HeldByOther):
-            return self._held(result.owner)
+            return self._reject_acquisition(result.owner)
         changes = [put(LockRecord(result.hold), name), put(FenceRecord(fence))]
         response = await after_write(self.control, changes, answer(fence=fence))
         log("lock_acquired", lock=name, owner=request.owner, fence=fence, status=response.status)
         return response
 
-    def _held(self, owner: str) -> ApiResponse:
-        """Answer those who wait for a lock without asking another replica.
+    def _reject_acquisition(self, owner: str) -> ApiResponse:
+        """Reject an acquisition without confirming it with another replica.
 
-        They are many, and a refused acquisition promises nothing that a later primary could contradict.
+        Many callers may wait for a lock, and a rejected acquisition guarantees nothing that a later primary could
+        contradict.
         """
         if not self.control.accepts_writes:
             return UNAVAILABLE
--- a/otterreach/controller/api/numbers.py
+++ b/otterreach/controller/api/numbers.py
@@ -1,4 +1,4 @@
-"""POST /numbers/ID: a number above all that were given under that name."""
+"""POST /numbers/ID: return a number above all those already returned under this name."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class NumberResource(CoordinationResource):
-    """Counters. Each number is written before it is given."""
+    """Handles counters. Each number is written before it is returned."""
 
     def __init__(self, control: CoordinationState) -> None:
         self.control = control
 
     async def decide(self, call: ApiCall) -> ApiResponse:
-        """Answer a call, at the primary."""
+        """Handle a call on the primary."""
         if call.method != "POST":
             return METHOD_NOT_ALLOWED
         name = read_name(call)
--- a/otterreach/controller/api/resource.py
+++ b/otterreach/controller/api/resource.py
@@ -1,4 +1,4 @@
-"""What all resources share: their interface, answers, and writing to the control state."""
+"""Definitions shared by all resources: the interface, common responses, and writes to the control state."""
 
 from __future__ import annotations
 
@@ -15,55 +15,55 @@
 
 
 class ControlState(Protocol):
-    """The replicated control state, as resources see it (`replication.Control`)."""
+    """The interface of the replicated control state that resources use (`replication.ControlReplication`)."""
 
     @property
     def state(self) -> ReplicatedStore:
-        """At the primary also what is not yet at all copies."""
+        """The local state; on the primary it includes changes that are not yet on all replicas."""
 
     @property
     def number(self) -> int:
-        """The epoch."""
+        """The number of the epoch."""
 
     def propose(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
-        """Change items; True once all replicas have the changes, False if that is not sure."""
+        """Change items. The result is True once the changes are on all replicas, False if that is not certain."""
 
     async def confirm(self) -> bool:
-        """Whether this is the primary now."""
+        """Return True if this controller is the primary now."""
 
     async def committed(self) -> bool:
-        """Whether this is the primary now, and all replicas have `state` as it was at the call."""
+        """Return True if this controller is the primary now and `state`, as of the call, is on all replicas."""
 
 
 class Resource(Protocol):
-    """Handles the calls of one resource, at the primary."""
+    """Handles the calls of one resource on the primary."""
 
     async def handle(self, call: ApiCall) -> ApiResponse:
-        """The answer. The caller may stop waiting for it at any moment."""
+        """Return the response. The caller may cancel the wait at any time."""
 
 
 OK = ApiResponse(200)
-UNAVAILABLE = ApiResponse(503)  # accepted or not: the caller sends it again, to another machine
+UNAVAILABLE = ApiResponse(503)  # the call may have been accepted; the caller retries it on another machine
 METHOD_NOT_ALLOWED = ApiResponse(405)
 NOT_FOUND = ApiResponse(404)
 
 
 def rejection(failure: Failure) -> ApiResponse:
-    """The status that goes with a failure, with its code and reason as the body."""
+    """Return the response for a failure, with its code and reason in the body."""
     body = json.dumps({"code": int(failure.code), "reason": failure.reason}).encode()
     return ApiResponse(config.status_of(failure), body)
 
 
 def last_segment(path: str) -> str:
-    """The name of the item that a path is about."""
+    """Return the last segment of a path, which names the item."""
     return path.rpartition("/")[2]
 
 
 async def write(control: ControlState, changes: Iterable[ItemChange]) -> bool:
-    """Change items. A caller that stops waiting does not cancel the write."""
+    """Change items. Cancelling the caller doesn't cancel the write."""
     return await asyncio.shield(control.propose(changes))
 
 
 async def when_committed(control: ControlState, answer: ApiResponse) -> ApiResponse:
-    """`answer`, which rests on the present state, once that state can't be lost any more."""
+    """Return `answer` once the current state, on which it depends, is committed; UNAVAILABLE if that fails."""
     return answer if await control.committed() else UNAVAILABLE
--- a/otterreach/controller/api/retirement.py
+++ b/otterreach/controller/api/retirement.py
@@ -1,4 +1,4 @@
-"""POST and GET /retire/NODE: a job store machine is emptied before it is taken away."""
+"""POST and GET /retire/NODE: empty a job store machine before its removal."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class RetirementResource:
-    """Orders to empty a job store machine. An order is for the disk that the machine has when it comes."""
+    """Handles orders to empty a job store machine. An order applies to the disk that the machine has on its receipt."""
 
     def __init__(
         self,
@@ -38,14 +38,14 @@
         stores: Callable[[], StoreMembers | None],
         limits: SurviveLimits,
     ) -> None:
-        """:param stores: the job store nodes that are alive; None while that is not known."""
+        """:param stores: the job store nodes that are alive; None while they are not known"""
         self.control = control
-        self.published = published  # what all replicas have
+        self.published = published  # the state that is on all replicas
         self.stores = stores
-        self.limits = limits  # what may be lost at once
+        self.limits = limits  # failures to be tolerated at a time
 
     async def handle(self, call: ApiCall) -> ApiResponse:
-        """Answer a call, at the primary."""
+        """Handle a call on the primary."""
         node = last_segment(call.path)
         if call.method == "POST":
             return await self._begin(node)
@@ -58,14 +58,15 @@
     def _progress(self, node: str) -> ApiResponse:
         known = _store_member(self.published, node)
         order = self.published.record(RetirementRecord, node)
-        if order is None or not _is_for(order, known):
+        if order is None or not _applies_to(order, known):
             return SERVING if known else NOT_FOUND
         return DONE if self._is_emptied(member_id(node, order.disk)) else SERVING
 
     def _is_emptied(self, member: str) -> bool:
-        """Whether every partition is at full strength without this member, by the records that all replicas have.
+        """Return True if all partitions are fully replicated without this member, by the committed records.
 
-        Primary and backups hold every acknowledged write on disk; learners may not, and silent members don't count.
+        The primary and the backups have every acknowledged write on disk; learners may not, and unresponsive members
+        don't count.
         """
         stores = self.stores()
         if stores is None:
@@ -80,7 +81,7 @@
         state = self.control.state
         known = _store_member(state, node)
         order = state.record(RetirementRecord, node)
-        if order is not None and _is_for(order, known):
+        if order is not None and _applies_to(order, known):
             return await when_committed(self.control, OK)
         if known is None:
             return await when_committed(self.control, rejection(Failure(Code.UNKNOWN_NODE, node)))
@@ -94,13 +95,13 @@
             return UNAVAILABLE
         alive = {member: domain for member, domain in staying.items() if member in stores.domains}
         if self._too_few(alive, leaving):
-            return UNAVAILABLE  # some are silent just now: whether too few would be left is not known
+            return UNAVAILABLE  # some members are unresponsive: it is unknown whether enough would remain
         done = await write(self.control, [put(RetirementRecord(known.disk), node)])
         log("retire", node=node, done=done)
         return OK if done else UNAVAILABLE
 
     def _too_few(self, staying: dict[str, FailureDomain], leaving: FailureDomain) -> str:
-        """Why those that stay can't keep what there is as safe as it is; empty if they can."""
+        """Return why the remaining members can't tolerate the same failures as now; empty if they can."""
         if len(staying) <= self.limits.nodes:
             return f"{len(staying)} others"
         now = attainable([*staying.values(), leaving], self.limits)
@@ -110,13 +111,13 @@
         return ""
 
     def _staying(self, node: str) -> dict[str, FailureDomain]:
-        """The other job store machines by member id, less those that are being emptied."""
+        """Return the other job store machines by member id, without those that are being emptied."""
         state = self.control.state
         orders = state.records(RetirementRecord)
         staying = {}
         for name, known in state.records(MemberRecord).items():
             order = orders.get(name)
-            retiring = order is not None and _is_for(order, known)
+            retiring = order is not None and _applies_to(order, known)
             if name != node and known.role == MemberRole.JOB_STORE and not retiring:
                 staying[known.id(name)] = FailureDomain(known.zone, known.region)
         return staying
@@ -127,6 +128,6 @@
     return known if known and known.role == MemberRole.JOB_STORE else None
 
 
-def _is_for(order: RetirementRecord, known: MemberRecord | None) -> bool:
-    """Whether the order is for the disk that the machine has now; a machine that has gone keeps its order."""
+def _applies_to(order: RetirementRecord, known: MemberRecord | None) -> bool:
+    """Return True if the order applies to the machine's current disk. A removed machine keeps its order."""
     return known is None or order.disk == known.disk
--- a/otterreach/controller/api/router.py
+++ b/otterreach/controller/api/router.py
@@ -1,8 +1,8 @@
-"""Finds the resource of a call, here or at the primary controller, and answers before the caller gives up.
+"""Dispatches calls to their resources, locally or on the primary controller, within the callers' time-out.
 
-Any controller takes a call. What only the primary may decide is forwarded to it once, and its answer returned. A
-caller moves on after a second of silence, so a call that takes longer gets 503 before that: what it wrote may still be
-accepted, and the same call sent again is answered by it.
+Any controller accepts calls. A call that only the primary may decide is forwarded to it once, and its response is
+returned. Callers turn to another controller after one second without a response, so a call that takes longer gets 503
+before that. Its write may still be accepted, in which case a retry of the call is recognised and answered accordingly.
 """
 
 from __future__ import annotations
@@ -40,11 +40,11 @@
 from otterreach.runtime.settings import Settings
 from otterreach.sidecar import http1
 
-ANSWER_TIMEOUT_S = 0.8  # the primary answers within this
-FORWARD_EXTRA_S = 0.05  # so much longer a controller that forwarded a call waits for the primary
-BODY_BYTES_PER_S = 2_000_000  # callers are more patient with large bodies
-MAX_STATE_AGE_S = 1.0  # a controller answers from its own replica only while that is not older
-HISTORY_MARGIN_S = 10.0  # the events of puts stay for so much longer than watches may resume from
+ANSWER_TIMEOUT_S = 0.8  # limit for the primary's response
+FORWARD_EXTRA_S = 0.05  # added to the time-out of a forwarded call
+BODY_BYTES_PER_S = 2_000_000  # the time-out grows with the size of the body, as that of callers does
+MAX_STATE_AGE_S = 1.0  # maximum age of the local replica for responses based on it
+HISTORY_MARGIN_S = 10.0  # retention of events beyond the period from which watches may resume
 
 CONFIGURATION = "config"
 SERVERS = "servers"
@@ -54,12 +54,12 @@
 NUMBERS = "numbers"
 KEYS = "cells"
 WATCHES = "watch"
-UNKNOWN = "unknown"  # in figures: a path of no resource
+UNKNOWN = "unknown"  # metric label for paths without a resource
 COORDINATION = frozenset({LOCKS, NUMBERS, KEYS, WATCHES})
 
 
 class AnswerKind(NamedTuple):
-    """What the answers to callers are counted by."""
+    """The labels by which responses are counted."""
 
     resource: str
     status: int
@@ -67,31 +67,31 @@
 
 @dataclass(frozen=True, slots=True)
 class CoordinationParts:
-    """What a controller keeps in memory for locks and watches."""
+    """A controller's in-memory state for locks and watches."""
 
     receipts: ReceiptTimes
     hub: WatchHub
-    stalled: Callable[[], bool]  # whether this process has just stood still
+    stalled: Callable[[], bool]  # returns True if this process has just been stalled
 
 
 def events_kept_s(settings: Settings) -> float:
-    """So long the event of a put stays in its group's history at least."""
+    """Return the minimum time for which an event is retained in its group's history."""
     return settings.bounds.history_s + HISTORY_MARGIN_S
 
 
 def answer_within_s(call: ApiCall) -> float:
-    """How long the primary may take for a call."""
+    """Return the primary's time-out for a call."""
     waiting_s = watches.wait_s(call) if _resource_name(call) == WATCHES else 0.0
     return ANSWER_TIMEOUT_S + waiting_s + len(call.body) / BODY_BYTES_PER_S
 
 
 def changes_coordination(call: ApiCall) -> bool:
-    """Whether a call may change a lock, a number or a key: then 503 says that it hasn't."""
+    """Return True if a call may change a lock, a number or a key; for these, 503 guarantees that nothing changed."""
     return call.method != "GET" and _resource_name(call) in COORDINATION
 
 
 class ApiRouter:
-    """One controller's HTTP interface to servers, trainers and the operator."""
+    """The HTTP interface of a controller to servers, trainers and the operator."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
         heartbeats: ServerHeartbeats,
         coordination: CoordinationParts,
     ) -> None:
-        """:param stores: the job store nodes that are alive; None while that is not known."""
+        """:param stores: the job store nodes that are alive; None while they are not known"""
         self.control = control
         self.follower = follower
         self.heartbeats = heartbeats
@@ -125,7 +125,7 @@
         control.endpoint.on(ApiCall, self.handle_forwarded)
 
     async def handle(self, request: http1.Request) -> Reply:
-        """A call as it came in over HTTP."""
+        """Handle a call received over HTTP."""
         path, _, query = request.target.partition(b"?")
         call = ApiCall(
             request.method.decode("latin-1"),
@@ -148,14 +148,15 @@
             if self._is_known_heartbeat(call):
                 return Reply(200, b"{}")
         if changes_coordination(call) and self.coordination.stalled():
-            return Reply(UNAVAILABLE.status)  # the caller has left, and has sent the call to another controller
+            return Reply(UNAVAILABLE.status)  # the caller has timed out and has retried on another controller
         answer = await (self._decide(call) if self.control.is_primary else self._forward(call))
         return Reply(answer.status, answer.body)
 
     def _is_known_heartbeat(self, call: ApiCall) -> bool:
-        """Whether a heartbeat tells nothing new: only changes go to the primary.
+        """Return True if a heartbeat changes nothing and can be acknowledged locally; only changes go to the primary.
 
-        A controller that is disconnected acknowledges none, so that the server turns to one that others hear.
+        A disconnected controller acknowledges no heartbeats, so that the server turns to a controller whose reports
+        reach the others.
         """
         if call.method != "PUT" or self.follower.age_s() > MAX_STATE_AGE_S:
             return False
@@ -166,7 +167,7 @@
         return merge_heartbeat(known, heartbeat) is None
 
     async def _decide(self, call: ApiCall) -> ApiResponse:
-        """The answer of this controller, as the primary."""
+        """Return the response of this controller as the primary."""
         resource = self.resources.get(_resource_name(call))
         if resource is None:
             return NOT_FOUND
@@ -177,19 +178,19 @@
             return UNCLEAR if changes_coordination(call) else UNAVAILABLE
 
     async def _forward(self, call: ApiCall) -> ApiResponse:
-        """The primary's answer, or that there is none."""
+        """Return the primary's response, or 503 or 504 if there is none."""
         answer = await self.forwarder.forward(call, answer_within_s(call) + FORWARD_EXTRA_S)
         if not isinstance(answer, Failure):
             return answer
         return UNCLEAR if answer.maybe_done and changes_coordination(call) else UNAVAILABLE
 
     def abandon_waiting_calls(self) -> None:
-        """This controller shuts down: answer what waits for the primary, or for an event."""
+        """Complete the calls that wait for the primary or for an event, because this controller is shutting down."""
         self.forwarder.abandon()
         self.coordination.hub.abandon()
 
     async def handle_forwarded(self, link: Link, call: ApiCall) -> ApiResponse | Failure:
-        """A call that another controller forwarded."""
+        """Handle a call forwarded by another controller."""
         if not self.control.is_primary:
             return self.control.not_primary()
         if _resource_name(call) == SERVERS:
@@ -198,5 +199,5 @@
 
 
 def _resource_name(call: ApiCall) -> str:
-    """The first segment of the path."""
+    """Return the first segment of a call's path."""
     return call.path.strip("/").partition("/")[0]
--- a/otterreach/controller/api/servers.py
+++ b/otterreach/controller/api/servers.py
@@ -1,8 +1,8 @@
-"""PUT and DELETE /servers/ID: a server's heartbeats and its end.
+"""PUT and DELETE /servers/ID: heartbeats and deregistration of a server.
 
-An id is one incarnation of a server: up, then draining, then gone, and never back. Calls may come seconds late and in
-any order; `calls`, which rises with each call of an incarnation, tells which of two is the newer. Of two incarnations
-at one address the living one stays: that is told by its heartbeats.
+An id denotes one incarnation of a server, which is up, then draining, then removed, and never returns. Calls may be
+delayed by seconds and reordered; `calls`, which increases with each call of an incarnation, determines which of two
+calls is newer. Of two incarnations at one address the live one is kept, as shown by its heartbeats.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
     put,
 )
 
-ALIVE_INTERVALS = 1.2  # of a server's heartbeats: heard within this it is taken to be alive
+ALIVE_INTERVALS = 1.2  # a server counts as alive for this many heartbeat intervals after its last heartbeat
 
 
 def read_heartbeat(body: bytes) -> ServerRecord | Failure:
-    """What is kept of a heartbeat; CONFIG_FIELD if it can't be read."""
+    """Parse a heartbeat into a server's record; return CONFIG_FIELD if it is invalid."""
     try:
         raw = json.loads(body)
         return ServerRecord(
@@ -58,21 +58,24 @@
 
 
 def merge_heartbeat(known: ServerRecord | None, heartbeat: ServerRecord) -> ServerRecord | None:
-    """The record after a heartbeat, or None if the heartbeat is late or tells nothing new."""
+    """Return the record after a heartbeat, or None if the heartbeat is outdated or changes nothing."""
     if known is None:
         return heartbeat
-    if heartbeat.calls < known.calls or _would_come_back(known, heartbeat):
+    if heartbeat.calls < known.calls or _would_revert_to_up(known, heartbeat):
         return None
     merged = replace(heartbeat, models=_newest_models(known, heartbeat))
     return None if _is_equivalent(known, merged) else merged
 
 
-def _would_come_back(known: ServerRecord, heartbeat: ServerRecord) -> bool:
+def _would_revert_to_up(known: ServerRecord, heartbeat: ServerRecord) -> bool:
     return known.state == ServerState.DRAINING and heartbeat.state == ServerState.UP
 
 
 def _newest_models(known: ServerRecord, heartbeat: ServerRecord) -> tuple[ModelVersion, ...]:
-    """A load may be known here before the server tells of it; within one incarnation versions only rise."""
+    """Return the newest known version of each model in a heartbeat.
+
+    A load may be recorded here before the server reports it; within one incarnation versions only increase.
+    """
     return tuple(
         ModelVersion(model.name, max(model.version, known.version_of(model.name) or model.version))
         for model in heartbeat.models
@@ -80,22 +83,22 @@
 
 
 def _is_equivalent(known: ServerRecord, heartbeat: ServerRecord) -> bool:
-    """Whether only the count of calls, the warm-up or the silence differs: that is not worth a write."""
+    """Return True if only `calls`, the warm-up time or the silent mark differ, which doesn't justify a write."""
     return known == replace(heartbeat, warmup_left_ms=known.warmup_left_ms, calls=known.calls, silent=known.silent)
 
 
 class ServerHeartbeats(Protocol):
-    """What is known of the servers' heartbeats."""
+    """Tracks the servers' heartbeats."""
 
     def record_server_heartbeat(self, server: str) -> None:
-        """One has just arrived."""
+        """Record that a heartbeat has just arrived."""
 
     def seconds_since_server_heartbeat(self, server: str) -> float:
-        """How long a server has been silent."""
+        """Return the time since a server's last heartbeat."""
 
 
 class ServerResource:
-    """Registrations of servers."""
+    """Handles the registrations of servers."""
 
     def __init__(self, control: ControlState, heartbeats: ServerHeartbeats, heartbeat_interval_s: float) -> None:
         self.control = control
@@ -103,7 +106,7 @@
         self.alive_s = heartbeat_interval_s * ALIVE_INTERVALS
 
     async def handle(self, call: ApiCall) -> ApiResponse:
-        """Answer a call, at the primary."""
+        """Handle a call on the primary."""
         server = last_segment(call.path)
         if call.method == "DELETE":
             return await self._remove(server)
@@ -115,7 +118,7 @@
         return await self._register(server, heartbeat)
 
     async def _remove(self, server: str) -> ApiResponse:
-        """Also one that isn't known: a heartbeat that comes late must not register it."""
+        """Remove a server, even an unknown one, so that a delayed heartbeat can't register it."""
         item = self.control.state.items.get(key_of(ServerRecord, server))
         if item is not None and item.is_tombstone:
             return await when_committed(self.control, OK)
@@ -131,26 +134,26 @@
         record = None if is_gone else merge_heartbeat(known, heartbeat)
         if record is None:
             return await when_committed(self.control, OK)
-        former = self._former_at(record.address, server)
-        if known is None and any(self._is_alive(other) for other in former):
-            log("server_address_taken", server=server, address=record.address, holders=",".join(former))
+        previous = self._others_at_address(record.address, server)
+        if known is None and any(self._is_alive(other) for other in previous):
+            log("server_address_taken", server=server, address=record.address, holders=",".join(previous))
             return UNAVAILABLE
-        changes = [*(delete(ServerRecord, other) for other in former), put(record, server)]
+        changes = [*(delete(ServerRecord, other) for other in previous), put(record, server)]
         done = await write(self.control, changes)
         if known is None or known.state != record.state:
             log("server", server=server, state=record.state, service=record.service, done=done)
         return OK if done else UNAVAILABLE
 
-    def _former_at(self, address: str, server: str) -> list[str]:
-        """Other servers at this address: they are gone, whether they said so or not."""
+    def _others_at_address(self, address: str, server: str) -> list[str]:
+        """Return the other servers at this address, which have ended even if they have not deregistered."""
         servers = self.control.state.records(ServerRecord)
         return [other for other, record in servers.items() if record.address == address and other != server]
 
     def _is_alive(self, server: str) -> bool:
-        """Whether it was heard a moment ago.
+        """Return True if a heartbeat of the server was received recently.
 
-        Danger: the first heartbeat of a server that has long ended may come late, when the next one is at its
-        address. An id that is removed never comes back, so the living one would be lost for good. One that really is
-        new calls again, and by then the former is silent.
+        A live server must not be replaced: the first heartbeat of a server that ended long ago may be delayed until
+        another one uses its address. A removed id never returns, so the live server would be lost for good. A server
+        that really is new sends further heartbeats, and by then the previous one has become silent.
         """
         return self.heartbeats.seconds_since_server_heartbeat(server) < self.alive_s
--- a/otterreach/controller/api/versions.py
+++ b/otterreach/controller/api/versions.py
@@ -1,4 +1,4 @@
-"""POST /version-put: a trainer names the version of a model that servers are to load."""
+"""POST /version-put: a trainer announces the version of a model that servers are to load."""
 
 from __future__ import annotations
 
@@ -22,38 +22,38 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NamedVersion:
+class AnnouncedVersion:
     """A version of a model's weights."""
 
     model: str
     version: int
 
 
-def read_version(body: bytes) -> NamedVersion | Failure:
-    """The body of the call; CONFIG_FIELD if it can't be read."""
+def read_version(body: bytes) -> AnnouncedVersion | Failure:
+    """Parse the body of the call; return CONFIG_FIELD if it is invalid."""
     try:
         raw = json.loads(body)
-        return NamedVersion(str(raw["model"]), bounded_integer(raw["gen"]))
+        return AnnouncedVersion(str(raw["model"]), bounded_integer(raw["gen"]))
     except (ValueError, KeyError, TypeError, RecursionError):
         return Failure(Code.CONFIG_FIELD, "model, gen")
 
 
 class VersionResource:
-    """Named versions. They only rise, so a version that is not above the newest was named before: a repeat."""
+    """Handles announced versions. They only increase, so a version not above the newest is a repeat."""
 
     def __init__(self, control: ControlState) -> None:
         self.control = control
 
     async def handle(self, call: ApiCall) -> ApiResponse:
-        """Answer a call, at the primary."""
+        """Handle a call on the primary."""
         if call.method != "POST":
             return METHOD_NOT_ALLOWED
-        named = read_version(call.body)
-        if isinstance(named, Failure):
-            return rejection(named)
-        newest = self.control.state.record(VersionRecord, named.model)
-        if newest and newest.version >= named.version:
+        announced = read_version(call.body)
+        if isinstance(announced, Failure):
+            return rejection(announced)
+        newest = self.control.state.record(VersionRecord, announced.model)
+        if newest and newest.version >= announced.version:
             return await when_committed(self.control, OK)
-        done = await write(self.control, [put(VersionRecord(named.version), named.model)])
-        log("version", model=named.model, version=named.version, done=done)
+        done = await write(self.control, [put(VersionRecord(announced.version), announced.model)])
+        log("version", model=announced.model, version=announced.version, done=done)
         return OK if done else UNAVAILABLE
--- a/otterreach/controller/api/watches.py
+++ b/otterreach/controller/api/watches.py
@@ -1,4 +1,4 @@
-"""GET /watch/GROUP: the puts in a group of keys above a revision, as soon as there is one."""
+"""GET /watch/GROUP: return the puts in a key group after a revision as soon as there are any."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def wait_s(call: ApiCall) -> float:
-    """How long a watch may wait for an event; 0 for one that can't be read."""
+    """Return the time that a watch may wait for an event; 0 for an invalid call."""
     try:
         return read_watch("", call.query).wait_ms / 1000
     except FieldError:
@@ -22,9 +22,10 @@
 
 
 class WatchResource(CoordinationResource):
-    """Watches. An answer names committed events only, and is given while this surely is the primary.
+    """Handles watches. A response contains committed events only.
 
-    A watch from revision 0 learns the present revision at once, or waits for the first put into an empty group.
+    A response without events is sent only while this controller is confirmed to be the primary. A watch from revision 0
+    returns the current revision immediately, or waits for the first put into an empty group.
     """
 
     def __init__(self, control: ControlState, histories: FollowedHistories, hub: WatchHub) -> None:
@@ -33,7 +34,7 @@
         self.hub = hub
 
     async def decide(self, call: ApiCall) -> ApiResponse:
-        """Answer a call, at the primary."""
+        """Handle a call on the primary."""
         if call.method != "GET":
             return METHOD_NOT_ALLOWED
         group = read_name(call)
@@ -56,7 +57,10 @@
         return await self._after_wait(watch)
 
     async def _after_wait(self, watch: Watch) -> ApiResponse:
-        """Events are committed for good; that there are none is known at the primary only."""
+        """Return the response after a wait.
+
+        Committed events are final, whereas only the primary knows that there are none, which has to be confirmed.
+        """
         revision = self.hub.committed_revision(watch.group)
         if revision <= watch.past:
             if not await self.control.confirm():
