--- a/otterreach/controller/order_leases.py
+++ b/otterreach/controller/order_leases.py
@@ -1,7 +1,7 @@
-"""Which proxy may send weight orders to each model server: leases of a singleton role, one for each server.
+"""Leases that determine which proxy may send weight orders to a model server; one per server.
 
 A lease is an item `duty/SERVER`; the item's revision is the fencing token of the holder's orders. A new holder waits
-until the lease of the one before is surely over (proxy/orders.py).
+until the previous holder's lease has certainly expired (proxy/orders.py).
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class OrderLeases:
-    """Assigns the leases. Run by the primary."""
+    """Assigns the leases. Runs on the primary."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
         self.control = control
         self.members = members
         self.clock = clock
-        self._released_at: dict[str, float] = {}  # by the node name of a proxy that shuts down: its last release
+        self._released_at: dict[str, float] = {}  # node name of a proxy that is shutting down: time of its last release
         endpoint.on(LeaseRelease, self.handle_release)
 
     def assign_leases(self) -> None:
-        """Give each server that has models a holder that is alive; leases of servers that are gone are deleted."""
+        """Assign a live holder to each server that has models, and delete the leases of removed servers."""
         proxies = self.members.live_proxies()
         candidates = self._candidates()
         servers = self.control.state.records(ServerRecord)
@@ -54,7 +54,7 @@
             self.control.propose(changes)
 
     def _candidates(self) -> list[str]:
-        """The proxies that are alive and don't shut down."""
+        """Return the proxies that are alive and not shutting down."""
         now = self.clock()
         grace_s = self.settings.bounds.grace_s
         self._released_at = {node: at for node, at in self._released_at.items() if now - at < grace_s}
@@ -70,7 +70,7 @@
         return put(lease, server)
 
     async def handle_release(self, link: Link, release: LeaseRelease) -> Done | Failure:
-        """A proxy that shuts down gives the lease of a server back."""
+        """Handle the release of a server's lease by a proxy that is shutting down."""
         if not self.control.is_primary:
             return self.control.not_primary()
         lease = self.control.state.record(OrderLeaseRecord, release.server)
--- a/otterreach/controller/partition_placement.py
+++ b/otterreach/controller/partition_placement.py
@@ -1,4 +1,4 @@
-"""Brings the planner's decisions into force: who keeps which partition, as members come, go, and get in sync."""
+"""Applies the planner's decisions on replica placement as members join, leave and get in sync."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from otterreach.runtime.records import PartitionRecord, put
 from otterreach.runtime.rpc import Done, Endpoint, Link
 
-# The first records wait until no job store node has come or gone for so long ...
+# The initial records are created once the set of live job store nodes has been stable for this time ...
 INITIAL_WAIT_S = 1.0
-# ... and longer while there are none in all the zones and regions that are asked for.
+# ... or for this time while the required number of zones and regions is not available.
 FULL_SPREAD_WAIT_S = 6.0
 
 
 class PartitionPlacement:
-    """The items `part/N` of the control state. Run by the primary."""
+    """Maintains the items `part/N` of the control state. Runs on the primary."""
 
     def __init__(
         self,
@@ -38,41 +38,41 @@
         self.stores = stores
         self.limits = limits
         self.clock = clock
-        self._attainable = limits  # the most of them that the machines allowed when last looked at
+        self._attainable = limits  # the limits that the live machines allowed at the last check
         self._known_stores: frozenset[str] = frozenset()
         self._known_stores_since = 0.0
-        self._unreachable_at: dict[tuple[int, str], float] = {}  # (partition, backup): when its primary last said so
+        self._unreachable_at: dict[tuple[int, str], float] = {}  # (partition, backup): time of the last report
         endpoint.on(ReplicaInSync, self.handle_replica_in_sync)
         endpoint.on(ReplicaLost, self.handle_replica_lost)
 
     def records(self) -> Records:
-        """Who keeps each partition, by its number."""
+        """Return the partition records, keyed by partition number."""
         return {int(number): record for number, record in self.control.state.records(PartitionRecord).items()}
 
     def plan(self) -> None:
-        """Propose the records that are to change now."""
+        """Propose the records that have to change now."""
         stores = self.stores.members()
         records = self.records()
-        self._remember_stores(stores)
+        self._track_stores(stores)
         if records:
             self._log_attainable(stores)
             self._propose(planner.plan(records, self.limits, stores, self._unreachable()))
-        elif self._may_place_first(stores):
+        elif self._may_create_initial_records(stores):
             self._propose(planner.initial_records(PARTITIONS, self.limits, stores))
 
-    def _remember_stores(self, stores: StoreMembers) -> None:
+    def _track_stores(self, stores: StoreMembers) -> None:
         known = frozenset(stores.domains)
         if known != self._known_stores:
             self._known_stores = known
             self._known_stores_since = self.clock()
 
-    def _may_place_first(self, stores: StoreMembers) -> bool:
+    def _may_create_initial_records(self, stores: StoreMembers) -> bool:
         full_spread = stores.attainable(self.limits) == self.limits
-        patience_s = INITIAL_WAIT_S if full_spread else FULL_SPREAD_WAIT_S
-        return self.clock() - self._known_stores_since > patience_s
+        stable_s = INITIAL_WAIT_S if full_spread else FULL_SPREAD_WAIT_S
+        return self.clock() - self._known_stores_since > stable_s
 
     def _log_attainable(self, stores: StoreMembers) -> None:
-        """Say so when the machines that are alive begin or end to allow less than is asked for."""
+        """Log when the limits that the live machines allow change."""
         attainable = stores.attainable(self.limits)
         if attainable == self._attainable:
             return
@@ -87,7 +87,7 @@
         )
 
     async def handle_replica_lost(self, link: Link, message: ReplicaLost) -> None:
-        """A partition's primary can't reach one of its members."""
+        """Handle a report from a partition's primary that it can't reach one of the members."""
         record = self.records().get(message.partition)
         if not self.control.is_primary or record is None or record.epoch != message.epoch:
             return
@@ -95,7 +95,7 @@
             self._unreachable_at[message.partition, message.member] = self.clock()
 
     def _unreachable(self) -> dict[int, set[str]]:
-        """By partition, the members that its primary said a moment ago it can't reach."""
+        """Return, for each partition, the members that its primary has recently reported as unreachable."""
         now = self.clock()
         unreachable: dict[int, set[str]] = {}
         for (partition, member), at in list(self._unreachable_at.items()):
@@ -106,7 +106,7 @@
         return unreachable
 
     async def handle_replica_in_sync(self, link: Link, message: ReplicaInSync) -> Done | Failure:
-        """A partition's primary has brought a learner in sync, and every write waits for it."""
+        """Handle a primary's report that a learner is in sync and that every write now waits for it."""
         if not self.control.is_primary:
             return self.control.not_primary()
         record = self.records().get(message.partition)
--- a/otterreach/controller/planner.py
+++ b/otterreach/controller/planner.py
@@ -1,10 +1,13 @@
-"""Which job store nodes keep which partition. Pure: records and the members that are known in, new records out.
+"""Planning of the replica placement: the assignment of partitions to job store nodes.
 
-The members of a partition are spread so that every allowed loss leaves one of them (survival.py), as far as the
-machines that are alive allow it; the number of replicas follows from that. Repairs, moves and retirements keep it.
+The functions are pure: they take the current records and the known members, and return the changed records.
 
-A dead primary changes places with a live backup at once. A dead member stays in the record until a learner is in sync,
-for it may hold the only other replica; writes wait meanwhile.
+The members of a partition are spread over failure domains such that at least one of them survives every tolerated
+failure (survival.py), as far as the live machines allow it; the number of replicas follows from that. Repairs, moves
+and retirements preserve the spread.
+
+A dead primary is replaced by a live backup immediately. A dead member stays in the record until a learner is in sync,
+because it may hold the only other replica; writes wait in the meantime.
 """
 
 from __future__ import annotations
@@ -17,38 +20,38 @@
 from otterreach.controller.survival import FailureDomain, SurviveLimits, choose_replicas, unmet_by_replicas
 from otterreach.runtime.records import PartitionRecord
 
-MAX_CONCURRENT_MOVES = 2  # partitions that are moved for balance at a time
-MAX_IMBALANCE = 2  # memberships that a machine may have more than another before one is moved
+MAX_CONCURRENT_MOVES = 2  # partitions being rebalanced at a time
+MAX_IMBALANCE = 2  # difference in replicas between two machines above which one is moved
 
-Records = dict[int, PartitionRecord]  # by the partition's number
+Records = dict[int, PartitionRecord]  # keyed by partition number
 
 
 @dataclass(frozen=True, slots=True)
 class StoreMembers:
-    """The job store nodes that are alive, by member id: where each stands, and which are to be emptied."""
+    """The live job store nodes: the failure domain of each by member id, and those that are to be emptied."""
 
     domains: dict[str, FailureDomain]
     leaving: frozenset[str] = field(default=frozenset())  # retiring, or about to shut down
 
     @property
     def usable(self) -> list[str]:
-        """Those that may be given replicas."""
+        """Members that may be assigned replicas."""
         return [member for member in self.domains if member not in self.leaving]
 
     def attainable(self, limits: SurviveLimits) -> SurviveLimits:
-        """The most of the limits that replicas on the usable members can survive."""
+        """Return the strictest limits, up to the configured ones, that replicas on the usable members can satisfy."""
         return attainable([self.domains[member] for member in self.usable], limits)
 
     def survive(self, members: Collection[str], limits: SurviveLimits) -> bool:
-        """Whether any allowed loss leaves one of those of the members that are alive and stay."""
+        """Return True if any tolerated failure leaves at least one of the members that are alive and not leaving."""
         return not unmet_by_replicas([self.domains[member] for member in self.staying(members)], limits)
 
     def staying(self, members: Collection[str]) -> list[str]:
-        """Those of the members that are alive and stay."""
+        """Return those of the members that are alive and not leaving."""
         return [member for member in members if member in self.domains and member not in self.leaving]
 
     def without(self, unreachable: Collection[str]) -> StoreMembers:
-        """The same without those that a partition's primary can't reach."""
+        """Return a copy without the members that a partition's primary can't reach."""
         if not unreachable:
             return self
         domains = {member: domain for member, domain in self.domains.items() if member not in unreachable}
@@ -60,7 +63,7 @@
 
 
 def attainable(domains: Collection[FailureDomain], limits: SurviveLimits) -> SurviveLimits:
-    """The limits as far as there are zones and regions enough. The number of machines to survive is never lowered."""
+    """Return the limits, reduced to the available zones and regions. The number of nodes is never reduced."""
     zones = len({domain.zone for domain in domains})
     regions = len({domain.region for domain in domains})
     return SurviveLimits(
@@ -78,11 +81,13 @@
     stores: StoreMembers,
     load: Counter[str],
 ) -> list[str]:
-    """The fewest further members with which any allowed loss leaves one: other zones first, then the least loaded.
+    """Return the fewest additional members such that one replica survives any tolerated failure.
+
+    Members in other zones are preferred, then the least loaded ones.
 
-    :param counted: the members that the limits may rely on already
-    :param named: all that are in the record, whether they count or not
-    :param load: memberships of each; those that are chosen are added
+    :param counted: the members that already count towards the limits
+    :param named: all members in the record, whether they count or not
+    :param load: number of replicas per member; incremented for the chosen members
     """
     chosen: list[str] = []
     while True:
@@ -101,14 +106,14 @@
     zones = {stores.domains[member].zone for member in replicas}
 
     def order(member: str) -> tuple[bool, int, int]:
-        """The sort key: another zone first, then the least loaded, then by the rank of member and partition."""
+        """Return the sort key: other zones first, then the least loaded, then by the rank of member and partition."""
         return stores.domains[member].zone in zones, load[member], _rank(partition, member)
 
     return sorted((member for member in stores.usable if member not in named), key=order)
 
 
 def initial_records(partitions: int, limits: SurviveLimits, stores: StoreMembers) -> Records:
-    """The very first records, spread evenly; none while too few job store nodes are alive."""
+    """Return the initial records, evenly spread; empty while too few job store nodes are alive."""
     if len(stores.usable) <= limits.nodes:
         return {}
     target = stores.attainable(limits)
@@ -126,9 +131,9 @@
 def plan(
     records: Records, limits: SurviveLimits, stores: StoreMembers, unreachable: Mapping[int, Collection[str]] = {}
 ) -> Records:
-    """The records that change now, each under its next epoch: repairs first, moves for balance only without any.
+    """Return the records to change now, each with its next epoch. Rebalancing happens only if no repairs are needed.
 
-    :param unreachable: by partition, the members that its primary can't reach
+    :param unreachable: for each partition, the members that its primary can't reach
     """
     load = Counter(member for record in records.values() for member in record.replicas)
     changes = {}
@@ -148,12 +153,13 @@
 ) -> PartitionRecord:
     alive = [member for member in record.members if member in stores.domains]
     if not alive:
-        return record  # nobody with a complete replica is there: wait
+        return record  # no member with a complete replica is alive: wait
     primary = record.primary
     backups = list(record.backups)
     if primary not in stores.domains:
         primary = next((member for member in alive if member not in stores.leaving), alive[0])
-        # Danger: the dead one may hold the only other complete replica, if this one is lost before a learner is ready.
+        # The dead member has to stay in the record: if the new primary is lost before a learner is in sync, the dead
+        # member may hold the only other complete replica.
         backups = [member for member in record.members if member != primary]
     learners = stores.staying(record.learners)
     counted = [*stores.staying((primary, *backups)), *learners]
@@ -165,7 +171,7 @@
 def promote_learner(
     record: PartitionRecord, member: str, limits: SurviveLimits, stores: StoreMembers
 ) -> PartitionRecord:
-    """A learner is in sync: it becomes a backup, and dead or leaving members go once the others are enough."""
+    """Turn an in-sync learner into a backup, and remove dead or leaving members if the others suffice."""
     backups = [*record.backups, member]
     learners = tuple(learner for learner in record.learners if learner != member)
     members = [record.primary, *backups]
@@ -178,7 +184,7 @@
 def remove_surplus(
     record: PartitionRecord, limits: SurviveLimits, stores: StoreMembers, load: Counter[str]
 ) -> PartitionRecord:
-    """Remove one member more than the spread needs, if there is one: dead and leaving ones first, then the busiest."""
+    """Remove one surplus member if there is one; dead and leaving members first, then the most loaded."""
     if record.learners:
         return record
     target = stores.attainable(limits)
@@ -219,7 +225,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """A replica of a partition goes from one member to another."""
+    """Move of a partition's replica from one member to another."""
 
     partition: int
     source: str
@@ -229,7 +235,7 @@
 def _find_move(
     records: Records, changes: Records, limits: SurviveLimits, stores: StoreMembers, load: Counter[str]
 ) -> Move | None:
-    """A move from a member with more replicas to the one with the fewest, if the difference calls for one."""
+    """Return a move to the least loaded member from one with over MAX_IMBALANCE replicas more, or None."""
     required = stores.attainable(limits)
     target = min(stores.usable, key=lambda member: load[member])
     for source in sorted(stores.usable, key=lambda member: -load[member]):
@@ -244,7 +250,7 @@
 
 
 def _balance_primaries(records: Records, stores: StoreMembers) -> Records:
-    """Primaries do most of the work: at most one changes places with a backup at a time."""
+    """Swap at most one primary with a backup, to balance the primaries, which do most of the work."""
     primaries = Counter(dict.fromkeys(stores.usable, 0))
     primaries.update(record.primary for record in records.values())
     for number, record in sorted(records.items()):
--- a/otterreach/controller/server_registry.py
+++ b/otterreach/controller/server_registry.py
@@ -1,4 +1,4 @@
-"""The registry of model servers beyond their own calls: which of them fell silent, which versions they have loaded."""
+"""Registry data of model servers that doesn't come from their own calls: unresponsive servers and loaded versions."""
 
 from __future__ import annotations
 
@@ -13,11 +13,14 @@
 from otterreach.runtime.rpc import Done, Endpoint, Link
 from otterreach.runtime.settings import Settings
 
-MISSED_HEARTBEATS = 3.2  # of a server, before it is marked as silent
+MISSED_HEARTBEATS = 3.2  # heartbeat intervals without a heartbeat after which a server is marked as silent
 
 
 class ServerRegistry:
-    """The items `server/ID` of the control state. Run by the primary; api/servers.py handles the servers' own calls."""
+    """Updates the items `server/ID` of the control state. Runs on the primary.
+
+    The servers' own calls are handled in api/servers.py.
+    """
 
     def __init__(
         self, settings: Settings, endpoint: Endpoint, control: ControlReplication, detector: FailureDetector
@@ -28,11 +31,14 @@
         endpoint.on(ModelLoaded, self.handle_model_loaded)
 
     def mark_unresponsive_servers(self) -> None:
-        """Mark servers that no watcher hears: a hint for proxies, whose own evidence goes first."""
-        patience_s = MISSED_HEARTBEATS * self.settings.heartbeat_s
+        """Mark the servers from which no controller receives heartbeats.
+
+        The mark is a hint for proxies, whose own observations take precedence.
+        """
+        timeout_s = MISSED_HEARTBEATS * self.settings.heartbeat_s
         changes = []
         for server, record in self.control.state.records(ServerRecord).items():
-            is_silent = self.detector.seconds_since_server_heartbeat(server) > patience_s
+            is_silent = self.detector.seconds_since_server_heartbeat(server) > timeout_s
             if is_silent != bool(record.silent):
                 changes.append(put(replace(record, silent=is_silent), server))
                 log("server_silent" if is_silent else "server_heard", server=server)
@@ -40,7 +46,7 @@
             self.control.propose(changes)
 
     async def handle_model_loaded(self, link: Link, message: ModelLoaded) -> Done | Failure:
-        """A proxy has brought a server to a version of a model."""
+        """Handle a report from a proxy that a server has loaded a version of a model."""
         if not self.control.is_primary:
             return self.control.not_primary()
         record = self.control.state.record(ServerRecord, message.server)
--- a/otterreach/controller/store_registry.py
+++ b/otterreach/controller/store_registry.py
@@ -1,4 +1,7 @@
-"""Which job store nodes may keep partitions: alive, with a disk that takes writes, neither retiring nor draining."""
+"""Registry of the job store nodes that are eligible for partitions.
+
+Eligible nodes are alive, have a disk that accepts writes, and are neither being retired nor draining.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,11 @@
 from otterreach.runtime.records import MemberRecord, MemberRole, RetirementRecord
 from otterreach.runtime.rpc import Done, Endpoint, Link
 
-DRAINING_VALID_S = 1.5  # a member that has not repeated that it drains for so long has ended, or stays
+DRAINING_VALID_S = 1.5  # a member that has not repeated its draining message for this long has ended, or stays
 
 
 class StoreRegistry:
-    """The job store nodes, as the primary sees them."""
+    """The job store nodes as known to the primary."""
 
     def __init__(
         self,
@@ -34,20 +37,20 @@
         self.detector = detector
         self.limits = limits
         self.clock = clock
-        self._stalled_at: dict[str, float] = {}  # by member id: when it last said that its disk takes no writes
-        self._draining_at: dict[str, float] = {}  # by member id: when it last said that it is about to end
+        self._stalled_at: dict[str, float] = {}  # member id: time of its last report that its disk accepts no writes
+        self._draining_at: dict[str, float] = {}  # member id: time of its last report that it is draining
         endpoint.on(DiskStalled, self.handle_disk_stalled)
         endpoint.on(StoreDraining, self.handle_draining)
 
     async def handle_disk_stalled(self, link: Link, message: DiskStalled) -> None:
-        """A job store node's disk takes no writes: it counts as dead while it repeats this."""
+        """Handle a report of a stalled disk. The node counts as dead for as long as it repeats the report."""
         member = member_id(message.node, message.disk)
         if member not in self._stalled_at:
             log("disk_stalled", level="WARNING", member=member, waiting_ms=message.waiting_ms)
         self._stalled_at[member] = self.clock()
 
     async def handle_draining(self, link: Link, message: StoreDraining) -> Done | Failure:
-        """A job store node is about to end: others take over its replicas, if there are enough."""
+        """Handle a report that a node is draining. Other nodes take over its replicas if there are enough of them."""
         if not self.control.is_primary:
             return self.control.not_primary()
         member = member_id(message.node, message.disk)
@@ -58,20 +61,20 @@
         return Done()
 
     def forget_draining(self, shutdown: MemberShutdown) -> None:
-        """A member has ended: it drains no longer."""
+        """Stop treating a member that has shut down as draining."""
         self._draining_at.pop(member_id(shutdown.node, shutdown.disk), None)
 
     def members(self) -> StoreMembers:
-        """The job store nodes that are alive."""
+        """Return the job store nodes that are alive."""
         domains = self._domains()
         live = self._live(domains)
-        # An order is meant for one disk: a machine with another one at the same name stays.
+        # A retirement order applies to one disk: a machine of the same name with another disk is not retired.
         retiring = {member_id(node, order.disk) for node, order in self._retirements().items()}
         leaving = retiring | self._draining()
         return StoreMembers({member: domains[member] for member in sorted(live)}, frozenset(live & leaving))
 
     def _domains(self) -> dict[str, FailureDomain]:
-        """Where each job store node that is known stands, by member id."""
+        """Return the failure domain of each known job store node, keyed by member id."""
         return {
             record.id(node): FailureDomain(record.zone, record.region)
             for node, record in self.control.state.records(MemberRecord).items()
