--- a/otterreach/controller/config.py
+++ b/otterreach/controller/config.py
@@ -1,6 +1,6 @@
-"""Changes of the operator's configuration: which are accepted, which are rejected, and which are repeats.
+"""Decisions on changes of the operator's configuration: accepted, rejected, or a repeat of an accepted change.
 
-Every function here is pure: it decides on one state of the control state, and nothing is changed by it.
+All functions are pure: each decides on the basis of a given control state and modifies nothing.
 """
 
 from __future__ import annotations
@@ -20,29 +20,29 @@
 
 
 class Verdict(Enum):
-    """What a change is, if it is neither a new configuration nor rejected."""
+    """The result for a change that neither yields a new configuration nor is rejected."""
 
-    ALREADY = "already"  # exactly this change was accepted before: the answer is 200, and nothing changes
+    ALREADY = "already"  # the same change has already been accepted: the response is 200, and nothing changes
 
 
 ALREADY = Verdict.ALREADY
 
 
 def parse_if_match(header: str | None) -> int | Failure:
-    """The version in an If-Match header, quoted or bare."""
+    """Return the version in an If-Match header, quoted or unquoted."""
     found = _IF_MATCH.fullmatch(header or "")
     return int(found[2]) if found else Failure(Code.CONFIG_FIELD, f"If-Match: {header!r} is no version")
 
 
 def change_of(method: str, body: bytes, if_match: int) -> AcceptedChange:
-    """What the history keeps of a change."""
+    """Return the entry for a change in the change history."""
     return AcceptedChange(if_match, digest_of(method, if_match, body))
 
 
 def check_change(
     method: str, body: bytes, current: Document | None, if_match: int, history: ChangeHistory
 ) -> Document | Verdict | Failure:
-    """The configuration that a PUT or PATCH makes of the current one, ALREADY, or why it is rejected."""
+    """Return the configuration that results from a PUT or PATCH, ALREADY for a repeat, or the reason of a rejection."""
     check = check_put if method == "PUT" else check_patch
     return check(body, current, if_match, history)
 
@@ -50,7 +50,10 @@
 def check_put(
     body: bytes, current: Document | None, if_match: int, history: ChangeHistory = EMPTY_HISTORY
 ) -> Document | Verdict | Failure:
-    """A PUT's body as the next configuration. ALREADY: it is the current one, or was accepted before."""
+    """Return the body of a PUT as the next configuration.
+
+    The result is ALREADY if the body equals the current configuration or the same PUT has been accepted before.
+    """
     if history.has(change_of("PUT", body, if_match)):
         return ALREADY
     raw = read_body(body)
@@ -67,9 +70,10 @@
 def check_patch(
     body: bytes, current: Document | None, if_match: int, history: ChangeHistory = EMPTY_HISTORY
 ) -> Document | Verdict | Failure:
-    """A PATCH's body applied to the current configuration. ALREADY: it was accepted before.
+    """Return the current configuration with the body of a PATCH applied, or ALREADY if it has been accepted before.
 
-    That it would change nothing is no proof of that: another operator's change may have done the same and more.
+    A PATCH that would change nothing is not necessarily a repeat: another operator's change may have had the same
+    effect and more.
     """
     if history.has(change_of("PATCH", body, if_match)):
         return ALREADY
@@ -79,7 +83,7 @@
     gen = patch.get("gen")
     if type(gen) is not int:
         return Failure(Code.CONFIG_FIELD, "gen: a whole number is needed")
-    # Before it is applied: on another version than it was made for, a proper patch may look invalid.
+    # The order is checked before the patch is applied: a valid patch may look invalid on a version other than its base.
     if (failure := _check_order(gen, current, if_match, history)) is not None:
         return failure
     changed = apply_patch(patch, EMPTY_DOCUMENT if current is None else current)
@@ -90,7 +94,10 @@
 
 
 def _check_order(gen: int, current: Document | None, if_match: int, history: ChangeHistory) -> Failure | None:
-    """A stale base is reported before an old number, so that a lost write race is reported as one."""
+    """Check If-Match and `gen` against the current version.
+
+    A stale If-Match is reported before an outdated `gen`, so that a lost write race is reported as such.
+    """
     version = ConfigurationRecord(current).version if current else 0
     if history.is_forgotten(if_match):
         return Failure(Code.CONFIG_FORGOTTEN, f"If-Match: {if_match} is older than the changes that are remembered")
@@ -102,7 +109,7 @@
 
 
 def _same_value(one: Document, other: Document) -> bool:
-    """1, 1.0 and true differ; blanks and the order of keys don't."""
+    """Return True if two documents are equal up to whitespace and key order; 1, 1.0 and true are different."""
     return one.get("gen") == other.get("gen") and _canonical(one) == _canonical(other)
 
 
@@ -114,7 +121,7 @@
 
 
 def status_of(failure: Failure) -> int:
-    """The HTTP status of a rejection at the operator's API; 503 sends the caller on to another machine."""
+    """Return the HTTP status of a rejection in the operator's API; 503 makes the caller retry on another machine."""
     if failure.code in _STATUSES:
         return _STATUSES[failure.code]
     return 400 if Code.CONFIG_UNREADABLE <= failure.code <= Code.CONFIG_NAMES else 503
--- a/otterreach/controller/config_patch.py
+++ b/otterreach/controller/config_patch.py
@@ -1,6 +1,6 @@
-"""Applies a PATCH of the configuration: items are removed, added or replaced by name.
+"""Application of a PATCH to the configuration: items are removed, added or replaced by name.
 
-It works on the JSON as it came, for fields that are not known here have to be kept.
+It operates on the JSON as received, because unknown fields have to be preserved.
 """
 
 from __future__ import annotations
@@ -10,13 +10,15 @@
 from otterreach.controller.config_schema import Document, first_duplicate
 from otterreach.runtime.codes import Code, Failure
 
-EMPTY_DOCUMENT: Document = {"gen": 0, "routes": [], "backends": []}  # what the first PATCH builds on
+EMPTY_DOCUMENT: Document = {"gen": 0, "routes": [], "backends": []}  # the base of the first PATCH
 
 
 def apply_patch(patch: Document, base: Document) -> Document | Failure:
-    """Removals, then upserts: a replaced item keeps its position, a new one goes to the end. `base` is not changed.
+    """Apply removals, then upserts, without modifying `base`.
 
-    :returns: the changed document, which still has to be validated; CONFIG_FIELD or CONFIG_NAMES for an unusable patch
+    A replaced item keeps its position; a new one is appended.
+
+    :returns: the changed document, which still has to be validated; CONFIG_FIELD or CONFIG_NAMES for an invalid patch
     """
     upsert = patch.get("upsert") or {}
     remove = patch.get("remove") or {}
--- a/otterreach/controller/config_schema.py
+++ b/otterreach/controller/config_schema.py
@@ -1,6 +1,6 @@
-"""The schema of the operator's configuration: reading a body, types of fields, PROTOCOL's list of what is invalid.
+"""Schema of the operator's configuration: parsing of request bodies, field types, and the validity rules of PROTOCOL.
 
-What is known is checked by type; what is not known is kept as it came, so that a GET gives back what was sent.
+Known fields are type-checked; unknown fields are preserved, so that a GET returns what was sent.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from otterreach.runtime.configuration import ROLLOUT
 from otterreach.runtime.integers import bounded_integer
 
-Document = dict[str, Any]  # a configuration as it came, unknown fields included
+Document = dict[str, Any]  # a configuration as received, including unknown fields
 
 
 def _alias(name: str) -> Any:
-    """An optional field by its name on the wire."""
+    """Declare an optional field with its name on the wire."""
     return field(default=None, metadata={"alias": name})
 
 
 @dataclass(slots=True)
 class ShareSchema:
-    """One part of a split."""
+    """A backend's share of a split."""
 
     backend: str
     weight: float
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class RouteSchema:
-    """A route; times in the unit of their names."""
+    """A route. Times are in the unit that the field's name gives."""
 
     name: str
     host: str
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class BackendSchema:
-    """A service: a group of servers."""
+    """A service, which is a group of servers."""
 
     name: str
     probe: str | None = None
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class ConfigurationSchema:
-    """The fields of a configuration whose types are checked."""
+    """The type-checked fields of a configuration."""
 
     gen: int
     routes: list[RouteSchema]
@@ -80,29 +80,29 @@
 
 def _integer(value: Any) -> int:
     if type(value) is not int:
-        raise ValueError("a whole number is needed")
+        raise ValueError("expected an integer")
     return bounded_integer(value)
 
 
 def _number(value: Any) -> float:
     if type(value) not in (int, float):
-        raise ValueError("a number is needed")
+        raise ValueError("expected a number")
     return float(value)
 
 
 def _text(value: Any) -> str:
     if type(value) is not str:
-        raise ValueError("a string is needed")
+        raise ValueError("expected a string")
     return value
 
 
 @functools.cache
 def _decoder() -> Callable[[Any], ConfigurationSchema]:
-    from mashumaro.codecs.basic import BasicDecoder  # imported late: a start that reads no configuration is lighter
+    from mashumaro.codecs.basic import BasicDecoder  # deferred: not needed at start-up
     from mashumaro.dialect import Dialect
 
     class Strict(Dialect):
-        """Converts nothing: 1 is no text, and "1" is no number."""
+        """Disables type coercion: 1 is not a string, and "1" is not a number."""
 
         serialization_strategy = {
             int: {"deserialize": _integer},
@@ -114,7 +114,7 @@
 
 
 def _field_path(error: BaseException | None) -> str:
-    """The wire's names of the fields down to the one that is wrong."""
+    """Return the dotted path of the invalid field, in the names used on the wire."""
     path = ""
     while error is not None:
         name = str(getattr(error, "field_name", ""))
@@ -149,7 +149,7 @@
 
 
 def read_body(body: bytes) -> Document | Failure:
-    """The JSON object of a body, in UTF-8 and with finite numbers only; CONFIG_UNREADABLE if it is anything else."""
+    """Parse a body as a JSON object in UTF-8 with finite numbers; return CONFIG_UNREADABLE if it is anything else."""
     try:
         raw = json.loads(body.decode("utf-8"), parse_constant=_refuse_constant, parse_float=_finite)
     except (ValueError, RecursionError) as error:
@@ -179,17 +179,20 @@
 
 
 def first_duplicate(names: list[str]) -> str | None:
-    """The first name that stands twice, if one does."""
-    names_so_far: set[str] = set()
+    """Return the first name that occurs twice, or None."""
+    seen: set[str] = set()
     for name in names:
-        if name in names_so_far:
+        if name in seen:
             return name
-        names_so_far.add(name)
+        seen.add(name)
     return None
 
 
 def validate(raw: Document) -> Failure | None:
-    """What is wrong with a complete configuration by itself, without regard to the current one; None if nothing is."""
+    """Validate a complete configuration on its own, independently of the current one.
+
+    :returns: the first violation found; None if the configuration is valid
+    """
     configuration = _typed(raw)
     if isinstance(configuration, Failure):
         return configuration
@@ -201,7 +204,7 @@
         if (name := first_duplicate(names)) is not None:
             return Failure(Code.CONFIG_NAMES, f"{kind}.name: {name!r} stands twice")
     services = {backend.name for backend in backends}
-    by_match: dict[tuple[str, str], str] = {}  # host and prefix -> the route's name
+    by_match: dict[tuple[str, str], str] = {}  # (host, prefix): name of the route
     for route in routes:
         if (failure := _check_route(route, services)) is not None:
             return failure
--- a/otterreach/controller/coordination_records.py
+++ b/otterreach/controller/coordination_records.py
@@ -1,6 +1,7 @@
-"""Stored forms of locks, counters, keys and the histories of groups: items of the control state.
+"""Serialised records of locks, counters, keys and group histories: items of the control state.
 
-They stay among the controllers. Kinds, JSON keys and their order are stored data: they keep their form for good.
+The records are not sent to processes other than controllers. Kinds, JSON keys and their order are a persistent
+format and must not change.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LockRecord:
-    """The present hold of a lock, by the lock's name."""
+    """The current hold of a lock, keyed by the lock's name."""
 
     KIND: ClassVar[str] = "lock"
 
@@ -26,12 +27,12 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its serialised form."""
         raw = json.loads(value)
         return cls(Hold(raw["owner"], raw["fence"], raw["first"], raw["hold_ms"]))
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Return the serialised form."""
         hold = self.hold
         raw = {"owner": hold.owner, "fence": hold.fence, "first": hold.first_fence, "hold_ms": hold.hold_ms}
         return json.dumps(raw, separators=_SEPARATORS).encode()
@@ -39,37 +40,37 @@
 
 @dataclass(frozen=True, slots=True)
 class _CounterRecord:
-    """The last value that a counter gave."""
+    """The last value returned by a counter."""
 
     last: int
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its serialised form."""
         return cls(json.loads(value)["last"])
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Return the serialised form."""
         return json.dumps({"last": self.last}, separators=_SEPARATORS).encode()
 
 
 @dataclass(frozen=True, slots=True)
 class FenceRecord(_CounterRecord):
-    """The last fencing token that was given to any holder of any lock. There is one, and it is never deleted."""
+    """The last fencing token issued for any lock. There is a single record, which is never deleted."""
 
     KIND: ClassVar[str] = "fence"
 
 
 @dataclass(frozen=True, slots=True)
 class NumberRecord(_CounterRecord):
-    """The last value that a counter gave, by the counter's name. It is never deleted."""
+    """The last value returned by a counter, keyed by the counter's name. It is never deleted."""
 
     KIND: ClassVar[str] = "number"
 
 
 @dataclass(frozen=True, slots=True)
 class KeyRecord:
-    """The present value of a key, by its name."""
+    """The current value of a key, keyed by its name."""
 
     KIND: ClassVar[str] = "cell"
 
@@ -77,12 +78,12 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its serialised form."""
         raw = json.loads(value)
         return cls(Entry(raw["value"], raw["rev"], raw["on"]))
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Return the serialised form."""
         entry = self.entry
         raw = {"value": entry.value, "rev": entry.revision, "on": entry.expected}
         return json.dumps(raw, separators=_SEPARATORS).encode()
@@ -90,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventRecord:
-    """A slot of a group's history, by `GROUP/SLOT`."""
+    """A slot of a group's history, keyed by `GROUP/SLOT`."""
 
     KIND: ClassVar[str] = "event"
 
@@ -98,12 +99,12 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its serialised form."""
         raw = json.loads(value)
         return cls(Event(raw["name"], raw["value"], raw["rev"], raw["on"]))
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Return the serialised form."""
         event = self.event
         raw = {"name": event.name, "value": event.value, "rev": event.revision, "on": event.expected}
         return json.dumps(raw, separators=_SEPARATORS).encode()
@@ -113,11 +114,11 @@
 
 
 def event_name(group: str, slot: int) -> str:
-    """The name of the item that holds a slot."""
+    """Return the name of the item that stores a slot."""
     return f"{group}/{slot}"
 
 
 def split_event_name(name: str) -> tuple[str, int]:
-    """The group and the slot that an event item is for."""
+    """Return the group and the slot of an event item."""
     group, _, slot = name.rpartition("/")
     return group, int(slot)
--- a/otterreach/controller/event_collection.py
+++ b/otterreach/controller/event_collection.py
@@ -1,8 +1,8 @@
-"""Deletes the events of puts that nobody can ask for any more, once they take much of the room in the control state.
+"""Garbage collection of events past their retention period, once the control state exceeds a size threshold.
 
-A put takes the slot of an old event of its own group. Groups that are put into no more keep theirs, and so does a group
-while the state is full, since it takes no put then: those events are deleted here. The newest event of a group stays,
-for it holds the group's revision.
+A put overwrites an expired event of its own group. Groups that receive no more puts keep their expired events, and so
+do all groups while the state is full, because puts are then rejected; those events are deleted here. The newest event
+of a group is kept, since it stores the group's revision.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from otterreach.controller.receipt_times import ReceiptTimes
 from otterreach.runtime.records import delete, key_of
 
-MAX_LOOKED_AT = 1024  # events at a time
-ROOMY_BYTES = MAX_STATE_BYTES // 2  # in a smaller state old events harm nobody
+MAX_SCANNED = 1024  # events examined per run
+COLLECTION_THRESHOLD_BYTES = MAX_STATE_BYTES // 2  # size of the control state below which expired events are kept
 
 
 class EventCollection:
-    """Run by the primary."""
+    """Deletes expired events. Runs on the primary."""
 
     def __init__(
         self, control: ControlState, histories: FollowedHistories, receipts: ReceiptTimes, kept_s: float
     ) -> None:
-        """:param kept_s: so long the event of a put stays in its group's history at least"""
+        """:param kept_s: the minimum time for which an event is retained in its group's history"""
         self.control = control
         self.histories = histories
         self.receipts = receipts
@@ -33,16 +33,16 @@
         self._cursor = NameCursor(EventRecord)
 
     def collect(self) -> None:
-        """Look for old events among the next part of them, if they take much room."""
+        """Examine the next batch of events and delete the expired ones, if the state exceeds the size threshold."""
         state = self.control.state
-        if state.bytes < ROOMY_BYTES:
+        if state.bytes < COLLECTION_THRESHOLD_BYTES:
             return
-        old = [name for name in self._cursor.take(state, MAX_LOOKED_AT) if self._is_old(name)]
-        if old:
-            self.control.propose([delete(EventRecord, name) for name in old])
+        expired = [name for name in self._cursor.take(state, MAX_SCANNED) if self._is_expired(name)]
+        if expired:
+            self.control.propose([delete(EventRecord, name) for name in expired])
 
-    def _is_old(self, name: str) -> bool:
-        """Whether nobody can ask for an event any more. The newest one of a group is never old."""
+    def _is_expired(self, name: str) -> bool:
+        """Return True if an event is past its retention period. The newest event of a group never expires."""
         state = self.control.state
         record = state.record(EventRecord, name)
         group, _ = split_event_name(name)
--- a/otterreach/controller/figures.py
+++ b/otterreach/controller/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a controller: its part in the epoch, and who is alive."""
+"""Metrics of a controller: its role in the epoch, the live members, and the use of its API."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def controller_figures(controller: ControllerNode) -> Iterable[Figure | Histogram]:
-    """Of one controller."""
+    """Return the metrics of a controller."""
     replica = controller.control.replica
     for mode in Mode:
         yield Figure("controller_mode", "1 for the mode that it is in.", replica.mode is mode, {"mode": mode.value})
--- a/otterreach/controller/group_histories.py
+++ b/otterreach/controller/group_histories.py
@@ -1,4 +1,4 @@
-"""The histories of all groups of keys, kept up with the event items of a control state."""
+"""Histories of all key groups, built from the event items of a control state and updated with them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class GroupHistories:
-    """Read once from a state, and then kept up with it. Another state needs another one."""
+    """The histories of one state, read from it once and then updated with it. Each state needs its own instance."""
 
     def __init__(self, state: ReplicatedStore) -> None:
         self.state = state
@@ -30,23 +30,23 @@
         self._groups.setdefault(group, GroupHistory()).store(slot, record.event)
 
     def of(self, group: str) -> GroupHistory:
-        """The history of a group; an empty one if nothing was put into it."""
+        """Return the history of a group; an empty one if the group has no events."""
         return self._groups.get(group) or GroupHistory()
 
     def oldest_item(self, group: str) -> Item | None:
-        """The item of a group's oldest event."""
+        """Return the item of a group's oldest event, or None if the group has no events."""
         slot = self.of(group).oldest_slot()
         return None if slot is None else self.state.items.get(key_of(EventRecord, event_name(group, slot)))
 
 
 class FollowedHistories:
-    """The histories that go with the present state: they are read anew only when the whole state was replaced."""
+    """Cache of the histories of the current state. They are rebuilt only after the whole state has been replaced."""
 
     def __init__(self) -> None:
-        self._followed: GroupHistories | None = None
+        self._cached: GroupHistories | None = None
 
     def of(self, state: ReplicatedStore) -> GroupHistories:
-        """The histories of this state."""
-        if self._followed is None or self._followed.state is not state:
-            self._followed = GroupHistories(state)
-        return self._followed
+        """Return the histories of a state."""
+        if self._cached is None or self._cached.state is not state:
+            self._cached = GroupHistories(state)
+        return self._cached
--- a/otterreach/controller/hold_checkpoints.py
+++ b/otterreach/controller/hold_checkpoints.py
@@ -1,10 +1,11 @@
-"""Writes down, now and then, how long each running hold of a lock still lasts.
-
-A controller that takes over, or starts again, counts a hold from when it got the newest record of it, which may be long
-after the call: from a snapshot or its own journal. No machine can tell another one, or its next process, a time on its
-steady clock. So the primary replaces the record of a hold by one that says what is left: whoever goes on from it ends
-the hold later than it would have ended here by the record's age at most. It never ends it sooner: what is left counts
-from the receipt of the record, and that is after it was computed.
+"""Checkpoints of lock holds: periodically stores the remaining duration of each active hold.
+
+A controller that becomes primary or restarts counts a hold from when it received the newest record of it, from a
+snapshot or its own journal, which may be long after the call. A time on a monotonic clock is meaningless on another
+machine and after a restart. The primary therefore replaces the record of a hold with one that gives the remaining
+duration. A controller that continues from it ends the hold later than the primary would have, by at most the age of
+the record. It never ends the hold earlier, because the remaining duration counts from the receipt of the record, which
+is after the duration was computed.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 from otterreach.coordination.locks import left_ms
 from otterreach.runtime.records import ItemChange, key_of, put
 
-MAX_AGE_S = 1.0  # the record of a running hold is replaced once it is older
-MIN_LEFT_MS = 500  # a hold that ends so soon needs no newer record
-MAX_CHECKPOINTS = 256  # at a time
-MAX_LOOKED_AT = 1024  # locks at a time
+MAX_AGE_S = 1.0  # age at which the record of an active hold is replaced
+MIN_LEFT_MS = 500  # a hold with less remaining time needs no newer record
+MAX_CHECKPOINTS = 256  # records written per run
+MAX_SCANNED = 1024  # locks examined per run
 
 
 class HoldCheckpoints:
-    """Run by the primary."""
+    """Writes the checkpoints. Runs on the primary."""
 
     def __init__(self, control: ControlState, receipts: ReceiptTimes) -> None:
         self.control = control
@@ -33,22 +34,22 @@
         self._cursor = NameCursor(LockRecord)
 
     def write_when_due(self) -> None:
-        """Replace the records that are too old. Nobody waits for it: without it the older records hold on."""
+        """Replace outdated records. The write is not awaited: if it fails, the older records stay valid."""
         changes = self._due()
         if changes:
             self.control.propose(changes)
 
     def _due(self) -> list[ItemChange]:
-        """The changes to make now, of a part of the locks."""
+        """Return the changes that are due in the next batch of locks."""
         changes: list[ItemChange] = []
-        for name in self._cursor.take(self.control.state, MAX_LOOKED_AT):
+        for name in self._cursor.take(self.control.state, MAX_SCANNED):
             change = self._change(name)
             if change is not None and len(changes) < MAX_CHECKPOINTS:
                 changes.append(change)
         return changes
 
     def _change(self, name: str) -> ItemChange | None:
-        """The newer record of a lock, if one is due."""
+        """Return the change that replaces the record of a lock, or None if it is not due."""
         state = self.control.state
         record = state.record(LockRecord, name)
         if record is None:
--- a/otterreach/controller/lock_collection.py
+++ b/otterreach/controller/lock_collection.py
@@ -1,6 +1,7 @@
-"""Deletes the records of holds that ended long ago and that nobody has asked for since.
+"""Garbage collection of the records of locks whose hold has expired and that have not been acquired since.
 
-A fencing token comes from one counter for all locks, which stays: so a lock whose record is gone gets no lower one.
+Fencing tokens come from a single counter for all locks, which is not deleted; a lock whose record was deleted therefore
+never gets a lower token.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 from otterreach.coordination.locks import is_over
 from otterreach.runtime.records import delete, key_of
 
-KEPT_S = 60.0  # a record stays for so long after its hold has ended
-MAX_LOOKED_AT = 256  # locks at a time
+KEPT_S = 60.0  # retention of a record after its hold has expired
+MAX_SCANNED = 256  # locks examined per run
 
 
 class LockCollection:
-    """Run by the primary."""
+    """Deletes the records of expired holds. Runs on the primary."""
 
     def __init__(self, control: ControlState, receipts: ReceiptTimes) -> None:
         self.control = control
@@ -25,13 +26,13 @@
         self._cursor = NameCursor(LockRecord)
 
     def collect(self) -> None:
-        """Look for ended holds among the next part of the locks."""
-        names = self._cursor.take(self.control.state, MAX_LOOKED_AT)
-        ended = [name for name in names if self._ended_long_ago(name)]
-        if ended:
-            self.control.propose([delete(LockRecord, name) for name in ended])
+        """Examine the next batch of locks and delete the records that are past their retention."""
+        names = self._cursor.take(self.control.state, MAX_SCANNED)
+        expired = [name for name in names if self._is_past_retention(name)]
+        if expired:
+            self.control.propose([delete(LockRecord, name) for name in expired])
 
-    def _ended_long_ago(self, name: str) -> bool:
+    def _is_past_retention(self, name: str) -> bool:
         state = self.control.state
         record = state.record(LockRecord, name)
         if record is None:
--- a/otterreach/controller/name_cursor.py
+++ b/otterreach/controller/name_cursor.py
@@ -1,4 +1,4 @@
-"""Goes through all items of a kind in parts, so that no look at them holds up the loop, however many there are."""
+"""Iteration over all items of a kind in batches, which bounds the time for which one run blocks the event loop."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class NameCursor:
-    """Where a repeated look at the items of one kind has come to."""
+    """The position of a repeated scan over the items of one kind."""
 
     def __init__(self, kind: type[Record]) -> None:
         self.kind = kind
-        self._left: deque[str] = deque()  # of the present pass
+        self._left: deque[str] = deque()  # names not yet returned in the current pass
 
     def take(self, state: ReplicatedStore, limit: int) -> list[str]:
-        """The next names, so many at most, and each once; after the last one a new pass begins with the next call.
+        """Return the next names, at most `limit`, each once per pass. The call after the last name starts a new pass.
 
-        Names of items that have been deleted since the pass began may be among them.
+        The result may contain names of items that were deleted since the pass began.
         """
         if not self._left:
             self._left.extend(state.names(self.kind))
--- a/otterreach/controller/watch_hub.py
+++ b/otterreach/controller/watch_hub.py
@@ -1,4 +1,4 @@
-"""The waiting watches of a primary: woken by commits, ended at a step down."""
+"""The pending watches of a primary: completed by commits and aborted when the primary steps down."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 
 class TooManyWatchesError(Exception):
-    """No further watch may wait."""
+    """The limit of pending watches has been reached."""
 
 
 class WatchHub:
-    """The revision that each group has at all members, and who waits for the next one."""
+    """The committed revision of each group and the watches that wait for the next one."""
 
     def __init__(self, limit: int = MAX_WAITING) -> None:
-        self._committed: dict[str, int] = {}  # only rises: what is committed stays
+        self._committed: dict[str, int] = {}  # revision by group; never decreases, because commits are final
         self._waiting: WatchTable[asyncio.Future[bool]] = WatchTable(limit)
 
     @property
     def waiting(self) -> int:
-        """How many watches wait."""
+        """Number of pending watches."""
         return len(self._waiting)
 
     def committed_revision(self, group: str) -> int:
-        """The newest revision of a group that all members have, to this primary's knowledge."""
+        """Return the newest revision of a group that is on all replicas, as far as this primary knows."""
         return self._committed.get(group, 0)
 
     def items_committed(self, items: Iterable[Item]) -> None:
-        """These items are at all members: wake those who wait for them."""
+        """Record that these items are on all replicas, and wake the watches that wait for them."""
         reached: dict[str, int] = {}
         for item in items:
             if item.kind == EventRecord.KIND and not item.is_tombstone:
@@ -44,7 +44,7 @@
             self._wake(self._waiting.take(group, revision), True)
 
     def abandon(self) -> None:
-        """This controller is no primary any more: nobody here learns of further puts."""
+        """Abort all pending watches: this controller is no longer the primary and is not notified of further puts."""
         self._wake(self._waiting.take_all(), False)
 
     def _wake(self, waiters: Iterable[asyncio.Future[bool]], reached: bool) -> None:
@@ -53,10 +53,10 @@
                 waiter.set_result(reached)
 
     async def wait(self, group: str, past: int, seconds: float) -> bool:
-        """Wait until a revision above `past` is committed, for so long at most.
+        """Wait until a revision above `past` is committed or the time-out elapses.
 
-        :returns: False if the wait was abandoned. True otherwise, also once the time is over.
-        :raises TooManyWatchesError: nobody was let wait
+        :returns: False if the wait was aborted; True otherwise, including after a time-out
+        :raises TooManyWatchesError: if the limit of pending watches has been reached
         """
         if self.committed_revision(group) > past:
             return True
--- a/otterreach/controller/watcher.py
+++ b/otterreach/controller/watcher.py
@@ -1,4 +1,4 @@
-"""The watcher's part of every controller: it receives heartbeats and reports them to the primary."""
+"""The liveness watcher of each controller: receives heartbeats and reports them to the primary."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Watcher:
-    """Feeds the failure detector."""
+    """Feeds the failure detector with heartbeats and with the reports of other watchers."""
 
     def __init__(
         self, settings: Settings, endpoint: Endpoint, control: ControlReplication, detector: FailureDetector
@@ -29,15 +29,15 @@
         endpoint.on(LivenessReport, self.handle_liveness_report)
 
     async def handle_heartbeat(self, link: Link, heartbeat: Heartbeat) -> None:
-        """A member is alive."""
+        """Record the heartbeat of a member."""
         self.detector.record_heartbeat(member_id(heartbeat.node, heartbeat.disk))
 
     async def handle_liveness_report(self, link: Link, report: LivenessReport) -> None:
-        """Another watcher has heard some members."""
+        """Record another watcher's report of the members that it has received heartbeats from."""
         self.detector.record_report(report)
 
     async def run(self) -> None:
-        """Report to the primary; for ever."""
+        """Report to the primary periodically. Doesn't return."""
         reported_at = 0.0
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
--- a/tests/controller/test_coordination_bounds.py
+++ b/tests/controller/test_coordination_bounds.py
@@ -99,7 +99,7 @@
 
         with (
             mock.patch.object(keys, "MAX_STATE_BYTES", 50_000),
-            mock.patch.object(event_collection, "ROOMY_BYTES", 0),
+            mock.patch.object(event_collection, "COLLECTION_THRESHOLD_BYTES", 0),
         ):
             Cluster(slas={"historyS": HISTORY_S}).play(scene)
 
--- a/tests/controller/test_name_cursor.py
+++ b/tests/controller/test_name_cursor.py
@@ -74,7 +74,7 @@
         control.now += 10.0
         control.state.asked_for = 0
         checkpoints.write_when_due()
-        assert control.state.asked_for <= hold_checkpoints.MAX_LOOKED_AT, number
+        assert control.state.asked_for <= hold_checkpoints.MAX_SCANNED, number
     assert 0 < control.largest_write <= MAX_CHECKPOINTS
 
 
@@ -87,14 +87,14 @@
     while control.state.records(LockRecord):
         control.state.asked_for = 0
         collection.collect()
-        assert control.state.asked_for <= lock_collection.MAX_LOOKED_AT
+        assert control.state.asked_for <= lock_collection.MAX_SCANNED
         rounds += 1
-    assert rounds == -(-MANY // lock_collection.MAX_LOOKED_AT)
+    assert rounds == -(-MANY // lock_collection.MAX_SCANNED)
 
 
 # Guards against the same.
 def test_many_old_events_are_collected_in_parts(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(event_collection, "ROOMY_BYTES", 0)
+    monkeypatch.setattr(event_collection, "COLLECTION_THRESHOLD_BYTES", 0)
     control = Control()
     events = {slot: Event("g.a", f"v{slot}", slot + 1, None) for slot in range(MANY)}
     control.propose([put(EventRecord(event), event_name("g.", slot)) for slot, event in events.items()])
@@ -103,10 +103,10 @@
     collection = EventCollection(cast(ControlState, control), histories, control.receipts, kept_s=30.0)
     collection.collect()
     control.now += LONG_S
-    for _ in range(2 + MANY // event_collection.MAX_LOOKED_AT):
+    for _ in range(2 + MANY // event_collection.MAX_SCANNED):
         control.state.asked_for = 0
         collection.collect()
-        assert control.state.asked_for <= event_collection.MAX_LOOKED_AT
+        assert control.state.asked_for <= event_collection.MAX_SCANNED
     assert list(control.state.records(EventRecord)) == [event_name("g.", MANY - 1)]
     assert histories.of(control.state).of("g.").revision == MANY
 
