--- a/otterreach/controller/api/coordination_answers.py
+++ b/otterreach/controller/api/coordination_answers.py
@@ -15,7 +15,7 @@
 from otterreach.runtime.records import ItemChange, Record
 from otterreach.runtime.store import ReplicatedStore
 
-UNCLEAR = ApiResponse(504)  # the call may have been applied; a retry is recognised where that matters
+OUTCOME_UNKNOWN = ApiResponse(504)  # the call may have been applied; a retry is recognised where that matters
 EMPTY_OBJECT = b"{}"
 DONE = ApiResponse(200, EMPTY_OBJECT)
 MAX_NAMES = 100_000  # items of one kind
@@ -63,7 +63,7 @@
     """
     if not control.accepts_writes:
         return UNAVAILABLE
-    return accepted if await write(control, changes) else UNCLEAR
+    return accepted if await write(control, changes) else OUTCOME_UNKNOWN
 
 
 async def after_commit(control: CoordinationState, rejected: ApiResponse) -> ApiResponse:
@@ -76,4 +76,4 @@
 
     The call may already be in effect, so a failure must not be answered with a status that says that it is not.
     """
-    return accepted if await control.committed() else UNCLEAR
+    return accepted if await control.committed() else OUTCOME_UNKNOWN
--- a/otterreach/controller/api/keys.py
+++ b/otterreach/controller/api/keys.py
@@ -35,13 +35,13 @@
     """Handles keys and the histories of their groups."""
 
     def __init__(
-        self, control: CoordinationState, histories: FollowedHistories, receipts: ReceiptTimes, kept_s: float
+        self, control: CoordinationState, histories: FollowedHistories, receipts: ReceiptTimes, retention_s: float
     ) -> None:
-        """:param kept_s: the minimum time for which an event is retained in its group's history"""
+        """:param retention_s: the minimum time for which an event is retained in its group's history"""
         self.control = control
         self.histories = histories
         self.receipts = receipts
-        self.kept_s = kept_s
+        self.retention_s = retention_s
 
     async def decide(self, call: ApiCall) -> ApiResponse:
         """Handle a call on the primary."""
@@ -85,7 +85,7 @@
         histories = self.histories.of(self.control.state)
         history = histories.of(group)
         oldest = histories.oldest_item(group)
-        if oldest is not None and self.receipts.age_s(oldest) >= self.kept_s:
+        if oldest is not None and self.receipts.age_s(oldest) >= self.retention_s:
             return history.oldest_slot()
         is_full = len(history) >= MAX_GROUP_EVENTS or history.bytes >= MAX_GROUP_BYTES
         return None if is_full else history.new_slot()
--- a/otterreach/controller/api/locks.py
+++ b/otterreach/controller/api/locks.py
@@ -91,7 +91,7 @@
 
     async def _release(self, name: str, body: bytes) -> ApiResponse:
         request = read_release(body)
-        if not locks.ends(self._hold(name), request):
+        if not locks.release_ends_hold(self._hold(name), request):
             return await after_commit(self.control, DONE)
         response = await after_write(self.control, [delete(LockRecord, name)], DONE)
         log("lock_released", lock=name, owner=request.owner, fence=request.fence, status=response.status)
--- a/otterreach/controller/api/router.py
+++ b/otterreach/controller/api/router.py
@@ -15,7 +15,7 @@
 
 from otterreach.controller.api import watches
 from otterreach.controller.api.configuration import ConfigurationResource
-from otterreach.controller.api.coordination_answers import UNCLEAR
+from otterreach.controller.api.coordination_answers import OUTCOME_UNKNOWN
 from otterreach.controller.api.forwarding import Forwarder
 from otterreach.controller.api.keys import KeyResource
 from otterreach.controller.api.locks import LockResource
@@ -175,14 +175,14 @@
             async with asyncio.timeout(answer_within_s(call)):
                 return await resource.handle(call)
         except TimeoutError:
-            return UNCLEAR if changes_coordination(call) else UNAVAILABLE
+            return OUTCOME_UNKNOWN if changes_coordination(call) else UNAVAILABLE
 
     async def _forward(self, call: ApiCall) -> ApiResponse:
         """Return the primary's response, or 503 or 504 if there is none."""
         answer = await self.forwarder.forward(call, answer_within_s(call) + FORWARD_EXTRA_S)
         if not isinstance(answer, Failure):
             return answer
-        return UNCLEAR if answer.maybe_done and changes_coordination(call) else UNAVAILABLE
+        return OUTCOME_UNKNOWN if answer.maybe_done and changes_coordination(call) else UNAVAILABLE
 
     def abandon_waiting_calls(self) -> None:
         """Complete the calls that wait for the primary or for an event, because this controller is shutting down."""
--- a/otterreach/controller/event_collection.py
+++ b/otterreach/controller/event_collection.py
@@ -23,13 +23,13 @@
     """Deletes expired events. Runs on the primary."""
 
     def __init__(
-        self, control: ControlState, histories: FollowedHistories, receipts: ReceiptTimes, kept_s: float
+        self, control: ControlState, histories: FollowedHistories, receipts: ReceiptTimes, retention_s: float
     ) -> None:
-        """:param kept_s: the minimum time for which an event is retained in its group's history"""
+        """:param retention_s: the minimum time for which an event is retained in its group's history"""
         self.control = control
         self.histories = histories
         self.receipts = receipts
-        self.kept_s = kept_s
+        self.retention_s = retention_s
         self._cursor = NameCursor(EventRecord)
 
     def collect(self) -> None:
@@ -48,4 +48,4 @@
         group, _ = split_event_name(name)
         if record is None or record.event.revision >= self.histories.of(state).of(group).revision:
             return False
-        return self.receipts.age_s(state.items[key_of(EventRecord, name)]) >= self.kept_s
+        return self.receipts.age_s(state.items[key_of(EventRecord, name)]) >= self.retention_s
--- a/otterreach/controller/hold_checkpoints.py
+++ b/otterreach/controller/hold_checkpoints.py
@@ -16,11 +16,11 @@
 from otterreach.controller.coordination_records import LockRecord
 from otterreach.controller.name_cursor import NameCursor
 from otterreach.controller.receipt_times import ReceiptTimes
-from otterreach.coordination.locks import left_ms
+from otterreach.coordination.locks import remaining_ms
 from otterreach.runtime.records import ItemChange, key_of, put
 
 MAX_AGE_S = 1.0  # age at which the record of an active hold is replaced
-MIN_LEFT_MS = 500  # a hold with less remaining time needs no newer record
+MIN_REMAINING_MS = 500  # a hold with less remaining time needs no newer record
 MAX_CHECKPOINTS = 256  # records written per run
 MAX_SCANNED = 1024  # locks examined per run
 
@@ -55,7 +55,7 @@
         if record is None:
             return None
         age_s = self.receipts.age_s(state.items[key_of(LockRecord, name)])
-        left = left_ms(record.hold, age_s)
-        if age_s < MAX_AGE_S or left < MIN_LEFT_MS:
+        remaining = remaining_ms(record.hold, age_s)
+        if age_s < MAX_AGE_S or remaining < MIN_REMAINING_MS:
             return None
-        return put(LockRecord(replace(record.hold, hold_ms=left)), name)
+        return put(LockRecord(replace(record.hold, hold_ms=remaining)), name)
--- a/otterreach/controller/lock_collection.py
+++ b/otterreach/controller/lock_collection.py
@@ -10,7 +10,7 @@
 from otterreach.controller.coordination_records import LockRecord
 from otterreach.controller.name_cursor import NameCursor
 from otterreach.controller.receipt_times import ReceiptTimes
-from otterreach.coordination.locks import is_over
+from otterreach.coordination.locks import is_expired
 from otterreach.runtime.records import delete, key_of
 
 KEPT_S = 60.0  # retention of a record after its hold has expired
@@ -38,4 +38,4 @@
         if record is None:
             return False
         age_s = self.receipts.age_s(state.items[key_of(LockRecord, name)])
-        return is_over(record.hold, age_s - KEPT_S)
+        return is_expired(record.hold, age_s - KEPT_S)
--- a/otterreach/coordination/locks.py
+++ b/otterreach/coordination/locks.py
@@ -3,8 +3,9 @@
 Each function decides one call against the current hold and returns the new hold, which the caller stores. Times are
 durations in seconds on a monotonic clock: `elapsed_s` is the time since the hold was stored. A hold is stored when a
 call is accepted, and an embedder may store an active hold again at any time with `hold_ms` set to the result of
-`left_ms`. A holder considers the lock its own until `hold_ms` after it sent its last accepted call. A call is received
-after it was sent, so a hold that lasts `hold_ms` from the receipt expires after its holder has stopped relying on it.
+`remaining_ms`. A holder considers the lock its own until `hold_ms` after it sent its last accepted call. A call is
+received after it was sent, so a hold that lasts `hold_ms` from the receipt expires after its holder has stopped relying
+on it.
 
     >>> granted = acquire(None, 0.0, Acquire("worker-1", hold_ms=3000), fence=41)
     >>> granted
@@ -78,28 +79,28 @@
     """Result of a renewal of a hold that has ended. Nothing changes."""
 
 
-def _surely_passed_s(elapsed_s: float) -> float:
+def _min_elapsed_s(elapsed_s: float) -> float:
     """Return the time that has passed on the holder's clock at least, given the time elapsed on the local clock."""
     return elapsed_s * (1 - MAX_CLOCK_DRIFT)
 
 
-def is_over(hold: Hold, elapsed_s: float) -> bool:
+def is_expired(hold: Hold, elapsed_s: float) -> bool:
     """Return True if the hold has expired on the holder's clock as well, even at the maximum clock drift."""
-    return _surely_passed_s(elapsed_s) >= hold.hold_ms / 1000 + EXPIRY_MARGIN_S
+    return _min_elapsed_s(elapsed_s) >= hold.hold_ms / 1000 + EXPIRY_MARGIN_S
 
 
-def left_ms(hold: Hold, elapsed_s: float) -> int:
+def remaining_ms(hold: Hold, elapsed_s: float) -> int:
     """Return the remaining duration of a hold without the expiry margin; 0 or less if it has expired for its holder."""
-    return ceil(hold.hold_ms - _surely_passed_s(elapsed_s) * 1000)
+    return ceil(hold.hold_ms - _min_elapsed_s(elapsed_s) * 1000)
 
 
-def _extended_ms(hold: Hold, elapsed_s: float, hold_ms: int) -> int:
+def _extended_hold_ms(hold: Hold, elapsed_s: float, hold_ms: int) -> int:
     """Return the duration of a hold that is extended by `hold_ms` from now; no call shortens a hold.
 
     The response to a call that asks for less than the remaining time may be lost, in which case the holder relies on
     the remaining time.
     """
-    return max(left_ms(hold, elapsed_s), hold_ms)
+    return max(remaining_ms(hold, elapsed_s), hold_ms)
 
 
 def acquire(hold: Hold | None, elapsed_s: float, call: Acquire, fence: int) -> Granted | HeldByOther:
@@ -108,22 +109,22 @@
     :param fence: a token above all those issued for this lock. The current owner gets a new token as well, because a
         release of its earlier acquisition may still be in flight and must not end this one.
     """
-    if hold is None or is_over(hold, elapsed_s):
+    if hold is None or is_expired(hold, elapsed_s):
         return Granted(Hold(call.owner, fence, fence, call.hold_ms))
     if hold.owner != call.owner:
         return HeldByOther(hold.owner)
-    return Granted(replace(hold, fence=fence, hold_ms=_extended_ms(hold, elapsed_s, call.hold_ms)))
+    return Granted(replace(hold, fence=fence, hold_ms=_extended_hold_ms(hold, elapsed_s, call.hold_ms)))
 
 
 def renew(hold: Hold | None, elapsed_s: float, call: Renew) -> Granted | Lost:
     """Decide on a renewal. It is granted only for the hold that the token belongs to, and only until that expires."""
-    if hold is None or hold.owner != call.owner or is_over(hold, elapsed_s):
+    if hold is None or hold.owner != call.owner or is_expired(hold, elapsed_s):
         return Lost()
     if not hold.first_fence <= call.fence <= hold.fence:
         return Lost()
-    return Granted(replace(hold, hold_ms=_extended_ms(hold, elapsed_s, call.hold_ms)))
+    return Granted(replace(hold, hold_ms=_extended_hold_ms(hold, elapsed_s, call.hold_ms)))
 
 
-def ends(hold: Hold | None, call: Release) -> bool:
+def release_ends_hold(hold: Hold | None, call: Release) -> bool:
     """Return True if a release ends the current hold. Only a release with the token of its last acquisition does."""
     return hold is not None and (hold.owner, hold.fence) == (call.owner, call.fence)
--- a/otterreach/coordination/watches.py
+++ b/otterreach/coordination/watches.py
@@ -58,7 +58,7 @@
 
     def take_all(self) -> list[WaiterT]:
         """Remove and return all waiters."""
-        waiters = [waiter for waiters in self._waiters.values() for waiter in waiters]
+        all_waiters = [waiter for waiters in self._waiters.values() for waiter in waiters]
         self._waiters.clear()
         self._count = 0
-        return waiters
+        return all_waiters
--- a/otterreach/simulation/planted_keys.py
+++ b/otterreach/simulation/planted_keys.py
@@ -32,7 +32,7 @@
         (
             Change(
                 f"{ANSWERS}:after_write",
-                "return accepted if await write(control, changes) else UNCLEAR",
+                "return accepted if await write(control, changes) else OUTCOME_UNKNOWN",
                 "control.propose(changes); return accepted",
             ),
         ),
@@ -44,7 +44,7 @@
     Planted(
         "unavailable-after-accept",
         "a write without a clear end is answered 503",
-        (Change(f"{ANSWERS}:after_write", "else UNCLEAR", "else UNAVAILABLE"),),
+        (Change(f"{ANSWERS}:after_write", "else OUTCOME_UNKNOWN", "else UNAVAILABLE"),),
         COORDINATION,
         plan=PRIMARIES_FREEZE_IN_A_WRITE,
         rule=Rule.REFUSED.value,
@@ -53,7 +53,7 @@
     Planted(
         "late-answer-is-unavailable",
         "a call that takes too long is answered 503, though it goes on",
-        (Change(f"{ROUTER}._decide", "UNCLEAR if changes_coordination(call) else UNAVAILABLE", "UNAVAILABLE"),),
+        (Change(f"{ROUTER}._decide", "OUTCOME_UNKNOWN if changes_coordination(call) else UNAVAILABLE", "UNAVAILABLE"),),
         COORDINATION,
         plan=CORE_DISKS_STALL,
         rule=Rule.REFUSED.value,
@@ -65,7 +65,7 @@
         (
             Change(
                 f"{ROUTER}._forward",
-                "UNCLEAR if answer.maybe_done and changes_coordination(call) else UNAVAILABLE",
+                "OUTCOME_UNKNOWN if answer.maybe_done and changes_coordination(call) else UNAVAILABLE",
                 "UNAVAILABLE",
             ),
         ),
@@ -148,7 +148,7 @@
     Planted(
         "history-cut-by-count",
         "a group keeps its last ten puts, however young they are",
-        (Change(f"{KEY_RESOURCE}._slot_for", "self.receipts.age_s(oldest) >= self.kept_s", "len(history) >= 10"),),
+        (Change(f"{KEY_RESOURCE}._slot_for", "self.receipts.age_s(oldest) >= self.retention_s", "len(history) >= 10"),),
         COORDINATION,
         rule=Rule.LOST.value,
         seed=1,
@@ -157,7 +157,9 @@
         "gap-in-place-of-410",
         "a watch from a revision that is not kept any more gets the events that are",
         (
-            Change(f"{KEY_RESOURCE}._slot_for", "self.receipts.age_s(oldest) >= self.kept_s", "len(history) >= 10"),
+            Change(
+                f"{KEY_RESOURCE}._slot_for", "self.receipts.age_s(oldest) >= self.retention_s", "len(history) >= 10"
+            ),
             Change(f"{HISTORY}.between", "return None", "continue"),
         ),
         COORDINATION,
--- a/otterreach/simulation/planted_locks.py
+++ b/otterreach/simulation/planted_locks.py
@@ -21,7 +21,7 @@
     Planted(
         "hold-ends-before-its-time",
         "a hold ends when three quarters of its time have passed since the receipt",
-        (Change(f"{LOCKS}:is_over", "hold.hold_ms / 1000", "hold.hold_ms * 0.75 / 1000"),),
+        (Change(f"{LOCKS}:is_expired", "hold.hold_ms / 1000", "hold.hold_ms * 0.75 / 1000"),),
         COORDINATION,
         rule=Rule.ONE.value,
         seed=2,
@@ -81,7 +81,7 @@
         "a release of an earlier hold ends a later one of the same owner",
         (
             Change(
-                f"{LOCKS}:ends",
+                f"{LOCKS}:release_ends_hold",
                 "(hold.owner, hold.fence) == (call.owner, call.fence)",
                 "hold.owner == call.owner",
             ),
@@ -94,7 +94,7 @@
     Planted(
         "release-by-anyone",
         "a release ends whatever hold there is",
-        (Change(f"{LOCKS}:ends", " and (hold.owner, hold.fence) == (call.owner, call.fence)", ""),),
+        (Change(f"{LOCKS}:release_ends_hold", " and (hold.owner, hold.fence) == (call.owner, call.fence)", ""),),
         COORDINATION,
         rule=Rule.ONE.value,
         seed=2,
--- a/tests/controller/test_coordination_planted.py
+++ b/tests/controller/test_coordination_planted.py
@@ -55,7 +55,7 @@
 
 
 def renew_with_any_token(hold: Hold | None, elapsed_s: float, call: Renew) -> Granted | Lost:
-    is_lost = hold is None or hold.owner != call.owner or lock_rules.is_over(hold, elapsed_s)
+    is_lost = hold is None or hold.owner != call.owner or lock_rules.is_expired(hold, elapsed_s)
     return Lost() if is_lost or hold is None else Granted(replace(hold, hold_ms=call.hold_ms))
 
 
@@ -80,7 +80,7 @@
         "promises.PromisesTest.test_a_put_answered_503_never_shows_up_and_one_answered_200_always_does",
     ),
     "503 for a call that took too long": (
-        lambda patch: patch.setattr(router, "UNCLEAR", resource.UNAVAILABLE),
+        lambda patch: patch.setattr(router, "OUTCOME_UNKNOWN", resource.UNAVAILABLE),
         "promises.PromisesTest.test_a_put_answered_503_never_shows_up_and_one_answered_200_always_does",
     ),
     "a write is accepted before all members have it": (
@@ -96,7 +96,7 @@
         "frozen.FrozenPrimaryTest.test_a_primary_that_thaws_accepts_nothing_beside_the_next",
     ),
     "a hold ends too early": (
-        lambda patch: patch.setattr(lock_rules, "is_over", lambda hold, s: s >= hold.hold_ms / 1000 - EARLY_S),
+        lambda patch: patch.setattr(lock_rules, "is_expired", lambda hold, s: s >= hold.hold_ms / 1000 - EARLY_S),
         "locks.LocksTest.test_a_renewed_lock_is_held_from_its_last_renewal",
     ),
     "a hold counts as older than its record": (
@@ -108,7 +108,7 @@
         "failover.LockFailoverTest.test_a_hold_ends_in_time_also_where_the_primary_was_restarted",
     ),
     "a release with any token": (
-        lambda patch: patch.setattr(lock_rules, "ends", ends_with_any_token),
+        lambda patch: patch.setattr(lock_rules, "release_ends_hold", ends_with_any_token),
         "locks.LocksTest.test_a_late_release_of_an_earlier_hold_frees_nothing",
     ),
     "a renewal with any token": (
--- a/tests/controller/test_name_cursor.py
+++ b/tests/controller/test_name_cursor.py
@@ -100,7 +100,7 @@
     control.propose([put(EventRecord(event), event_name("g.", slot)) for slot, event in events.items()])
     histories = FollowedHistories()
     histories.of(control.state)
-    collection = EventCollection(cast(ControlState, control), histories, control.receipts, kept_s=30.0)
+    collection = EventCollection(cast(ControlState, control), histories, control.receipts, retention_s=30.0)
     collection.collect()
     control.now += LONG_S
     for _ in range(2 + MANY // event_collection.MAX_SCANNED):
--- a/tests/coordination/test_locks.py
+++ b/tests/coordination/test_locks.py
@@ -23,9 +23,9 @@
     Release,
     Renew,
     acquire,
-    ends,
-    is_over,
-    left_ms,
+    is_expired,
+    release_ends_hold,
+    remaining_ms,
     renew,
 )
 
@@ -134,7 +134,7 @@
         elapsed_s = (self.now - self.primary.stored_at) / 1000
         hold = self.primary.hold
         if isinstance(call, Release):
-            if ends(hold, call):
+            if release_ends_hold(hold, call):
                 self.primary.store(None, self.now)
                 self.backup.store(None, self.now)
             return None
@@ -144,7 +144,7 @@
         result = acquire(hold, elapsed_s, call, self.last_fence + 1)
         if isinstance(result, HeldByOther):
             assert hold is not None
-            assert not is_over(hold, elapsed_s)
+            assert not is_expired(hold, elapsed_s)
             return None
         self.last_fence += 1
         return result.hold
@@ -189,7 +189,7 @@
         hold = self.primary.hold
         if hold is None:
             return
-        left = left_ms(hold, (self.now - self.primary.stored_at) / 1000)
+        left = remaining_ms(hold, (self.now - self.primary.stored_at) / 1000)
         if left > 0:
             self.primary.store(replace(hold, hold_ms=left), self.now)
             self.backup.store(self.primary.hold, self.now + delay_ms)
@@ -208,7 +208,7 @@
                 assert self.primary.hold is not None
                 assert self.primary.hold.owner == owner
                 assert self.primary.hold.first_fence <= caller.fence <= self.primary.hold.fence
-                assert not is_over(self.primary.hold, (self.now - self.primary.stored_at) / 1000)
+                assert not is_expired(self.primary.hold, (self.now - self.primary.stored_at) / 1000)
 
 
 TestLocks = LocksMachine.TestCase
@@ -225,7 +225,7 @@
     now = 0.0
     late_s = 0.0
     for wait_s, delay_s in steps_s:
-        left = left_ms(hold, wait_s)
+        left = remaining_ms(hold, wait_s)
         if left <= 0:
             assert now + wait_s >= hold_ms / 1000 - ROUNDING_S
             return
@@ -240,8 +240,8 @@
     granted = acquire(None, 0.0, Acquire("a", 1000), 1)
     assert isinstance(granted, Granted)
     ends_s = (1.0 + EXPIRY_MARGIN_S) / (1 - MAX_CLOCK_DRIFT)
-    assert not is_over(granted.hold, ends_s - 0.001)
-    assert is_over(granted.hold, ends_s + ROUNDING_S)
+    assert not is_expired(granted.hold, ends_s - 0.001)
+    assert is_expired(granted.hold, ends_s + ROUNDING_S)
 
 
 # Guards against ONE: a clock that runs fast ends a hold of a day while its holder, whose clock runs slow, goes on.
@@ -251,11 +251,11 @@
     fast = 1.0005 / 0.9995  # of this machine's clock against the holder's
     wait_s = hold_ms / 1000 * checkpoint_share
     holder_now_s = 0.0
-    while (left := left_ms(hold, wait_s * fast)) > 0 and holder_now_s <= hold_ms / 1000:
+    while (left := remaining_ms(hold, wait_s * fast)) > 0 and holder_now_s <= hold_ms / 1000:
         holder_now_s += wait_s
         hold = replace(hold, hold_ms=left)
     rest_s = max(0.0, hold_ms / 1000 - holder_now_s)
-    assert not is_over(hold, rest_s * fast)
+    assert not is_expired(hold, rest_s * fast)
 
 
 def test_a_call_for_less_time_than_is_left_shortens_nothing_and_lengthens_nothing() -> None:
