--- a/tests/controller/control_api_support.py
+++ b/tests/controller/control_api_support.py
@@ -1,6 +1,6 @@
-"""Stands in for replication in tests of the control API, whose calls it makes.
+"""Fakes and calls for tests of the control API.
 
-The writes of `StagedControl` reach all copies, or vanish, when a test says so.
+`FakeControl` replaces the replication: its writes are committed or lost when a test says so.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from otterreach.runtime.store import Item, ReplicatedStore
 from tests import virtual
 
-REVISIONS_IN_TERM = 1000
+REVISIONS_PER_EPOCH = 1000
 ROUTE = {"name": "r", "host": "h.example", "prefix": "/p/", "kind": "idem", "timeoutMs": 1, "backend": "b"}
 
-HEARTBEAT_S = 1.0  # between two heartbeats of a server
+HEARTBEAT_S = 1.0  # heartbeat interval of servers
 
 
-class StagedHeartbeats:
-    """Servers are silent but for those that a test says were heard."""
+class FakeHeartbeats:
+    """Servers without heartbeats, except for those that a test sets."""
 
     def __init__(self) -> None:
         self.heard: list[str] = []
@@ -37,8 +37,8 @@
         return self.silence_s.get(server, 1e9)
 
 
-class StagedControl:
-    """A primary whose writes wait until they are told to reach all copies, or that they don't."""
+class FakeControl:
+    """A primary whose writes stay pending until a test commits or fails them; with `instant`, they commit at once."""
 
     def __init__(self, instant: bool = True) -> None:
         self.state, self.published, self.number = ReplicatedStore(), ReplicatedStore(), 1
@@ -69,26 +69,26 @@
         return future
 
     def commit(self) -> None:
-        """All writes are at all copies."""
+        """Commit all pending writes."""
         self.published.apply(list(self.state.items.values()))
-        self._settle(True)
+        self._resolve(True)
 
     def depose(self) -> None:
-        """Another is primary; it is open what becomes of the writes under way."""
+        """Let another controller become primary; the outcome of the pending writes is unknown."""
         self.is_primary = False
-        self._settle(False)
+        self._resolve(False)
 
     def lead_again(self, keeping: bool) -> None:
-        """Primary of a later term, with or without what was written but not at all copies."""
+        """Become primary of a later epoch, with or without the writes that were not committed."""
         if not keeping:
             self.state = ReplicatedStore()
             self.state.apply(list(self.published.items.values()))
         self.number += 1
-        self._revision += REVISIONS_IN_TERM
+        self._revision += REVISIONS_PER_EPOCH
         self.is_primary = True
-        self.commit()  # a primary begins by copying its whole state
+        self.commit()  # a new primary first replicates its document state
 
-    def _settle(self, done: bool) -> None:
+    def _resolve(self, done: bool) -> None:
         waiting, self._waiting = self._waiting, []
         for future in waiting:
             if not future.done():
@@ -108,11 +108,11 @@
 
 
 class Endpoint:
-    """Takes the place of runtime.rpc.Endpoint: the primary is asked through it."""
+    """Replaces runtime.rpc.Endpoint, through which calls are forwarded to the primary."""
 
     def __init__(self) -> None:
         self.handlers: dict[type, Any] = {}
-        self.answer_after_s: float | None = None  # None: silence
+        self.answer_after_s: float | None = None  # None: no response
 
     def on(self, kind: type, handler: Any) -> None:
         self.handlers[kind] = handler
@@ -129,8 +129,8 @@
 
 
 def put(base: int | str, gen: int, name: str = "r") -> ApiCall:
-    whole = {"gen": gen, "routes": [ROUTE | {"name": name}], "backends": [{"name": "b"}]}
-    return ApiCall("PUT", "/config", str(base), json.dumps(whole).encode())
+    document = {"gen": gen, "routes": [ROUTE | {"name": name}], "backends": [{"name": "b"}]}
+    return ApiCall("PUT", "/config", str(base), json.dumps(document).encode())
 
 
 def patch(base: int, gen: int, name: str = "x") -> ApiCall:
@@ -139,7 +139,7 @@
 
 
 async def settle() -> None:
-    """Let all that can run do so."""
+    """Let all tasks run that are ready."""
     for _ in range(8):
         await asyncio.sleep(0)
 
@@ -149,8 +149,8 @@
 
 
 class Case(unittest.TestCase):
-    def play(self, scene: Callable[[], Awaitable[None]]) -> None:
-        virtual.run(scene)
+    def run_scenario(self, scenario: Callable[[], Awaitable[None]]) -> None:
+        virtual.run(scenario)
 
     async def expect(self, resource: Resource, call: ApiCall, status: int) -> ApiResponse:
         answer = await resource.handle(call)
--- a/tests/controller/coordination_support.py
+++ b/tests/controller/coordination_support.py
@@ -1,4 +1,4 @@
-"""Callers of locks, numbers, keys and watches on the wire, for tests that bring one trouble about by hand."""
+"""Callers of locks, numbers, keys and watches over HTTP, for tests that inject a single fault."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from tests.controller.controller_world import Cluster
 
 HOLD_MS = 3000
-PATIENCE_S = 1.0  # a caller turns to another controller after this much silence
+CALL_TIMEOUT_S = 1.0  # time-out after which a caller turns to another controller
 RETRY_S = 0.05
-CLEAR_S = 10.0  # each call has a clear answer by then once the trouble is over
+CLEAR_S = 10.0  # limit for a definite answer to each call once the fault is over
 NO_ANSWER = 0
 NOTHING_DONE = (429, 503)
-UNCLEAR = (NO_ANSWER, 500, 502, 504)
+OUTCOME_UNKNOWN = (NO_ANSWER, 500, 502, 504)
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a call got: its status (NO_ANSWER for silence), its body read as JSON, and how long it took."""
+    """The answer to a call: its status (NO_ANSWER after a time-out), its body parsed as JSON, and the time taken."""
 
     status: int
     took_s: float = 0.0
@@ -31,21 +31,23 @@
 
     @property
     def is_clear(self) -> bool:
-        """Whether the caller knows what became of the call and need not repeat it."""
-        return self.status not in NOTHING_DONE and self.status not in UNCLEAR
+        """True if the outcome of the call is known, so that the caller need not retry it."""
+        return self.status not in NOTHING_DONE and self.status not in OUTCOME_UNKNOWN
 
 
 Call = Callable[[Box], Awaitable[Answer]]
 
 
 class Coordination:
-    """The calls of applications. Each is sent once, to the controller named, and given up after PATIENCE_S."""
+    """The calls of applications. Each is sent once to the given controller and times out after CALL_TIMEOUT_S."""
 
     def __init__(self, cluster: Cluster) -> None:
         self.cluster = cluster
 
-    async def send(self, box: Box, method: str, path: str, body: Any = None, timeout_s: float = PATIENCE_S) -> Answer:
-        """Any call; a body that is not bytes is sent as JSON."""
+    async def send(
+        self, box: Box, method: str, path: str, body: Any = None, timeout_s: float = CALL_TIMEOUT_S
+    ) -> Answer:
+        """Send any call. A body that is not bytes is sent as JSON."""
         data = b"" if body is None else body if isinstance(body, bytes) else json.dumps(body).encode()
         status, took_s, raw = await self.cluster.call(box, method, path, data, timeout_s=timeout_s)
         return Answer(status, took_s, _json(raw), raw)
@@ -63,7 +65,7 @@
         return await self.send(box, "POST", f"/numbers/{name}", {})
 
     async def put(self, box: Box, key: str, value: str, expect: int | None) -> Answer:
-        """`expect` None: whatever revision the key has."""
+        """Put a value on an expected revision; with `expect` None, on any revision."""
         condition = {} if expect is None else {"expect": expect}
         return await self.send(box, "PUT", f"/cells/{key}", {"value": value} | condition)
 
@@ -72,14 +74,14 @@
 
     async def watch(self, box: Box, group: str, past: int, wait_ms: int = 0) -> Answer:
         path = f"/watch/{group}.?past={past}&waitMs={wait_ms}"
-        return await self.send(box, "GET", path, timeout_s=wait_ms / 1000 + PATIENCE_S)
+        return await self.send(box, "GET", path, timeout_s=wait_ms / 1000 + CALL_TIMEOUT_S)
 
     async def repeat(self, call: Callable[..., Awaitable[Answer]], *arguments: Any) -> Answer:
-        """Send one of the calls above to one controller after the other until one gives a clear answer."""
+        """Send one of the calls above to one controller after the other until one gives a definite answer."""
         return await self.until_clear(lambda box: call(box, *arguments))
 
     async def until_clear(self, call: Call, within_s: float = CLEAR_S) -> Answer:
-        """Send a call to one controller after the other until one gives a clear answer."""
+        """Send a call to one controller after the other until one gives a definite answer."""
         began = self.cluster.world.now
         turn = 0
         answer = Answer(NO_ANSWER)
@@ -93,7 +95,7 @@
 
 
 def _json(raw: bytes) -> dict[str, Any]:
-    """The body as an object; empty if it is none."""
+    """Return the body as a JSON object; empty if it is not one."""
     try:
         value = json.loads(raw)
     except ValueError:
--- a/tests/controller/test_configuration.py
+++ b/tests/controller/test_configuration.py
@@ -1,4 +1,4 @@
-"""otterreach.controller.config: which configurations are taken, which are refused and how, held in tables."""
+"""Tests of otterreach.controller.config: accepted and rejected configurations and patches."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 
 def remembering(method: str, data: bytes, if_match: int) -> ChangeHistory:
-    """A history in which this change is the first."""
+    """Return a history with this change as its only entry."""
     return ChangeHistory({0: change_of(method, data, if_match)}, 0)
 
 
@@ -208,15 +208,15 @@
 ]
 
 
-class Refusals(unittest.TestCase):
-    def refused(self, found: Any, code: Code, field: str = "") -> None:
+class RejectionCase(unittest.TestCase):
+    def assert_rejected(self, found: Any, code: Code, field: str = "") -> None:
         self.assertIsInstance(found, Failure)
         self.assertEqual(code, found.code, found)
         self.assertTrue(found.reason.startswith(field + ":" if field else ""), found)
         self.assertEqual(412 if code is Code.CONFIG_STALE_MATCH else 400, status_of(found))
 
 
-class WholeTest(Refusals):
+class PutTest(RejectionCase):
     def test_valid(self) -> None:
         for name, change in VALID.items():
             with self.subTest(name):
@@ -231,28 +231,30 @@
     def test_invalid(self) -> None:
         for name, (change, code, field) in INVALID.items():
             with self.subTest(name):
-                self.refused(check_put(body(changed(change)), None, 0), code, field)
+                self.assert_rejected(check_put(body(changed(change)), None, 0), code, field)
 
     def test_unreadable(self) -> None:
         for data in UNREADABLE:
             with self.subTest(data=data[:20]):
-                self.refused(check_put(data, None, 0), Code.CONFIG_UNREADABLE, "body")
-                self.refused(check_patch(data, BASE, 7), Code.CONFIG_UNREADABLE, "body")
+                self.assert_rejected(check_put(data, None, 0), Code.CONFIG_UNREADABLE, "body")
+                self.assert_rejected(check_patch(data, BASE, 7), Code.CONFIG_UNREADABLE, "body")
 
     def test_versions(self) -> None:
         later = changed(lambda c: c.update(gen=9))
         self.assertEqual(later, check_put(body(later), BASE, 7))
         for if_match in (0, 6, 8, 9):
-            self.refused(check_put(body(later), BASE, if_match), Code.CONFIG_STALE_MATCH, "If-Match")
-        self.refused(check_put(body(later), None, 7), Code.CONFIG_STALE_MATCH, "If-Match")
+            self.assert_rejected(check_put(body(later), BASE, if_match), Code.CONFIG_STALE_MATCH, "If-Match")
+        self.assert_rejected(check_put(body(later), None, 7), Code.CONFIG_STALE_MATCH, "If-Match")
         same = changed(lambda c: c.update(caps={}))
-        self.refused(check_put(body(same), BASE, 7), Code.CONFIG_OLD_NUMBER, "gen")
-        self.refused(check_put(body(changed(lambda c: c.update(gen=6))), BASE, 7), Code.CONFIG_OLD_NUMBER, "gen")
+        self.assert_rejected(check_put(body(same), BASE, 7), Code.CONFIG_OLD_NUMBER, "gen")
+        self.assert_rejected(
+            check_put(body(changed(lambda c: c.update(gen=6))), BASE, 7), Code.CONFIG_OLD_NUMBER, "gen"
+        )
 
     def test_lost_race_is_told_as_one(self) -> None:
-        """Two on top of the same version, the loser with the lower number."""
+        """Two changes are based on the same version, and the losing one has the lower `gen`."""
         late = changed(lambda c: c.update(gen=6))
-        self.refused(check_put(body(late), BASE, 5), Code.CONFIG_STALE_MATCH)
+        self.assert_rejected(check_put(body(late), BASE, 5), Code.CONFIG_STALE_MATCH)
 
     def test_same_again(self) -> None:
         blanks = json.dumps(BASE, indent=3).encode()
@@ -260,18 +262,18 @@
             for if_match in (5, 7):
                 self.assertIs(ALREADY, check_put(data, BASE, if_match))
         near = changed(route(0, timeoutMs=1500.0))
-        self.refused(check_put(body(near), BASE, 5), Code.CONFIG_STALE_MATCH)
+        self.assert_rejected(check_put(body(near), BASE, 5), Code.CONFIG_STALE_MATCH)
 
     def test_same_again_after_another(self) -> None:
-        """Taken without a clear answer, then another on top of it: the first sender still gets its 200."""
+        """A retry of an accepted change whose answer was lost gets 200, even after another change was accepted."""
         newest = changed(lambda c: c.update(gen=9))
         history = remembering("PUT", body(BASE), 5)
         self.assertIs(ALREADY, check_put(body(BASE), newest, 5, history))
-        self.refused(check_put(body(BASE), newest, 6, history), Code.CONFIG_STALE_MATCH)
-        self.refused(check_patch(body(BASE), newest, 5, history), Code.CONFIG_STALE_MATCH)
+        self.assert_rejected(check_put(body(BASE), newest, 6, history), Code.CONFIG_STALE_MATCH)
+        self.assert_rejected(check_patch(body(BASE), newest, 5, history), Code.CONFIG_STALE_MATCH)
 
     def test_older_than_what_is_remembered(self) -> None:
-        """Nobody knows any more whether it was accepted: no clear answer."""
+        """It is unknown whether a change older than the history was accepted, so there is no definite answer."""
         newest = changed(lambda c: c.update(gen=9))
         history = ChangeHistory({0: change_of("PUT", body(newest), 7)}, 7)
         for check in (check_put, check_patch):
@@ -296,7 +298,7 @@
                 self.assertTrue(found is ALREADY or isinstance(found, dict | Failure))
 
 
-class PatchTest(Refusals):
+class PatchTest(RejectionCase):
     def patched(self, patch: Any, if_match: int = 7, current: Config | None = BASE) -> Any:
         return check_patch(body(patch), current, if_match)
 
@@ -312,16 +314,18 @@
         self.assertIs(ALREADY, check_patch(body(patch), found, 7, history))
 
     def test_other_patch_that_would_change_nothing(self) -> None:
-        """Two on one version, the second a part of the first: only one of them was accepted."""
+        """Of two changes of one version, of which the second is a subset of the first, only one was accepted."""
         first = {"gen": 9, "upsert": {"routes": [NEW]}, "remove": {"routes": ["write"]}}
         second = {"gen": 9, "remove": {"routes": ["write"]}}
         found = self.patched(first)
         history = remembering("PATCH", body(first), 7)
-        self.refused(check_patch(body(second), found, 7, history), Code.CONFIG_STALE_MATCH)
+        self.assert_rejected(check_patch(body(second), found, 7, history), Code.CONFIG_STALE_MATCH)
 
     def test_unknown_list_of_items_without_names(self) -> None:
         base = BASE | {"shades": [1, 2]}
-        self.refused(self.patched({"gen": 9, "upsert": {"shades": [{"name": "x"}]}}, 7, base), Code.CONFIG_FIELD)
+        self.assert_rejected(
+            self.patched({"gen": 9, "upsert": {"shades": [{"name": "x"}]}}, 7, base), Code.CONFIG_FIELD
+        )
 
     def test_services_in_the_same_patch(self) -> None:
         west = {"name": "west", "maxConns": 4}
@@ -364,23 +368,25 @@
         ]
         for patch, code, field in table:
             with self.subTest(patch=patch):
-                self.refused(self.patched(patch), code, field)
+                self.assert_rejected(self.patched(patch), code, field)
 
     def test_stale(self) -> None:
         for if_match in (0, 5, 8):
-            self.refused(self.patched({"gen": 9, "upsert": {"routes": [NEW]}}, if_match), Code.CONFIG_STALE_MATCH)
+            self.assert_rejected(
+                self.patched({"gen": 9, "upsert": {"routes": [NEW]}}, if_match), Code.CONFIG_STALE_MATCH
+            )
 
     def test_same_number_other_content(self) -> None:
         first = self.patched({"gen": 9, "upsert": {"routes": [NEW]}})
         other = {"gen": 9, "upsert": {"routes": [NEW | {"timeoutMs": 6}]}}
-        self.refused(self.patched(other, 7, first), Code.CONFIG_STALE_MATCH)
+        self.assert_rejected(self.patched(other, 7, first), Code.CONFIG_STALE_MATCH)
 
     def test_same_again_after_another(self) -> None:
         patch = body({"gen": 9, "upsert": {"routes": [NEW]}})
         newest = BASE | {"gen": 12}
         self.assertIs(ALREADY, check_patch(patch, newest, 7, remembering("PATCH", patch, 7)))
-        self.refused(check_patch(patch, newest, 7, remembering("PATCH", patch, 8)), Code.CONFIG_STALE_MATCH)
-        self.refused(check_put(patch, newest, 7, remembering("PATCH", patch, 7)), Code.CONFIG_FIELD)
+        self.assert_rejected(check_patch(patch, newest, 7, remembering("PATCH", patch, 8)), Code.CONFIG_STALE_MATCH)
+        self.assert_rejected(check_put(patch, newest, 7, remembering("PATCH", patch, 7)), Code.CONFIG_FIELD)
 
     def test_on_nothing(self) -> None:
         backends = [{"name": "north"}]
--- a/tests/controller/test_control_api.py
+++ b/tests/controller/test_control_api.py
@@ -1,4 +1,4 @@
-"""PUT, PATCH and GET /config (controller/api/configuration.py): which answer a call and its repeats get, and when."""
+"""Tests of PUT, PATCH and GET /config (controller/api/configuration.py): responses to calls and their retries."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from otterreach.controller.messages import ApiCall
 from otterreach.controller.publisher import is_private
 from otterreach.runtime.records import AcceptedChange
-from tests.controller.control_api_support import Case, StagedControl, patch, put, settle, statuses
+from tests.controller.control_api_support import Case, FakeControl, patch, put, settle, statuses
 
 SMALL_RING = 16
 
 
 class ConfigurationTest(Case):
     def test_answers(self) -> None:
-        async def scene() -> None:
-            control = StagedControl()
+        async def scenario() -> None:
+            control = FakeControl()
             resource = ConfigurationResource(control, control.published)
             await self.expect(resource, ApiCall("GET", "/config", "", b""), 404)
             await self.expect(resource, put(0, 3), 200)
@@ -53,11 +53,11 @@
             read = await self.expect(resource, ApiCall("GET", "/config", "", b""), 200)
             self.assertEqual(json.loads(put(5, 8, "z").body), json.loads(read.body))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_sent_again_after_five_hundred_others(self) -> None:
-        async def scene() -> None:
-            control = StagedControl()
+        async def scenario() -> None:
+            control = FakeControl()
             resource = ConfigurationResource(control, control.published)
             calls = [put(0, 1), *(patch(gen, gen + 1, f"n{gen % 7}") for gen in range(1, 500))]
             for call in calls:
@@ -66,11 +66,11 @@
                 await self.expect(resource, call, 200)
             await self.expect(resource, patch(250, 251, "other"), 412)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_eight_at_once_on_one_version(self) -> None:
-        async def scene() -> None:
-            control = StagedControl(instant=False)
+        async def scenario() -> None:
+            control = FakeControl(instant=False)
             resource = ConfigurationResource(control, control.published)
             tasks = [asyncio.ensure_future(resource.handle(put(0, n + 1, f"op{n}"))) for n in range(8)]
             await settle()
@@ -79,24 +79,24 @@
             answers = await asyncio.gather(*tasks)
             self.assertEqual([200] + [412] * 7, statuses(answers))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_eight_at_once_are_left_open_when_the_write_is(self) -> None:
-        """The seven would be refused because of a change that may never have been."""
+        """Seven changes must not be rejected because of one that may never be committed."""
 
-        async def scene() -> None:
-            control = StagedControl(instant=False)
+        async def scenario() -> None:
+            control = FakeControl(instant=False)
             resource = ConfigurationResource(control, control.published)
             tasks = [asyncio.ensure_future(resource.handle(put(0, n + 1, f"op{n}"))) for n in range(8)]
             await settle()
             control.depose()
             self.assertEqual([503] * 8, statuses(await asyncio.gather(*tasks)))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_sent_again_while_it_is_being_written(self) -> None:
-        async def scene() -> None:
-            control = StagedControl(instant=False)
+        async def scenario() -> None:
+            control = FakeControl(instant=False)
             resource = ConfigurationResource(control, control.published)
             tasks = [asyncio.ensure_future(resource.handle(put(0, 4))) for _ in range(3)]
             await settle()
@@ -106,11 +106,11 @@
             self.assertEqual([200] * 3, statuses(await asyncio.gather(*tasks)))
             self.assertEqual(revision, control.state.revision)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_caller_that_leaves_does_not_end_its_write(self) -> None:
-        async def scene() -> None:
-            control = StagedControl(instant=False)
+        async def scenario() -> None:
+            control = FakeControl(instant=False)
             resource = ConfigurationResource(control, control.published)
             leaving = asyncio.ensure_future(resource.handle(put(0, 4)))
             await settle()
@@ -121,11 +121,11 @@
             control.commit()
             self.assertEqual(200, (await again).status)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_too_many_at_once(self) -> None:
-        async def scene() -> None:
-            control = StagedControl(instant=False)
+        async def scenario() -> None:
+            control = FakeControl(instant=False)
             resource = ConfigurationResource(control, control.published)
             limit = configuration.MAX_CHANGES_IN_PROGRESS
             tasks = [asyncio.ensure_future(resource.handle(put(0, n + 1))) for n in range(limit)]
@@ -135,26 +135,26 @@
             self.assertEqual([200] + [412] * (limit - 1), statuses(await asyncio.gather(*tasks)))
             await self.expect(resource, put(0, 1), 200)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_one_that_is_no_longer_primary_refuses_nothing(self) -> None:
-        async def scene() -> None:
-            control = StagedControl()
+        async def scenario() -> None:
+            control = FakeControl()
             resource = ConfigurationResource(control, control.published)
             await self.expect(resource, put(0, 3), 200)
             control.depose()
             for call in (put(0, 3), put(0, 4), put(3, 2), put(3, 4), ApiCall("GET", "/config", "", b"")):
                 await self.expect(resource, call, 503)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
 
 class HistoryTest(Case):
     def test_the_ring(self) -> None:
-        """The oldest make room; the keys stay the same; nothing is deleted; each change writes one small item."""
+        """The history is a ring: each change writes one small item over the oldest one, and no key is deleted."""
 
-        async def scene() -> None:
-            control = StagedControl()
+        async def scenario() -> None:
+            control = FakeControl()
             resource = ConfigurationResource(control, control.published)
             calls = [put(0, 1), *(patch(gen, gen + 1) for gen in range(1, 60))]
             for call in calls:
@@ -170,13 +170,13 @@
             await self.expect(resource, patch(60 - SMALL_RING, 99), 412)
 
         with mock.patch.object(change_history, "CHANGES_REMEMBERED", SMALL_RING):
-            self.play(scene)
+            self.run_scenario(scenario)
 
     def test_kept_up_with_the_state(self) -> None:
-        """What is followed from the start, through the ring's turns, is what is read at the end."""
+        """A history that is updated with each change equals one that is read from the state, also after wrap-around."""
 
-        async def scene() -> None:
-            control = StagedControl()
+        async def scenario() -> None:
+            control = FakeControl()
             first = ConfigurationResource(control, control.published)
             calls = [put(0, 1), *(patch(gen, gen + 1) for gen in range(1, 40))]
             for call in calls:
@@ -189,13 +189,13 @@
                         break
 
         with mock.patch.object(change_history, "CHANGES_REMEMBERED", SMALL_RING):
-            self.play(scene)
+            self.run_scenario(scenario)
 
     def test_another_state_is_read_anew(self) -> None:
-        """A snapshot of another primary takes the place of the whole state."""
+        """The history is rebuilt after a snapshot of another primary has replaced the whole state."""
 
-        async def scene() -> None:
-            control = StagedControl(instant=False)
+        async def scenario() -> None:
+            control = FakeControl(instant=False)
             resource = ConfigurationResource(control, control.published)
             lost = asyncio.ensure_future(resource.handle(put(0, 3, "lost")))
             await settle()
@@ -207,16 +207,16 @@
             await self.expect(resource, put(0, 3, "lost"), 412)
             await self.expect(resource, put(0, 4, "other"), 200)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_room_for_a_day(self) -> None:
         self.assertGreater(change_history.CHANGES_REMEMBERED, 3 * 1300)
 
     def test_a_state_of_before_there_was_a_history(self) -> None:
-        """What was accepted then is not known: no clear answer, and no refusal."""
+        """Which changes were accepted before is unknown, so they get neither a definite answer nor a rejection."""
 
-        async def scene() -> None:
-            control = StagedControl()
+        async def scenario() -> None:
+            control = FakeControl()
             control.propose([("config", put(4, 7).body), ("taken", b'["4f2a"]')])
             resource = ConfigurationResource(control, control.published)
             await self.expect(resource, put(2, 4), 503)
@@ -226,7 +226,7 @@
             await self.expect(resource, put(2, 4), 503)
             await self.expect(resource, put(7, 8), 412)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_control_api_faults.py
+++ b/tests/controller/test_control_api_faults.py
@@ -1,7 +1,7 @@
-"""Eight operators at once against real controllers on the virtual network.
+"""Eight concurrent operators against real controllers on the virtual network.
 
-Answers get lost and trouble comes right behind a write: no accepted change is ever refused, no two are accepted on
-one version, and what was accepted is read.
+Responses get lost and a fault is injected right after a write. No accepted change may be rejected later, no two changes
+may be accepted on one version, and reads return what was accepted.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 CONTROLLERS = 5
 OPERATORS = 8
 ROUNDS = 3
-TROUBLE_S = 2.0
-PATIENCE_S = 0.95
-CLEAR_S = 25.0  # every call has a clear answer within this
-DELAYS_S = (0.0, 0.0004, 0.001, 0.002, 0.004, 0.008)  # from a write at the primary to the trouble
+FAULT_S = 2.0
+CALLER_TIMEOUT_S = 0.95
+CLEAR_S = 25.0  # limit for a definite answer to every call
+DELAYS_S = (0.0, 0.0004, 0.001, 0.002, 0.004, 0.008)  # from a write on the primary to the fault
 SLOW_DISKS = "power and slow disks"
 SLOW_DISK_S = 0.2
 READ_S = 0.03
-TROUBLES = ("kill", "freeze", "cut", "cut from backups", "power of all", "power of primary", SLOW_DISKS)
+FAULTS = ("kill", "freeze", "cut", "cut from backups", "power of all", "power of primary", SLOW_DISKS)
 REFUSED = (400, 412)
 PLANTED_SEEDS = range(1, 13)
 SEEDS = range(1, 1 + int(os.environ.get("CONTROL_API_SEEDS", "2")))
@@ -41,7 +41,7 @@
 
 @dataclass
 class Change:
-    """One order, and what its sender has been told so far."""
+    """A change of the configuration, and the answers that its sender has received so far."""
 
     method: str
     base: int
@@ -61,16 +61,16 @@
 
     @property
     def clear(self) -> int:
-        """The first clear answer; 0: none yet."""
+        """The first definite answer; 0 if there is none yet."""
         return next((status for status in self.answers if status == 200 or status in REFUSED), 0)
 
 
 class Cluster:
-    """Controllers in three zones, operators beside them, and one trouble in each round."""
+    """Controllers in three zones, operators, and one fault per round."""
 
-    def __init__(self, seed: int, trouble: str) -> None:
+    def __init__(self, seed: int, fault: str) -> None:
         self.world = World(seed, slas=SLAS)
-        self.random, self.trouble = Random(seed ^ 0xAB), trouble
+        self.random, self.fault = Random(seed ^ 0xAB), fault
         for n in range(CONTROLLERS):
             self.world.add(f"core-{n}", "core", n % 3, controller)
         self.world.seeds = [box.ip for box in self.boxes[:3]]
@@ -83,13 +83,13 @@
         return self.world.of_role("core")
 
     def run(self) -> None:
-        self.world.run(self._play)
+        self.world.run(self._run_all)
 
-    async def _play(self) -> None:
+    async def _run_all(self) -> None:
         world = self.world
         for box in self.boxes:
             box.start()
-        self._strike_after_writes()
+        self._inject_after_writes()
         operators, reader = Process("operators", "10.9.0.1"), Process("reader", "10.9.0.2")
         reading = [reader.start(world.loop, self._read_on(box)) for box in self.boxes]
         await operators.start(world.loop, self._rounds())
@@ -115,31 +115,31 @@
         await self._send_all_again()
 
     async def _send_all_again(self) -> None:
-        """Each accepted change is acknowledged again, after all others, and each refused one is refused again."""
+        """Retry all changes at the end: accepted ones are acknowledged again, and rejected ones are rejected again."""
         first = {id(change): change.clear for change in self.changes}
         for change in self.changes:
             change.answers.clear()
         await self._all_clear([self._send(change) for change in self.changes])
         for change in self.changes:
-            told = first[id(change)]
-            same = change.clear == told
-            self.world.expect(same, "the same answer again", f"{change.name}: {told}, then {change.clear}")
+            first_answer = first[id(change)]
+            same = change.clear == first_answer
+            self.world.expect(same, "the same answer again", f"{change.name}: {first_answer}, then {change.clear}")
 
     async def _all_clear(self, calls: list[Any]) -> None:
         async with asyncio.timeout(CLEAR_S):
             await asyncio.gather(*calls)
 
     async def _send(self, change: Change) -> None:
-        """Again and again, to any controller, at times before the answer can have come, until one is clear."""
+        """Send a change to random controllers until the outcome is known. Some time-outs are too short."""
         headers = {b"If-Match": str(change.base).encode()}
         while not change.clear:
             address = f"{self.random.choice(self.boxes).ip}:{CTL}"
-            patience_s = self.random.choice([0.002, 0.01, 1.0, 1.0])
+            timeout_s = self.random.choice([0.002, 0.01, 1.0, 1.0])
             began = self.world.now
-            response = await client.ask(address, change.method, "/config", change.body, headers, patience_s)
+            response = await client.ask(address, change.method, "/config", change.body, headers, timeout_s)
             if response is not None:
                 took = self.world.now - began
-                in_time = took < PATIENCE_S or self.trouble == "freeze"  # a machine that stands still answers late
+                in_time = took < CALLER_TIMEOUT_S or self.fault == "freeze"  # a frozen machine answers late
                 self.world.expect(in_time, "in the caller's second", f"{took:.2f} s")
                 change.answers.append(response.status)
                 if response.status == 200:
@@ -158,7 +158,7 @@
         self.world.expect(won.name in names, "read what was accepted", f"{names} without {won.name}")
 
     async def _read_on(self, box: Box) -> None:
-        """A read that began after an acknowledgement doesn't come from before it."""
+        """Check that a read that began after an acknowledgement doesn't return an older configuration."""
         while True:
             least = self.newest
             response = await client.ask(f"{box.ip}:{CTL}", "GET", "/config")
@@ -167,11 +167,11 @@
                 self.world.expect(gen >= least, "read goes back", f"{gen} at {box.name}, {least} was acknowledged")
             await asyncio.sleep(READ_S)
 
-    # Trouble -------------------------------------------------------------------------------------
+    # Faults --------------------------------------------------------------------------------------
 
     @property
     def _slow_disks(self) -> bool:
-        return self.trouble == SLOW_DISKS
+        return self.fault == SLOW_DISKS
 
     def _arm(self, number: int) -> None:
         self.armed = number > 0
@@ -179,8 +179,8 @@
             for box in self.boxes:
                 box.disk.slow_s = SLOW_DISK_S
 
-    def _strike_after_writes(self) -> None:
-        """The first change of the configuration in each round brings the trouble on its primary."""
+    def _inject_after_writes(self) -> None:
+        """Inject the fault on the primary after the first change of the configuration in each round."""
         cluster = self
 
         def proposing(plain: Any) -> Any:
@@ -192,35 +192,35 @@
                     box = next(box for box in cluster.boxes if box.object and box.object.control is control)
                     longest = SLOW_DISK_S if cluster._slow_disks else 0.0
                     delay = cluster.random.choice(DELAYS_S) + cluster.random.uniform(0.0, longest)
-                    cluster.world.plainly(delay, cluster._strike, box)
+                    cluster.world.plainly(delay, cluster._inject, box)
                 return future
 
             return propose
 
         self.world.wrap(ControlReplication, "propose", proposing)
 
-    def _strike(self, box: Box) -> None:
+    def _inject(self, box: Box) -> None:
         world, net = self.world, self.world.net
         others = [other.ip for other in self.boxes if other is not box]
-        if self.trouble == "kill":
+        if self.fault == "kill":
             box.kill()
             world.plainly(0.3, box.start)
-        elif self.trouble == "freeze":
+        elif self.fault == "freeze":
             box.freeze()
-            world.plainly(TROUBLE_S, box.thaw)
-        elif self.trouble == "cut":
+            world.plainly(FAULT_S, box.thaw)
+        elif self.fault == "cut":
             net.cut([box.ip], others)
-            world.plainly(TROUBLE_S, net.heal)
-        elif self.trouble == "cut from backups":
+            world.plainly(FAULT_S, net.heal)
+        elif self.fault == "cut from backups":
             control = box.object.control
             backups = [
                 w.address.partition(":")[0] for w in control.accepted.witnesses if w.id in control.accepted.backups
             ]
             net.cut([box.ip], backups)
-            world.plainly(TROUBLE_S, net.heal)
+            world.plainly(FAULT_S, net.heal)
         else:
-            struck = [box] if self.trouble == "power of primary" else self.boxes
-            for one in struck:
+            affected = [box] if self.fault == "power of primary" else self.boxes
+            for one in affected:
                 one.disk.slow_s = 0.0
                 one.power_off()
                 world.plainly(self.random.uniform(0.5, 0.8), one.power_on)
@@ -228,10 +228,10 @@
 
 class FaultsTest(unittest.TestCase):
     def test_eight_at_once_under_trouble(self) -> None:
-        for trouble in TROUBLES:
+        for fault in FAULTS:
             for seed in SEEDS:
-                with self.subTest(trouble=trouble, seed=seed):
-                    cluster = Cluster(seed, trouble)
+                with self.subTest(fault=fault, seed=seed):
+                    cluster = Cluster(seed, fault)
                     cluster.run()
                     self.assertIsNone(cluster.world.failure, "\n".join(list(cluster.world.lines)[-20:]))
                     self.assertEqual(ROUNDS * OPERATORS, len(cluster.changes))
@@ -250,14 +250,14 @@
             ("no history", mock.patch.object(ChangeHistory, "has", lambda history, change: False), "kill"),
             ("accepted before all copies have it", mock.patch.object(configuration, "write", before_copies), "freeze"),
         ]
-        for what, patch, trouble in planted:
+        for what, patch, fault in planted:
             with self.subTest(what), patch:
-                found = next((seed for seed in PLANTED_SEEDS if _breaks(seed, trouble)), 0)
+                found = next((seed for seed in PLANTED_SEEDS if _breaks(seed, fault)), 0)
                 self.assertGreater(found, 0)
 
 
-def _breaks(seed: int, trouble: str) -> bool:
-    cluster = Cluster(seed, trouble)
+def _breaks(seed: int, fault: str) -> bool:
+    cluster = Cluster(seed, fault)
     cluster.run()
     return cluster.world.failure is not None
 
--- a/tests/controller/test_control_api_resources.py
+++ b/tests/controller/test_control_api_resources.py
@@ -1,4 +1,4 @@
-"""Versions, retirement and servers (controller/api): which answer each call and each repeat gets, and when."""
+"""Tests of versions, retirement and servers (controller/api): responses to calls and their retries."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from tests.controller.control_api_support import (
     HEARTBEAT_S,
     Case,
-    StagedControl,
-    StagedHeartbeats,
+    FakeControl,
+    FakeHeartbeats,
     deregistration,
     heartbeat,
     settle,
@@ -28,8 +28,8 @@
 
 class VersionTest(Case):
     def test_answers(self) -> None:
-        async def scene() -> None:
-            control = StagedControl()
+        async def scenario() -> None:
+            control = FakeControl()
             resource = VersionResource(control)
 
             def version(gen: Any) -> ApiCall:
@@ -41,11 +41,11 @@
             await self.expect(resource, ApiCall("POST", "/version-put", "", b"{"), 400)
             await self.expect(resource, ApiCall("GET", "/version-put", "", b""), 405)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_repeat_waits_for_the_first(self) -> None:
-        async def scene() -> None:
-            control = StagedControl(instant=False)
+        async def scenario() -> None:
+            control = FakeControl(instant=False)
             resource = VersionResource(control)
             call = ApiCall("POST", "/version-put", "", b'{"model":"m","gen":2}')
             tasks = [asyncio.ensure_future(resource.handle(call)) for _ in range(2)]
@@ -54,12 +54,12 @@
             control.depose()
             self.assertEqual([503, 503], statuses(await asyncio.gather(*tasks)))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
 
 class RetirementTest(Case):
-    def stage(self, stores: int, instant: bool = True) -> tuple[StagedControl, RetirementResource, set[str]]:
-        control = StagedControl(instant)
+    def create(self, stores: int, instant: bool = True) -> tuple[FakeControl, RetirementResource, set[str]]:
+        control = FakeControl(instant)
         living: set[str] = set()
         for n in range(stores):
             self.member(control, f"s{n}", f"d{n}")
@@ -74,7 +74,7 @@
         wanted = SurviveLimits(1)
         return control, RetirementResource(control, control.published, living_stores, wanted), living
 
-    def member(self, control: StagedControl, node: str, disk: str) -> None:
+    def member(self, control: FakeControl, node: str, disk: str) -> None:
         control.propose(
             [(f"member/{node}", json.dumps({"role": "store", "disk": disk, "zone": "z", "region": "r"}).encode())]
         )
@@ -83,8 +83,8 @@
         return ApiCall(method, f"/retire/{node}", "", b'{"overS":10}')
 
     def test_answers(self) -> None:
-        async def scene() -> None:
-            control, resource, _ = self.stage(4)
+        async def scenario() -> None:
+            control, resource, _ = self.create(4)
             partition = {"epoch": 1, "primary": "s0#d0", "backups": ["s1#d1"], "joining": []}
             control.propose([("part/0", json.dumps(partition).encode())])
             await self.expect(resource, self.call("unknown"), 404)
@@ -100,11 +100,11 @@
             progress = await self.expect(resource, self.call("s0", "GET"), 200)
             self.assertEqual({"state": "done"}, json.loads(progress.body))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_another_disk_is_another_machine(self) -> None:
-        async def scene() -> None:
-            control, resource, living = self.stage(4)
+        async def scenario() -> None:
+            control, resource, living = self.create(4)
             await self.expect(resource, self.call("s0"), 200)
             self.member(control, "s0", "new")
             living.add("s0#new")
@@ -113,83 +113,87 @@
             await self.expect(resource, self.call("s0"), 200)
             self.assertEqual(RetirementRecord("new"), control.state.record(RetirementRecord, "s0"))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_silence_is_no_reason_to_refuse(self) -> None:
-        async def scene() -> None:
-            _, resource, living = self.stage(3)
+        async def scenario() -> None:
+            _, resource, living = self.create(3)
             living.discard("s1#d1")
             await self.expect(resource, self.call("s0"), 503)
             living.add("s1#d1")
             await self.expect(resource, self.call("s0"), 200)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_refused_only_because_of_what_lasts(self) -> None:
-        """The second is refused only because of the first, which may vanish."""
+        """An order must not be rejected because of another one that may never be committed."""
 
-        async def scene() -> None:
-            control, resource, _ = self.stage(3, instant=False)
+        async def scenario() -> None:
+            control, resource, _ = self.create(3, instant=False)
             tasks = [asyncio.ensure_future(resource.handle(self.call(node))) for node in ("s0", "s1", "s0")]
             await settle()
             self.assertFalse(any(task.done() for task in tasks))
             control.depose()
             self.assertEqual([503] * 3, statuses(await asyncio.gather(*tasks)))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
 
-def server_of(control: StagedControl, ident: str) -> ServerRecord:
+def server_of(control: FakeControl, ident: str) -> ServerRecord:
     record = control.state.record(ServerRecord, ident)
     assert record is not None
     return record
 
 
 class ServerTest(Case):
-    def scene(self, *calls: ApiCall) -> StagedControl:
-        """Each call is acknowledged, in this order."""
-        control = StagedControl()
+    def handle_all(self, *calls: ApiCall) -> FakeControl:
+        """Handle the calls in this order and check that each is acknowledged."""
+        control = FakeControl()
 
-        async def scene() -> None:
-            resource = ServerResource(control, StagedHeartbeats(), HEARTBEAT_S)
+        async def scenario() -> None:
+            resource = ServerResource(control, FakeHeartbeats(), HEARTBEAT_S)
             for call in calls:
                 await self.expect(resource, call, 200)
 
-        self.play(scene)
+        self.run_scenario(scenario)
         return control
 
     def test_draining_is_for_good(self) -> None:
-        control = self.scene(heartbeat("a", 1), heartbeat("a", 5, "draining"), heartbeat("a", 6), heartbeat("a", 3))
+        control = self.handle_all(
+            heartbeat("a", 1), heartbeat("a", 5, "draining"), heartbeat("a", 6), heartbeat("a", 3)
+        )
         self.assertEqual(ServerState.DRAINING, server_of(control, "a").state)
 
     def test_late_heartbeats_do_not_bring_it_back(self) -> None:
         for calls in (
             (heartbeat("a", 1), deregistration("a"), heartbeat("a", 2)),
             (heartbeat("a", 1), heartbeat("a", 2, "draining"), deregistration("a"), heartbeat("a", 3, "draining")),
-            (deregistration("a"), heartbeat("a", 2)),  # none of its heartbeats had come
+            (deregistration("a"), heartbeat("a", 2)),  # none of its heartbeats had arrived
             (heartbeat("a", 1), deregistration("a"), heartbeat("b", 1), heartbeat("a", 9), deregistration("a")),
         ):
-            self.assertIsNone(self.scene(*calls).state.record(ServerRecord, "a"))
+            self.assertIsNone(self.handle_all(*calls).state.record(ServerRecord, "a"))
 
     def test_a_late_one_changes_nothing(self) -> None:
-        control = self.scene(heartbeat("a", 4, address="10.0.0.1:80"), heartbeat("a", 2))
+        control = self.handle_all(heartbeat("a", 4, address="10.0.0.1:80"), heartbeat("a", 2))
         self.assertEqual("10.0.0.1:80", server_of(control, "a").address)
 
     def test_versions_only_rise(self) -> None:
-        """A load was noted before the server told of it."""
-        control = self.scene(heartbeat("a", 1, gen=3), heartbeat("a", 2, gen=2), heartbeat("a", 3, "draining", gen=1))
+        """A load was recorded before the server reported it."""
+        control = self.handle_all(
+            heartbeat("a", 1, gen=3), heartbeat("a", 2, gen=2), heartbeat("a", 3, "draining", gen=1)
+        )
         server = server_of(control, "a")
         self.assertEqual(((ModelVersion("m", 3),), ServerState.DRAINING), (server.models, server.state))
 
     def test_the_next_at_an_address_takes_its_place(self) -> None:
-        control = self.scene(heartbeat("a", 1), heartbeat("b", 1), heartbeat("a", 2))
+        control = self.handle_all(heartbeat("a", 1), heartbeat("b", 1), heartbeat("a", 2))
         self.assertEqual(["b"], list(control.state.records(ServerRecord)))
 
     def test_a_late_first_heartbeat_displaces_no_living_server(self) -> None:
-        """Of a server that ended before any of its heartbeats came; the next one is at its address."""
+        """The heartbeat is from a server that ended before any of them arrived, and whose address has been reused."""
 
-        async def scene() -> None:
-            control, heartbeats = StagedControl(), StagedHeartbeats()
+        async def scenario() -> None:
+            control, heartbeats = FakeControl(), FakeHeartbeats()
             resource = ServerResource(control, heartbeats, HEARTBEAT_S)
             await self.expect(resource, heartbeat("b", 1), 200)
             heartbeats.silence_s["b"] = HEARTBEAT_S
@@ -198,11 +202,11 @@
             await self.expect(resource, heartbeat("b", 2, gen=9), 200)
             self.assertEqual((ModelVersion("m", 9),), server_of(control, "b").models)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_the_next_one_is_taken_once_the_former_is_silent(self) -> None:
-        async def scene() -> None:
-            control, heartbeats = StagedControl(), StagedHeartbeats()
+        async def scenario() -> None:
+            control, heartbeats = FakeControl(), FakeHeartbeats()
             resource = ServerResource(control, heartbeats, HEARTBEAT_S)
             await self.expect(resource, heartbeat("a", 1), 200)
             heartbeats.silence_s["a"] = 0.1
@@ -211,17 +215,17 @@
             await self.expect(resource, heartbeat("b", 2), 200)
             self.assertEqual(["b"], list(control.state.records(ServerRecord)))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_nothing_new_writes_nothing(self) -> None:
-        once = self.scene(heartbeat("a", 1))
-        often = self.scene(*(heartbeat("a", n) for n in range(1, 9)))
+        once = self.handle_all(heartbeat("a", 1))
+        often = self.handle_all(*(heartbeat("a", n) for n in range(1, 9)))
         self.assertEqual(once.state.revision, often.state.revision)
 
     def test_a_repeat_waits_for_the_first(self) -> None:
-        async def scene() -> None:
-            control = StagedControl(instant=False)
-            resource = ServerResource(control, StagedHeartbeats(), HEARTBEAT_S)
+        async def scenario() -> None:
+            control = FakeControl(instant=False)
+            resource = ServerResource(control, FakeHeartbeats(), HEARTBEAT_S)
             calls = [
                 heartbeat("a", 1),
                 heartbeat("a", 1),
@@ -235,17 +239,17 @@
             control.depose()
             self.assertEqual([503] * 5, statuses(await asyncio.gather(*tasks)))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_unreadable(self) -> None:
-        async def scene() -> None:
-            control = StagedControl()
-            resource = ServerResource(control, StagedHeartbeats(), HEARTBEAT_S)
+        async def scenario() -> None:
+            control = FakeControl()
+            resource = ServerResource(control, FakeHeartbeats(), HEARTBEAT_S)
             for data in (b"", b"{}", b"[]", b'{"state":"up"}'):
                 await self.expect(resource, ApiCall("PUT", "/servers/a", "", data), 400)
             self.assertEqual(0, control.state.revision)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_control_api_router.py
+++ b/tests/controller/test_control_api_router.py
@@ -1,4 +1,4 @@
-"""controller/api/router.py: answers in time, calls passed on to the primary, heartbeats answered from a copy."""
+"""Tests of controller/api/router.py: time-outs, forwarding to the primary, heartbeats answered from a replica."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from otterreach.runtime.codes import Code
 from otterreach.runtime.store import ReplicatedStore
 from otterreach.sidecar import http1
-from tests.controller.control_api_support import HEARTBEAT_S, Case, StagedControl, StagedHeartbeats, heartbeat, put
+from tests.controller.control_api_support import HEARTBEAT_S, Case, FakeControl, FakeHeartbeats, heartbeat, put
 
 
 class Follower:
@@ -28,7 +28,7 @@
 
 
 class RouterTest(Case):
-    def stage(self, control: StagedControl) -> tuple[ApiRouter, Follower, list[str]]:
+    def create(self, control: FakeControl) -> tuple[ApiRouter, Follower, list[str]]:
         bounds = SimpleNamespace(history_s=20.0)
         values: dict[str, object] = {
             "survive_nodes": 1,
@@ -38,7 +38,7 @@
         }
         values["bounds"] = bounds
         settings: Any = type("Settings", (), values)
-        follower, heartbeats = Follower(control.published), StagedHeartbeats()
+        follower, heartbeats = Follower(control.published), FakeHeartbeats()
         parts: Any = control, follower
         coordination = CoordinationParts(ReceiptTimes(asyncio.get_running_loop().time), WatchHub(), lambda: False)
         api = ApiRouter(settings, parts[0], parts[1], lambda: StoreMembers({}), heartbeats, coordination)
@@ -52,11 +52,11 @@
         return (await api.handle(self.request(call))).status
 
     def test_answered_within_the_callers_second(self) -> None:
-        """Writes stand still: eight orders and a repeat get 503 in time; what was written counts all the same."""
+        """While writes are stalled, eight changes and a retry get 503 in time; the pending write still takes effect."""
 
-        async def scene() -> None:
-            control = StagedControl(instant=False)
-            api, _, _ = self.stage(control)
+        async def scenario() -> None:
+            control = FakeControl(instant=False)
+            api, _, _ = self.create(control)
             began = asyncio.get_running_loop().time()
             calls = [put(0, n + 1, f"op{n}") for n in range(8)]
             found = await asyncio.gather(*(self.status(api, call) for call in (*calls, calls[0])))
@@ -66,13 +66,13 @@
             self.assertEqual(200, await self.status(api, calls[0]))
             self.assertEqual(412, await self.status(api, calls[1]))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_passed_on(self) -> None:
-        async def scene() -> None:
-            control = StagedControl()
+        async def scenario() -> None:
+            control = FakeControl()
             control.is_primary = False
-            api, _, _ = self.stage(control)
+            api, _, _ = self.create(control)
             loop = asyncio.get_running_loop()
             began = loop.time()
             self.assertEqual(503, await self.status(api, put(0, 1)))
@@ -90,7 +90,7 @@
             refused = await control.endpoint.handlers[ApiCall](None, put(0, 1))
             self.assertEqual(Code.NOT_PRIMARY, refused.code)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_large_body_has_more_time(self) -> None:
         small, large = put(0, 1), ApiCall("PUT", "/config", "0", bytes(8_000_000))
@@ -98,26 +98,26 @@
         self.assertGreater(router.answer_within_s(large), 4.0)
 
     def test_heartbeats_are_acknowledged_only_from_a_fresh_copy(self) -> None:
-        async def scene() -> None:
-            control = StagedControl()
-            api, follower, heard = self.stage(control)
+        async def scenario() -> None:
+            control = FakeControl()
+            api, follower, heard = self.create(control)
             self.assertEqual(200, await self.status(api, heartbeat("a", 1)))
-            control.is_primary = False  # from here on this is another controller, with a copy
+            control.is_primary = False  # from here on this is another controller with a replica
             self.assertEqual(200, await self.status(api, heartbeat("a", 2)))
             self.assertEqual(503, await self.status(api, heartbeat("a", 3, "draining")))
             follower.age = router.MAX_STATE_AGE_S + 0.1
             self.assertEqual(503, await self.status(api, heartbeat("a", 4)))
             self.assertEqual(["a"] * 4, heard)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_unknown_paths(self) -> None:
-        async def scene() -> None:
-            api, _, _ = self.stage(StagedControl())
+        async def scenario() -> None:
+            api, _, _ = self.create(FakeControl())
             self.assertEqual(404, await self.status(api, ApiCall("GET", "/what", "", b"")))
             self.assertEqual(404, (await api._decide(ApiCall("GET", "/what", "", b""))).status)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_control_api_schedules.py
+++ b/tests/controller/test_control_api_schedules.py
@@ -1,7 +1,7 @@
-"""Drawn schedules of changes and repeats, writes that reach all copies or don't, and changes of primary.
+"""Property test with random schedules of changes, retries, commits, lost writes and failovers.
 
-Whatever the order: one change at most is accepted on a version, an accepted one is never refused, a refused one is
-never accepted, and what was accepted stays.
+In any order, at most one change is accepted per version, an accepted change is never rejected, a rejected one is never
+accepted, and accepted changes are not lost.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from otterreach.controller.messages import ApiCall
 from otterreach.runtime.configuration import ConfigurationRecord
 from tests import virtual
-from tests.controller.control_api_support import StagedControl, patch, put, settle
+from tests.controller.control_api_support import FakeControl, patch, put, settle
 
 CHANGES = [
     put(0, 2, "a"),
@@ -41,15 +41,15 @@
 
 
 class Schedule:
-    """Plays the steps against the resource of the one primary that there is at a time."""
+    """Runs the steps against the resource of the current primary."""
 
     def __init__(self) -> None:
-        self.control = StagedControl(instant=False)
+        self.control = FakeControl(instant=False)
         self.resource = ConfigurationResource(self.control, self.control.published)
         self.answers: dict[int, list[int]] = defaultdict(list)
         self.tasks: list[asyncio.Task[None]] = []
 
-    async def play(self, steps: list[tuple[str, int]]) -> None:
+    async def run_steps(self, steps: list[tuple[str, int]]) -> None:
         for what, number in steps:
             if what == "send":
                 self._send(number)
@@ -64,7 +64,7 @@
         await asyncio.gather(*self.tasks)
 
     def known_versions(self) -> set[int]:
-        """What an operator may build on: a version that was acknowledged to somebody."""
+        """Return the versions that a change may be based on: those that were acknowledged."""
         return {0} | {RESULTS[n] for n, statuses in self.answers.items() if 200 in statuses}
 
     def _send(self, number: int) -> None:
@@ -86,9 +86,9 @@
     @hypothesis_settings(max_examples=300, deadline=None)
     @given(st.lists(STEPS, max_size=40))
     def test_any_order(self, steps: list[tuple[str, int]]) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             schedule = Schedule()
-            await schedule.play(steps)
+            await schedule.run_steps(steps)
             accepted = self.check(schedule)
             await schedule.send_all_again()
             self.assertEqual(accepted, self.check(schedule))
@@ -96,10 +96,10 @@
             record = schedule.control.published.record(ConfigurationRecord)
             self.assertGreaterEqual(record.version if record else 0, newest)
 
-        virtual.run(scene)
+        virtual.run(scenario)
 
     def check(self, schedule: Schedule) -> set[int]:
-        """The changes that were accepted."""
+        """Return the changes that were accepted."""
         accepted = {number for number, statuses in schedule.answers.items() if 200 in statuses}
         bases = [CHANGES[number].match for number in accepted]
         self.assertEqual(len(bases), len(set(bases)), f"two on one version: {accepted}")
--- a/tests/controller/test_coordination_bounds.py
+++ b/tests/controller/test_coordination_bounds.py
@@ -1,4 +1,4 @@
-"""State has bounds: 429 beyond them, and then nothing has changed; what nobody needs any more is collected."""
+"""Limits of the coordination state: calls beyond them get 429 and change nothing; obsolete records are collected."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 FULL_BYTES = 1700
 RESERVED_BYTES = 200
 HISTORY_S = 3.0
-COLLECTED_WITHIN_S = 2.0  # once it may be collected
-KEPT_S = HISTORY_S + 10.0  # events stay for so long, and no longer once others take their place
+COLLECTED_WITHIN_S = 2.0  # from the end of the retention period
+KEPT_S = HISTORY_S + 10.0  # retention of events; later puts may overwrite them after that
 
 
 class BoundsTest(unittest.TestCase):
@@ -26,7 +26,7 @@
         self.assertEqual((429, LIMIT), (answer.status, answer.body.get("code")))
 
     def test_beyond_the_number_of_names_new_ones_get_429_and_the_others_go_on(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             for number in range(3):
                 box = cluster.boxes[number]
@@ -48,10 +48,10 @@
             mock.patch.object(coordination_answers, "MAX_NAMES", 3),
             mock.patch.object(keys, "MAX_NAMES", 3),
         ):
-            Cluster().play(scene)
+            Cluster().play(scenario)
 
     def test_beyond_the_events_that_a_group_may_keep_a_put_gets_429_until_they_are_old(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             for number in range(1, 6):
                 self.assertEqual({"rev": number}, (await calls.put(cluster.boxes[0], "g1.a", f"v{number}", None)).body)
@@ -62,10 +62,10 @@
             self.assertEqual({"rev": 6}, (await calls.put(cluster.boxes[1], "g1.a", "v6", None)).body)
 
         with mock.patch.object(keys, "MAX_GROUP_EVENTS", 5):
-            Cluster(slas={"historyS": HISTORY_S}).play(scene)
+            Cluster(slas={"historyS": HISTORY_S}).play(scenario)
 
     def test_beyond_the_bytes_of_a_groups_events_a_put_gets_429_until_they_are_old(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             value = "x" * 1000
             answers = [await calls.put(cluster.boxes[0], "g1.a", f"{value}{n}", None) for n in range(6)]
@@ -75,11 +75,11 @@
             self.assertEqual([200] * 5, [answer.status for answer in answers])
 
         with mock.patch.object(keys, "MAX_GROUP_BYTES", 5000):
-            Cluster(slas={"historyS": HISTORY_S}).play(scene)
+            Cluster(slas={"historyS": HISTORY_S}).play(scenario)
 
-    # Guards against SHORT: once the state was full of events, every put is refused for good, however old they are.
+    # Guards against a state that is full of expired events and rejects every put for good.
     def test_a_state_that_was_full_of_events_takes_puts_again_once_they_are_old(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             rounds = []
             last = 0
@@ -101,11 +101,11 @@
             mock.patch.object(keys, "MAX_STATE_BYTES", 50_000),
             mock.patch.object(event_collection, "COLLECTION_THRESHOLD_BYTES", 0),
         ):
-            Cluster(slas={"historyS": HISTORY_S}).play(scene)
+            Cluster(slas={"historyS": HISTORY_S}).play(scenario)
 
-    # Guards against a state that outgrows the disk: locks and numbers count as well as keys.
+    # Guards against a state that outgrows the disk: locks and numbers count towards the limit as well as keys.
     def test_a_full_state_takes_no_new_locks_and_numbers(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             self.assertEqual(200, (await calls.acquire(cluster.boxes[0], "l1", "a1")).status)
             self.assertEqual(200, (await calls.number(cluster.boxes[0], "n1")).status)
@@ -123,10 +123,10 @@
                 self.assertEqual(200, (await calls.acquire(cluster.boxes[1], "l1", "a1")).status)
                 self.assertEqual({"value": 2}, (await calls.number(cluster.boxes[1], "n1")).body)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
     def test_beyond_the_watches_that_may_wait_others_get_429(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await calls.put(cluster.boxes[0], "g1.a", "v1", 0)
             waiting = [asyncio.ensure_future(calls.watch(box, "g1", 1, 2000)) for box in cluster.boxes[:3]]
@@ -141,11 +141,11 @@
             self.assertEqual({"events": [], "rev": 2}, again.body)
 
         with mock.patch.object(WatchHub.__init__, "__defaults__", (3,)):
-            Cluster().play(scene)
+            Cluster().play(scenario)
 
-    # Guards against watches whose callers have left, and that count against the bound for good.
+    # Guards against abandoned watches that count towards the limit for good.
     def test_a_watch_whose_caller_has_left_counts_until_its_time_is_over(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await calls.put(cluster.boxes[0], "g1.a", "v1", 0)
             for box in cluster.boxes[:3]:
@@ -155,13 +155,13 @@
             self.assertEqual(200, (await calls.watch(cluster.boxes[3], "g1", 1, 500)).status)
 
         with mock.patch.object(WatchHub.__init__, "__defaults__", (3,)):
-            Cluster().play(scene)
+            Cluster().play(scenario)
 
 
 class CollectionTest(unittest.TestCase):
-    # Guards against ONE: a token is given again after the record of the lock was collected.
+    # Guards against reuse of a fencing token after the record of the lock was collected.
     def test_records_of_ended_holds_are_collected_and_tokens_still_rise(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             ended = (await calls.acquire(cluster.boxes[0], "ended", "a1", 500)).body["fence"]
             long_ms = 1000 * int(lock_collection.KEPT_S + COLLECTED_WITHIN_S + 60)
@@ -178,11 +178,11 @@
             self.assertEqual(200, (await calls.renew(cluster.boxes[1], "held", "a1", held)).status)
             self.assertGreater((await calls.acquire(cluster.boxes[1], "ended", "a2")).body["fence"], held)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against ONE: tokens begin again once also the tombstones of locks are gone, and all power with them.
+    # Guards against tokens that restart after the tombstones of locks were collected and all controllers lost power.
     def test_tokens_rise_after_the_tombstones_of_locks_are_collected(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             fence = 0
             for _ in range(5):
@@ -196,7 +196,7 @@
                 box.power_on()
             self.assertGreater((await calls.repeat(calls.acquire, "l1", "a2")).body["fence"], fence)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_cut.py
+++ b/tests/controller/test_coordination_cut.py
@@ -1,4 +1,4 @@
-"""A primary that is cut off from the other controllers, while callers reach both sides of the cut."""
+"""Network partitions that isolate the primary from the other controllers, while callers reach both sides."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from tests.controller.coordination_support import NO_ANSWER, Coordination
 
 FAILOVER_S = 3.0
-PROMPT_S = 1.0  # a caller turns to another controller after this much silence
+PROMPT_S = 1.0  # time-out after which a caller turns to another controller
 NOT_TAKEN = (409, 429, 503)
 
 
 class CutTest(unittest.TestCase):
-    # Guards against ONE, ORDER and STALE: a primary that is cut off goes on answering beside the next one.
+    # Guards against split brain: an isolated primary goes on answering after the next one has been elected.
     def test_a_cut_primary_accepts_no_call_and_answers_no_read(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             old = cluster.primary
             fence = (await calls.acquire(old, "l1", "a1", 1000)).body["fence"]
@@ -45,14 +45,14 @@
             later = await calls.repeat(calls.number, "n1")
             self.assertGreater(later.body["value"], number)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against ONE, and against 503 as a false promise: a renewal under way when its primary is cut off.
+    # Guards against two holders, and against a 503 for a renewal that took effect: the primary is isolated during it.
     def test_a_renewal_under_way_at_the_cut_is_in_force_or_not_as_its_answer_says(self) -> None:
         for delay_s in (0.0, 0.0005, 0.001, 0.002, 0.003, 0.004, 0.006):
             with self.subTest(delay_s=delay_s):
 
-                async def scene(cluster: Cluster, delay_s: float = delay_s) -> None:
+                async def scenario(cluster: Cluster, delay_s: float = delay_s) -> None:
                     calls = Coordination(cluster)
                     old = cluster.primary
                     fence = (await calls.acquire(old, "l1", "a1", 1500)).body["fence"]
@@ -71,11 +71,11 @@
                     elif renewed.status in NOT_TAKEN:
                         self.assertLess(held_s, FAILOVER_S)
 
-                Cluster().play(scene)
+                Cluster().play(scenario)
 
-    # Guards against LOST and SHORT: a watch goes on waiting at a primary that learns of no further puts.
+    # Guards against a watch that goes on waiting on a primary that is not notified of further puts.
     def test_a_watch_that_waits_at_a_primary_is_answered_503_once_that_is_cut_off(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             old = cluster.primary
             await calls.put(old, "g1.a", "v1", 0)
@@ -87,11 +87,11 @@
             self.assertEqual(503, answer.status)
             self.assertLess(cluster.world.now - cut_at, PROMPT_S)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against LOST and SHORT: the same at a controller that is on the primary's side of the cut.
+    # Guards against the same on a controller that is on the primary's side of the partition.
     def test_a_watch_that_waits_beside_a_cut_primary_is_answered_503(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             old = cluster.primary
             await calls.put(old, "g1.a", "v1", 0)
@@ -104,14 +104,14 @@
             self.assertEqual(503, answer.status)
             self.assertLess(cluster.world.now - cut_at, PROMPT_S)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against 503 as a false promise: a put under way at the cut is refused and shows up later.
+    # Guards against a 503 for a put in flight at the partition that becomes visible later.
     def test_a_put_under_way_at_the_cut_is_not_refused_and_then_shown(self) -> None:
         for delay_s in (0.0, 0.0005, 0.001, 0.002, 0.003, 0.004, 0.006):
             with self.subTest(delay_s=delay_s):
 
-                async def scene(cluster: Cluster, delay_s: float = delay_s) -> None:
+                async def scenario(cluster: Cluster, delay_s: float = delay_s) -> None:
                     calls = Coordination(cluster)
                     old = cluster.primary
                     putting = asyncio.ensure_future(calls.put(old, "g1.a", "v1", 0))
@@ -129,7 +129,7 @@
                     if answer.status == 503:
                         self.assertEqual(404, read.status)
 
-                Cluster().play(scene)
+                Cluster().play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_epoch_end.py
+++ b/tests/controller/test_coordination_epoch_end.py
@@ -1,4 +1,4 @@
-"""The revisions of an epoch are counted: near the end of the count the primary begins a new epoch."""
+"""The number of revisions per epoch is limited: the primary begins a new epoch before it is exhausted."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class EpochEndTest(unittest.TestCase):
-    # Guards against SHORT: writes are refused for good once an epoch has no revisions left.
+    # Guards against writes that are rejected for good once an epoch has no revisions left.
     def test_calls_are_served_through_the_end_of_the_count(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             fence = (await calls.acquire(cluster.boxes[0], "l1", "a1", 60_000)).body["fence"]
             await calls.put(cluster.boxes[0], "g1.a", "v0", 0)
@@ -39,11 +39,11 @@
             self.assertEqual(200, (await calls.renew(cluster.boxes[2], "l1", "a1", fence)).status)
             self.assertEqual(31, (await waiting).body["rev"])
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against revisions that leave their epoch, and against writes that get a false promise at the very end.
+    # Guards against revisions beyond their epoch, and against wrong answers to writes at the very end of the count.
     def test_at_the_very_end_a_write_is_refused_until_the_new_epoch_and_nothing_is_lost(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await calls.put(cluster.boxes[0], "g1.a", "v1", 0)
             control = cluster.control(cluster.primary)
@@ -60,7 +60,7 @@
             self.assertLess(cluster.world.now - began, PROMPT_S)
             self.assertEqual(11, (await calls.repeat(calls.watch, "g1", 0)).body["rev"])
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_failover.py
+++ b/tests/controller/test_coordination_failover.py
@@ -1,4 +1,4 @@
-"""What was acknowledged to callers of coordination holds on when the primary dies and another controller leads."""
+"""Failover of the primary: acknowledged locks, numbers and keys stay valid."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from tests.controller.controller_world import Cluster
 from tests.controller.coordination_support import Coordination
 
-FREE_S = 1.5  # `freeMs` of the deployments: from the end of a hold, or from the moment when the core is stable again
+FREE_S = 1.5  # `freeMs` of the deployments: limit from the end of a hold, or from when the core is stable again
 FAILOVER_S = 3.0
 RETRY_S = 0.03
 
 
 async def fail_over(cluster: Cluster) -> Box:
-    """Cut the power of the primary for good; the next primary."""
+    """Power off the primary for good, and return the next one."""
     lost = cluster.primary
     lost.power_off()
     await cluster.until(cluster.primaries, FAILOVER_S, "another primary")
@@ -23,7 +23,7 @@
 
 
 async def owner_changes_at(cluster: Cluster, calls: Coordination, lock: str, owner: str) -> tuple[float, int]:
-    """When a call for the lock by this owner was granted, and its token; all that run are asked, in turn."""
+    """Ask the running controllers in turn for the lock; return the time at which it was granted and the token."""
     turn = 0
     while True:
         running = [box for box in cluster.boxes if box.up]
@@ -35,12 +35,12 @@
 
 
 class LockFailoverTest(unittest.TestCase):
-    # Guards against ONE: the next primary ends a hold before its holder counts it as ended, or long after.
+    # Guards against a new primary that ends a hold before it has expired for its holder, or long after.
     def test_a_hold_ends_after_its_time_and_not_long_after_it(self) -> None:
         for hold_ms, wait_s in ((2000, 0.0), (4000, 1.0), (6000, 5.0)):
             with self.subTest(hold_ms=hold_ms, wait_s=wait_s):
 
-                async def scene(cluster: Cluster, hold_ms: int = hold_ms, wait_s: float = wait_s) -> None:
+                async def scenario(cluster: Cluster, hold_ms: int = hold_ms, wait_s: float = wait_s) -> None:
                     calls = Coordination(cluster)
                     sent_at = cluster.world.now
                     fence = (await calls.acquire(cluster.boxes[0], "l1", "a1", hold_ms)).body["fence"]
@@ -52,11 +52,11 @@
                     self.assertGreater(granted_at, sent_at + hold_ms / 1000)
                     self.assertLess(granted_at, max(sent_at + hold_ms / 1000, stable_at) + FREE_S)
 
-                Cluster().play(scene)
+                Cluster().play(scenario)
 
-    # Guards against SHORT: 409 long after the hold's end, at a primary that got the state only after the call.
+    # Guards against 409 long after a hold's expiry from a primary that received the state only after the call.
     def test_a_hold_ends_in_time_also_after_two_changes_of_primary(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             sent_at = cluster.world.now
             await calls.acquire(cluster.boxes[0], "l1", "a1", 10_000)
@@ -68,11 +68,11 @@
             self.assertGreater(granted_at, sent_at + 10.0)
             self.assertLess(granted_at, sent_at + 10.0 + FREE_S)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against SHORT: 409 long after the hold's end, at a primary whose process was started after the call.
+    # Guards against 409 long after a hold's expiry from a primary whose process was started after the call.
     def test_a_hold_ends_in_time_also_where_the_next_primary_was_restarted_since(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             sent_at = cluster.world.now
             await calls.acquire(cluster.boxes[0], "l1", "a1", 10_000)
@@ -86,14 +86,14 @@
             self.assertGreater(granted_at, sent_at + 10.0)
             self.assertLess(granted_at, sent_at + 10.0 + FREE_S)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against SHORT: 409 long after the hold's end, at a primary that was killed and leads again.
+    # Guards against 409 long after a hold's expiry from a primary that was killed and became primary again.
     def test_a_hold_ends_in_time_also_where_the_primary_was_restarted(self) -> None:
         for down_s in (0.0, 0.3, 0.5):
             with self.subTest(down_s=down_s):
 
-                async def scene(cluster: Cluster, down_s: float = down_s) -> None:
+                async def scenario(cluster: Cluster, down_s: float = down_s) -> None:
                     calls = Coordination(cluster)
                     sent_at = cluster.world.now
                     await calls.acquire(cluster.boxes[0], "l1", "a1", 10_000)
@@ -107,11 +107,11 @@
                     self.assertGreater(granted_at, sent_at + 10.0)
                     self.assertLess(granted_at, sent_at + 10.0 + FREE_S)
 
-                Cluster().play(scene)
+                Cluster().play(scenario)
 
-    # Guards against ONE: a renewal that the old primary accepted is not known to the next one.
+    # Guards against two holders: a renewal accepted by the old primary is unknown to the next one.
     def test_a_renewal_counts_at_the_next_primary(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             fence = (await calls.acquire(cluster.boxes[0], "l1", "a1", 2500)).body["fence"]
             await asyncio.sleep(2.0)
@@ -122,11 +122,11 @@
             self.assertGreater(granted_at, renewed_at + 2.5)
             self.assertLess(granted_at, renewed_at + 2.5 + FREE_S)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against SHORT: the holder loses its lock, though it renews in time, because another controller leads.
+    # Guards against a holder that loses its lock at a failover although it renews in time.
     def test_the_holder_renews_and_releases_at_the_next_primary(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             fence = (await calls.acquire(cluster.boxes[0], "l1", "a1", 5000)).body["fence"]
             box = await fail_over(cluster)
@@ -136,11 +136,11 @@
             self.assertEqual(200, (await calls.release(box, "l1", "a1", fence)).status)
             self.assertEqual(200, (await calls.acquire(box, "l1", "a2")).status)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against ONE: a token is given again after the lock that had it was released, or its hold ran out.
+    # Guards against reuse of a fencing token after its lock was released or its hold expired.
     def test_tokens_rise_across_changes_of_primary_over_released_and_expired_holds(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             fences = []
             for owner in ("a1", "a2", "a3"):
@@ -153,13 +153,13 @@
                     await asyncio.sleep(4.0)
             self.assertEqual(sorted(set(fences)), fences)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 class NumberFailoverTest(unittest.TestCase):
-    # Guards against ORDER: the next primary gives a number again, or a lower one.
+    # Guards against a new primary that returns a number again, or a lower one.
     def test_numbers_rise_across_changes_of_primary(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             values: list[int] = []
             for _ in range(3):
@@ -172,16 +172,16 @@
             self.assertEqual(sorted(set(values)), values)
             self.assertEqual(12, len(values))
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 class KeyFailoverTest(unittest.TestCase):
-    # Guards against MIXED: a put that is sent again at another primary gets a second revision, or 412.
+    # Guards against a put that is retried on another primary and gets a second revision, or 412.
     def test_a_repeated_put_gets_its_first_revision_at_the_next_primary(self) -> None:
         for expect in (0, None):
             with self.subTest(expect=expect):
 
-                async def scene(cluster: Cluster, expect: int | None = expect) -> None:
+                async def scenario(cluster: Cluster, expect: int | None = expect) -> None:
                     calls = Coordination(cluster)
                     first = await calls.put(cluster.boxes[0], "g1.a", "v1", expect)
                     await calls.put(cluster.boxes[1], "g1.a", "v2", first.body["rev"])
@@ -192,11 +192,11 @@
                     read = await calls.repeat(calls.read, "g1.a")
                     self.assertEqual({"value": "v2", "rev": 2}, read.body)
 
-                Cluster().play(scene)
+                Cluster().play(scenario)
 
-    # Guards against ORDER: the next primary gives a group's revision twice, or a put succeeds over a later one.
+    # Guards against a new primary that assigns a group's revision twice, or accepts a put over a later one.
     def test_a_groups_count_goes_on_at_the_next_primary(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             for number in range(1, 4):
                 answer = await calls.put(cluster.boxes[0], f"g1.{number}", f"v{number}", 0)
@@ -207,7 +207,7 @@
             next_put = await calls.repeat(calls.put, "g1.1", "v5", 1)
             self.assertEqual((200, {"rev": 4}), (next_put.status, next_put.body))
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_frozen.py
+++ b/tests/controller/test_coordination_frozen.py
@@ -1,4 +1,4 @@
-"""Controllers that stand still for a while, and go on as if nothing had been."""
+"""Controllers whose processes are frozen for a while and then continue."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     ("POST", "/numbers/n1", {}),
     ("PUT", "/cells/g1.late", {"value": "late", "expect": 0}),
 )
-COPIES = 5  # of each late call: on connections of their own
+COPIES = 5  # of each late call, on separate connections
 
 
 class FrozenPrimaryTest(unittest.TestCase):
-    # Guards against ONE, ORDER and STALE: a primary that thaws answers as one, beside the next.
+    # Guards against split brain: a primary that thaws goes on answering after the next one has been elected.
     def test_a_primary_that_thaws_accepts_nothing_beside_the_next(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             old = cluster.primary
             fence = (await calls.acquire(old, "l1", "a1", 1000)).body["fence"]
@@ -57,15 +57,15 @@
             self.assertGreater((await calls.number(new, "n1")).body["value"], value)
             self.assertEqual({"value": "v2", "rev": 2}, (await calls.read(new, "g1.a")).body)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against ONE: a call under way when its primary freezes is accepted on both sides, or refused and in force.
+    # Guards against a call in flight at the freeze that both primaries accept, or that is rejected and takes effect.
     def test_calls_under_way_at_the_freeze_are_in_force_or_not_as_their_answers_say(self) -> None:
         for late in (False, True):
             for delay_s in (0.0, 0.0005, 0.001, 0.0015, 0.002, 0.003, 0.004):
                 with self.subTest(delay_s=delay_s, late=late):
 
-                    async def scene(cluster: Cluster, delay_s: float = delay_s, late: bool = late) -> None:
+                    async def scenario(cluster: Cluster, delay_s: float = delay_s, late: bool = late) -> None:
                         calls = Coordination(cluster)
                         old = cluster.primary
                         putting = asyncio.ensure_future(calls.put(old, "g1.a", "v1", 0))
@@ -87,11 +87,11 @@
                         if acquired.status == 503:
                             self.assertEqual(200, other.status)
 
-                    Cluster().play(scene)
+                    Cluster().play(scenario)
 
-    # Guards against ONE: a primary that stood still takes a hold for younger than it is, or grants it twice.
+    # Guards against a frozen primary that underestimates the age of a hold, or grants it twice.
     def test_a_hold_runs_on_while_all_controllers_stand_still(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             sent_at = cluster.world.now
             fence = (await calls.acquire(cluster.boxes[0], "l1", "a1", 3000)).body["fence"]
@@ -106,17 +106,17 @@
             self.assertGreater(cluster.world.now - sent_at, 3.0)
             self.assertGreater(other.body["fence"], fence)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 class LateCallsTest(unittest.TestCase):
-    # Guards against calls that their callers have given up, and that take effect seconds later: a hold nobody wants.
+    # Guards against calls that take effect seconds after their callers timed out, such as a hold without a holder.
     def test_calls_that_came_while_a_controller_stood_still_are_refused_and_change_nothing(self) -> None:
-        for seed in range(1, 5):  # each with another order of what comes first after the thaw
+        for seed in range(1, 5):  # each with another order of events after the thaw
             for of_primary in (False, True):
                 with self.subTest(of_primary=of_primary, seed=seed):
 
-                    async def scene(cluster: Cluster, of_primary: bool = of_primary) -> None:
+                    async def scenario(cluster: Cluster, of_primary: bool = of_primary) -> None:
                         calls = Coordination(cluster)
                         first = (await calls.number(cluster.boxes[0], "n1")).body["value"]
                         box = cluster.primary if of_primary else cluster.others(cluster.primary)[0]
@@ -136,11 +136,11 @@
                         second = (await calls.repeat(calls.number, "n1")).body["value"]
                         self.assertEqual(first + 1, second)
 
-                    Cluster(seed=seed).play(scene)
+                    Cluster(seed=seed).play(scenario)
 
-    # Guards against the same where the controller had passed the call on, and its primary stood still.
+    # Guards against the same for calls that the controller had forwarded to a frozen primary.
     def test_calls_forwarded_to_a_primary_that_stands_still_end_without_a_clear_answer(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             old = cluster.primary
             box = cluster.others(old)[0]
@@ -156,11 +156,11 @@
             self.assertEqual(200, (await calls.acquire(new, "l1", "a2")).status)
             self.assertEqual(404, (await calls.read(new, "g1.late")).status)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against SHORT: a controller goes on refusing calls after it has thawed.
+    # Guards against a controller that goes on rejecting calls after it has thawed.
     def test_a_controller_serves_again_soon_after_it_thawed(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             box = cluster.others(cluster.primary)[0]
             box.freeze()
@@ -169,7 +169,7 @@
             await asyncio.sleep(0.5)
             self.assertEqual(200, (await calls.acquire(box, "l1", "a1")).status)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_keys.py
+++ b/tests/controller/test_coordination_keys.py
@@ -1,4 +1,4 @@
-"""Keys in calm times: compare-and-put, what 412 names, and puts that are sent again."""
+"""Keys without faults: compare-and-put, the revision in 412, and retried puts."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from tests.controller.coordination_support import Coordination
 
 HISTORY_S = 3.0
-KEPT_S = HISTORY_S + 10.0  # events stay for so long, and no longer once others take their place
+KEPT_S = HISTORY_S + 10.0  # retention of events; later puts may overwrite them after that
 
 
 class KeysTest(unittest.TestCase):
-    # Guards against ORDER: a put with `expect` succeeds over a later revision.
+    # Guards against lost updates: a put with `expect` succeeds over a later revision.
     def test_a_put_on_another_revision_gets_412_with_the_keys_revision_and_changes_nothing(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await calls.put(cluster.boxes[0], "g1.other", "v0", 0)
             self.assertEqual({"rev": 2}, (await calls.put(cluster.boxes[0], "g1.a", "v1", 0)).body)
@@ -28,10 +28,10 @@
             self.assertEqual({"value": "v1", "rev": 2}, (await calls.read(cluster.boxes[2], "g1.a")).body)
             self.assertEqual(2, (await calls.watch(cluster.boxes[3], "g1", 0)).body["rev"])
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
     def test_of_puts_on_one_revision_at_the_same_moment_one_succeeds(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             for expect in range(5):
                 puts = [calls.put(box, "g1.a", f"{expect} {box.name}", expect) for box in cluster.boxes]
@@ -39,14 +39,14 @@
                 self.assertEqual([200, 412, 412, 412, 412], sorted(answer.status for answer in answers))
                 self.assertEqual({expect + 1}, {answer.body["rev"] for answer in answers})
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against MIXED: a put that arrives again gets a second revision, or 412.
+    # Guards against a retried put that gets a second revision, or 412.
     def test_a_repeated_put_gets_its_first_revision_though_others_came_since(self) -> None:
         for expect in (0, None):
             with self.subTest(expect=expect):
 
-                async def scene(cluster: Cluster, expect: int | None = expect) -> None:
+                async def scenario(cluster: Cluster, expect: int | None = expect) -> None:
                     calls = Coordination(cluster)
                     first = await calls.put(cluster.boxes[0], "g1.a", "v1", expect)
                     for number in range(2, 8):
@@ -57,22 +57,22 @@
                     self.assertEqual({"value": "v7", "rev": 7}, (await calls.read(cluster.boxes[0], "g1.a")).body)
                     self.assertEqual(7, (await calls.watch(cluster.boxes[0], "g1", 0)).body["rev"])
 
-                Cluster().play(scene)
+                Cluster().play(scenario)
 
     def test_two_copies_of_a_put_at_the_same_moment_have_one_revision(self) -> None:
         for expect in (0, None):
             with self.subTest(expect=expect):
 
-                async def scene(cluster: Cluster, expect: int | None = expect) -> None:
+                async def scenario(cluster: Cluster, expect: int | None = expect) -> None:
                     calls = Coordination(cluster)
                     answers = await asyncio.gather(*(calls.put(box, "g1.a", "v1", expect) for box in cluster.boxes))
                     self.assertEqual([(200, {"rev": 1})] * 5, [(each.status, each.body) for each in answers])
 
-                Cluster().play(scene)
+                Cluster().play(scenario)
 
-    # Guards against MIXED: the newest put of a key is forgotten with the history of its group.
+    # Guards against the newest put of a key being forgotten with the history of its group.
     def test_the_newest_put_of_a_key_is_recognised_long_after_its_event_is_gone(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             first = await calls.put(cluster.boxes[0], "g1.a", "v1", 0)
             for number in range(6):
@@ -82,10 +82,10 @@
             again = await calls.put(cluster.boxes[1], "g1.a", "v1", 0)
             self.assertEqual((200, first.body), (again.status, again.body))
 
-        Cluster(slas={"historyS": HISTORY_S}).play(scene)
+        Cluster(slas={"historyS": HISTORY_S}).play(scenario)
 
     def test_a_key_without_a_dot_is_a_group_of_its_own(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             for key in ("g1", "g1.a", "g1.a.b"):
                 await calls.put(cluster.boxes[0], key, f"value of {key}", 0)
@@ -93,10 +93,10 @@
             self.assertEqual(1, (await calls.read(cluster.boxes[0], "g1.a")).body["rev"])
             self.assertEqual(2, (await calls.read(cluster.boxes[0], "g1.a.b")).body["rev"])
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
     def test_values_come_back_as_they_were_put(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             for number, value in enumerate(("", " ", "é\u2028\U0001f9a6", '"\\\x00\n', "x" * 65_536), start=1):
                 put = await calls.put(cluster.boxes[number % 5], f"g1.{number}", value, 0)
@@ -107,7 +107,7 @@
                 if number > 1:
                     self.assertEqual(value, watch.body["events"][0]["value"])
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_locks.py
+++ b/tests/controller/test_coordination_locks.py
@@ -1,4 +1,4 @@
-"""Locks in calm times: who gets them, which calls a fencing token stands for, and when they are free again."""
+"""Locks without faults: mutual exclusion, fencing tokens, renewal, release and expiry."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from tests.controller.controller_world import Cluster
 from tests.controller.coordination_support import Coordination
 
-FREE_S = 1.5  # `freeMs` of the deployments: a lock is free again so long after the end of its hold at the latest
+FREE_S = 1.5  # `freeMs` of the deployments: limit for a lock to become free after the end of its hold
 MARGIN_S = 0.1
 
 
 class LocksTest(unittest.TestCase):
-    # Guards against ONE: two owners hold one lock at the same moment.
+    # Guards against two owners that hold one lock at the same time.
     def test_another_owner_gets_409_while_the_lock_is_held_and_a_higher_token_soon_after(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             sent_at = cluster.world.now
             first = await calls.acquire(cluster.boxes[0], "l1", "a1", 2000)
@@ -29,11 +29,11 @@
             self.assertGreater(cluster.world.now - other.took_s, sent_at + 2.0)
             self.assertLess(cluster.world.now, sent_at + 2.0 + FREE_S)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against ONE: the hold counts from an earlier call than the last renewal.
+    # Guards against a hold whose duration counts from an earlier call than the last renewal.
     def test_a_renewed_lock_is_held_from_its_last_renewal(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             fence = (await calls.acquire(cluster.boxes[0], "l1", "a1", 1000)).body["fence"]
             for turn in range(5):
@@ -45,11 +45,11 @@
                 self.assertEqual(409, (await calls.acquire(cluster.boxes[1], "l1", "a2")).status)
                 await asyncio.sleep(0.02)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against ONE: the holder that asks again gets a lower token, or its lock goes to another owner meanwhile.
+    # Guards against a holder that acquires again and gets a lower token, or loses the lock to another owner.
     def test_the_holder_that_asks_again_gets_a_token_that_is_not_lower_and_more_time(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             first = await calls.acquire(cluster.boxes[0], "l1", "a1", 1000)
             await asyncio.sleep(0.8)
@@ -59,22 +59,22 @@
             await asyncio.sleep(0.8)
             self.assertEqual(409, (await calls.acquire(cluster.boxes[2], "l1", "a2")).status)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against SHORT: the call that was answered with the older token can't be renewed, and its time is lost.
+    # Guards against a hold that can't be renewed with the older of its tokens.
     def test_each_token_of_one_hold_renews_it(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             first = (await calls.acquire(cluster.boxes[0], "l1", "a1")).body["fence"]
             second = (await calls.acquire(cluster.boxes[0], "l1", "a1")).body["fence"]
             for fence in (first, second):
                 self.assertEqual(200, (await calls.renew(cluster.boxes[1], "l1", "a1", fence)).status)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against ONE: a renewal of a hold that has ended extends, or takes, another one.
+    # Guards against a renewal of an ended hold that extends, or takes over, another one.
     def test_a_renewal_with_a_token_of_an_earlier_hold_gets_409(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             box = cluster.boxes[0]
             earlier = (await calls.acquire(box, "l1", "a1")).body["fence"]
@@ -88,11 +88,11 @@
             self.assertEqual(200, (await calls.acquire(box, "l1", "a2")).status)
             self.assertEqual(409, (await calls.renew(box, "l1", "a1", later)).status, "another holds it")
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against ONE: a release that arrives late frees a later hold of the same owner, or of another one.
+    # Guards against a delayed release that frees a later hold of the same or another owner.
     def test_a_late_release_of_an_earlier_hold_frees_nothing(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             box = cluster.boxes[0]
             earlier = (await calls.acquire(box, "l1", "a1")).body["fence"]
@@ -102,11 +102,11 @@
                 self.assertEqual(200, (await calls.release(box, "l1", owner, fence)).status)
                 self.assertEqual(409, (await calls.acquire(box, "l1", "a3")).status)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against ONE: a release sent before its owner asked again ends the lock that the owner has got since.
+    # Guards against a release that was sent before its owner acquired the lock again, and ends the new hold.
     def test_a_late_release_with_a_token_before_the_holder_asked_again_frees_nothing(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             box = cluster.boxes[0]
             first = (await calls.acquire(box, "l1", "a1")).body["fence"]
@@ -115,10 +115,10 @@
             self.assertEqual(200, (await calls.release(box, "l1", "a1", first)).status)
             self.assertEqual(409, (await calls.acquire(box, "l1", "a2")).status)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
     def test_a_release_is_answered_200_whether_or_not_the_lock_is_held(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             for turn, box in enumerate(cluster.boxes):
                 self.assertEqual(200, (await calls.release(box, f"unknown{turn}", "a1", 7)).status)
@@ -126,10 +126,10 @@
                 self.assertEqual(200, (await calls.release(box, "l1", "a1", fence)).status)
                 self.assertEqual(200, (await calls.release(box, "l1", "a1", fence)).status)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
     def test_a_released_lock_is_free_at_once(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             fence = (await calls.acquire(cluster.boxes[0], "l1", "a1", 60_000)).body["fence"]
             await calls.release(cluster.boxes[1], "l1", "a1", fence)
@@ -137,11 +137,11 @@
             self.assertEqual(200, other.status)
             self.assertGreater(other.body["fence"], fence)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against SHORT: a caller with a short hold, who had a long one before, is taken to hold the lock for long.
+    # Guards against a short renewal that extends the expiry of a longer hold.
     def test_a_short_renewal_does_not_make_a_long_hold_longer_than_it_was(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             box = cluster.boxes[0]
             began = cluster.world.now
@@ -154,7 +154,7 @@
             self.assertGreater(cluster.world.now, began + 4.0, "the answer to the renewal may have been lost")
             self.assertLess(cluster.world.now, began + 4.0 + FREE_S)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_lost.py
+++ b/tests/controller/test_coordination_lost.py
@@ -1,4 +1,4 @@
-"""What was acknowledged to callers of coordination is still there after the worst that may end a day."""
+"""Acknowledged locks, numbers, keys and watches survive a loss of power on all controllers."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from tests.controller.controller_world import Cluster
 from tests.controller.coordination_support import Coordination
 
-ANSWERED_WITHIN_S = 3.0  # at the end of a day each call is repeated for at least as long
+ANSWERED_WITHIN_S = 3.0  # minimum time for which each call is retried at the end of a simulated day
 
 
 class LostTest(unittest.TestCase):
-    # Guards against LOST: at the end of a day no answer came in time, or it lagged behind what was acknowledged.
+    # Guards against answers that are late, or older than what was acknowledged.
     def test_acknowledged_keys_numbers_locks_and_watches_are_answered_after_all_controllers_lost_power(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             box = cluster.primary
             held = await calls.acquire(box, "held", "a3.7", 10_000)
@@ -52,7 +52,7 @@
             self.assertEqual(409, other.status, "its holder still counts itself as such")
             self.assertEqual(200, renewed.status, "its holder still counts itself as such")
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_planted.py
+++ b/tests/controller/test_coordination_planted.py
@@ -1,6 +1,6 @@
-"""Planted faults: with each of them in the code, the test named beside it fails.
+"""Mutation tests: each planted fault makes the test that is named with it fail.
 
-The tests are on the wire, so each of these faults would be seen by callers.
+The named tests use the HTTP interface, so callers would observe each of these faults.
 """
 
 from __future__ import annotations
--- a/tests/controller/test_coordination_power.py
+++ b/tests/controller/test_coordination_power.py
@@ -1,4 +1,4 @@
-"""Coordination after a loss of all power, and after machines were wiped and replaced."""
+"""Coordination after a power loss on all controllers, and after machines were wiped and replaced."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 START_S = 3.0
 FREE_S = 1.5  # `freeMs` of the deployments
-SYNC_S = 4.5  # after a loss the full strength is there again
+SYNC_S = 4.5  # limit for full replication after a loss
 
 
 async def lose_all_power(cluster: Cluster, wiped: tuple[Box, ...] = (), down_s: float = 0.5) -> None:
-    """All controllers lose their power at one moment; some of them their disks, too, and those don't come back."""
+    """Power off all controllers at once. Those in `wiped` lose their disks and are not started again."""
     for box in cluster.boxes:
         box.power_off(wipe=box in wiped)
     await asyncio.sleep(down_s)
@@ -25,12 +25,12 @@
 
 
 class PowerTest(unittest.TestCase):
-    # Guards against ONE: a hold ends too soon, since the replayed journal doesn't say when its calls came.
+    # Guards against a hold that ends too early because the replayed journal doesn't contain the times of its calls.
     def test_a_hold_outlasts_a_loss_of_all_power(self) -> None:
         for down_s in (0.1, 1.0):
             with self.subTest(down_s=down_s):
 
-                async def scene(cluster: Cluster, down_s: float = down_s) -> None:
+                async def scenario(cluster: Cluster, down_s: float = down_s) -> None:
                     calls = Coordination(cluster)
                     sent_at = cluster.world.now
                     fence = (await calls.acquire(cluster.boxes[0], "l1", "a1", 4000)).body["fence"]
@@ -41,11 +41,11 @@
                     self.assertGreater(cluster.world.now, sent_at + 4.0)
                     self.assertGreater(other.body["fence"], fence)
 
-                Cluster().play(scene)
+                Cluster().play(scenario)
 
-    # Guards against SHORT: a journal that is replayed begins each hold anew, and 409 goes on for long.
+    # Guards against 409 long after the expiry, because a replayed journal restarts each hold.
     def test_a_hold_ends_in_time_also_after_a_loss_of_all_power(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             sent_at = cluster.world.now
             await calls.acquire(cluster.boxes[0], "l1", "a1", 10_000)
@@ -57,11 +57,11 @@
             self.assertGreater(cluster.world.now, sent_at + 10.0)
             self.assertLess(cluster.world.now, max(sent_at + 10.0, stable_at) + FREE_S)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against ORDER and ONE: counts begin again, though their holders are gone and their records deleted.
+    # Guards against counters and fencing tokens that restart after the locks were released and their records deleted.
     def test_counts_go_on_after_a_loss_of_all_power(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             for _ in range(3):
                 fence = (await calls.acquire(cluster.boxes[0], "l1", "a1")).body["fence"]
@@ -82,14 +82,14 @@
                 self.assertEqual(last.body["rev"] + 1, put.body["rev"])
                 last = put
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against MIXED: a put that is sent again after a loss of all power gets a second revision.
+    # Guards against a put that is retried after the power loss and gets a second revision.
     def test_a_repeated_put_gets_its_first_revision_after_a_loss_of_all_power(self) -> None:
         for expect in (0, None):
             with self.subTest(expect=expect):
 
-                async def scene(cluster: Cluster, expect: int | None = expect) -> None:
+                async def scenario(cluster: Cluster, expect: int | None = expect) -> None:
                     calls = Coordination(cluster)
                     first = await calls.put(cluster.boxes[0], "g1.a", "v1", expect)
                     await calls.put(cluster.boxes[1], "g1.a", "v2", 1)
@@ -98,14 +98,14 @@
                     again = await calls.repeat(calls.put, "g1.a", "v1", expect)
                     self.assertEqual((200, first.body), (again.status, again.body))
 
-                Cluster().play(scene)
+                Cluster().play(scenario)
 
-    # Guards against 504 taken for a refusal, and against MIXED: a put at the moment when all power is lost.
+    # Guards against a put in flight at the power loss that gets two revisions or whose 504 is treated as a rejection.
     def test_a_put_under_way_when_all_power_is_lost_has_one_revision_or_none(self) -> None:
         for delay_s in (0.0005, 0.001, 0.002, 0.003, 0.004, 0.006, 0.01):
             with self.subTest(delay_s=delay_s):
 
-                async def scene(cluster: Cluster, delay_s: float = delay_s) -> None:
+                async def scenario(cluster: Cluster, delay_s: float = delay_s) -> None:
                     calls = Coordination(cluster)
                     await calls.put(cluster.primary, "g1.a", "v1", 0)
                     putting = asyncio.ensure_future(calls.put(cluster.primary, "g1.a", "v2", 1))
@@ -119,13 +119,13 @@
                     watch = await calls.repeat(calls.watch, "g1", 1)
                     self.assertEqual([{"name": "g1.a", "value": "v2", "rev": 2}], watch.body["events"])
 
-                Cluster().play(scene)
+                Cluster().play(scenario)
 
 
 class ReplacedMachineTest(unittest.TestCase):
-    # Guards against LOST, ORDER and ONE: state that is on one machine only, or that a replaced one has forgotten.
+    # Guards against state that is on one machine only, or that is lost with a replaced one.
     def test_acknowledged_state_outlives_each_machine_in_turn(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             fence, value, revision = 0, 0, 0
             for _ in range(2):
@@ -145,14 +145,14 @@
             watch = await calls.repeat(calls.watch, "g1", 1)
             self.assertEqual(list(range(2, revision + 1)), [event["rev"] for event in watch.body["events"]])
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against LOST: the disks that may be lost go together with all power.
+    # Guards against lost state if the tolerated disk loss coincides with a power loss on all controllers.
     def test_acknowledged_state_outlives_the_primarys_disk_and_all_power(self) -> None:
         for of_primary in (True, False):
             with self.subTest(of_primary=of_primary):
 
-                async def scene(cluster: Cluster, of_primary: bool = of_primary) -> None:
+                async def scenario(cluster: Cluster, of_primary: bool = of_primary) -> None:
                     calls = Coordination(cluster)
                     sent_at = cluster.world.now
                     fence = (await calls.acquire(cluster.boxes[0], "l1", "a1", 4000)).body["fence"]
@@ -168,14 +168,14 @@
                     read = await calls.repeat(calls.read, "g1.a")
                     self.assertEqual({"value": "v1", "rev": 1}, read.body)
 
-                Cluster().play(scene)
+                Cluster().play(scenario)
 
-    # Guards against LOST: at the end of a day as many disks as may be lost are, with all power, and answers come late.
+    # Guards against late answers after the maximum tolerated disk loss and a power loss on all controllers at once.
     def test_acknowledged_state_is_answered_in_time_after_two_disks_and_all_power(self) -> None:
         for empty_again in (False, True):
             with self.subTest(empty_again=empty_again):
 
-                async def scene(cluster: Cluster, empty_again: bool = empty_again) -> None:
+                async def scenario(cluster: Cluster, empty_again: bool = empty_again) -> None:
                     calls = Coordination(cluster)
                     fence = (await calls.acquire(cluster.boxes[0], "l1", "a1", 20_000)).body["fence"]
                     value = (await calls.number(cluster.boxes[0], "n1")).body["value"]
@@ -203,11 +203,11 @@
                     self.assertEqual({"rev": 3}, put.body)
                     self.assertLess(cluster.world.now - began, START_S)
 
-                Cluster(survive={"nodes": 2}).play(scene)
+                Cluster(survive={"nodes": 2}).play(scenario)
 
-    # Guards against LOST: a new machine that joined serves nothing, or something older.
+    # Guards against a newly joined machine that serves nothing, or outdated state.
     def test_a_new_machine_answers_as_the_others_do(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await calls.put(cluster.boxes[0], "g1.a", "v1", 0)
             cluster.primary.power_off(wipe=True)
@@ -217,7 +217,7 @@
             self.assertEqual(200, (await calls.acquire(new, "l1", "a1")).status)
             self.assertEqual(1, (await calls.watch(new, "g1", 0)).body["rev"])
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_promises.py
+++ b/tests/controller/test_coordination_promises.py
@@ -1,4 +1,4 @@
-"""412, 429 and 503 promise that nothing was done and nothing will be; whatever else is unclear gets another answer."""
+"""412, 429 and 503 guarantee that a call has no effect, now or later; an unknown outcome gets another answer."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.controller.coordination_support import NO_ANSWER, Answer, Coordination
 
 FAILOVER_S = 3.0
-PATIENCE_S = 1.0
+CALL_TIMEOUT_S = 1.0
 DOWN_S = 0.7
 SLOW_DISK_S = 0.2
 DELAYS_S = (0.0, 0.0005, 0.001, 0.0015, 0.002, 0.003, 0.005, 0.008, 0.02, 0.1, 0.3)
@@ -18,54 +18,54 @@
 
 
 async def lose_power(cluster: Cluster) -> None:
-    """The primary, for a while."""
+    """Power off the primary for a while."""
     box = cluster.primary
     box.power_off()
     cluster.world.plainly(DOWN_S, box.power_on)
 
 
 async def kill(cluster: Cluster) -> None:
-    """The primary, which is started again at once."""
+    """Kill the primary and restart it immediately."""
     box = cluster.primary
     box.kill()
     box.start()
 
 
 async def kill_backup(cluster: Cluster) -> None:
-    """One of the replicas that each write waits for."""
+    """Kill one of the backups, which each write waits for."""
     cluster.backups[0].kill()
 
 
 async def lose_backups(cluster: Cluster) -> None:
-    """The primary from its backups, for a while."""
+    """Partition the primary from its backups for a while."""
     cluster.cut([cluster.primary], cluster.backups)
     cluster.world.plainly(DOWN_S, cluster.heal)
 
 
 async def lose_answers(cluster: Cluster) -> None:
-    """What the others send to the primary is lost; what it sends arrives."""
+    """Drop the messages to the primary for a while; its own messages arrive."""
     cluster.cut(cluster.others(cluster.primary), [cluster.primary], both_ways=False)
     cluster.world.plainly(2 * DOWN_S, cluster.heal)
 
 
 async def hand_over(cluster: Cluster) -> None:
-    """The primary shuts down and transfers its place."""
+    """Shut the primary down gracefully; it transfers the leadership."""
     cluster.terminate(cluster.primary)
 
 
-TROUBLES = (lose_power, kill, kill_backup, lose_backups, lose_answers, hand_over)
+FAULTS = (lose_power, kill, kill_backup, lose_backups, lose_answers, hand_over)
 
 
 class PromisesTest(unittest.TestCase):
-    # Guards against REFUSED: a put that was answered 503 shows up later.
+    # Guards against a put that was answered 503 and becomes visible later.
     def test_a_put_answered_503_never_shows_up_and_one_answered_200_always_does(self) -> None:
         for slow_s, delays_s in ((0.0, DELAYS_S), (SLOW_DISK_S, SLOW_DELAYS_S)):
-            for trouble in TROUBLES:
+            for fault in FAULTS:
                 for delay_s in delays_s:
-                    with self.subTest(trouble=trouble.__name__, delay_s=delay_s, slow_s=slow_s):
+                    with self.subTest(fault=fault.__name__, delay_s=delay_s, slow_s=slow_s):
 
-                        async def scene(
-                            cluster: Cluster, trouble: Any = trouble, delay_s: float = delay_s, slow_s: float = slow_s
+                        async def scenario(
+                            cluster: Cluster, fault: Any = fault, delay_s: float = delay_s, slow_s: float = slow_s
                         ) -> None:
                             calls = Coordination(cluster)
                             for box in cluster.boxes:
@@ -75,7 +75,7 @@
                                 for box in cluster.boxes
                             ]
                             await asyncio.sleep(delay_s)
-                            await trouble(cluster)
+                            await fault(cluster)
                             answers = await asyncio.gather(*putting)
                             await asyncio.sleep(2.0)
                             for box in cluster.boxes:
@@ -84,31 +84,31 @@
                             for box, answer in zip(cluster.boxes, answers, strict=True):
                                 await self._check_key(calls, box.name, answer)
 
-                        Cluster().play(scene)
+                        Cluster().play(scenario)
 
     async def _check_key(self, calls: Coordination, value: str, answer: Answer) -> None:
         self.assertIn(answer.status, (200, 503, 504, NO_ANSWER))
-        self.assertLess(answer.took_s, PATIENCE_S + 0.01)
+        self.assertLess(answer.took_s, CALL_TIMEOUT_S + 0.01)
         read = await calls.repeat(calls.read, f"g1.{value}")
         if answer.status == 503:
             self.assertEqual(404, read.status)
         if answer.status == 200:
             self.assertEqual((value, answer.body["rev"]), (read.body["value"], read.body["rev"]))
 
-    # Guards against ONE: a lock whose acquisition was answered 503 is taken, or one answered 200 is not.
+    # Guards against an acquisition that was answered 503 and took the lock, or one answered 200 that did not.
     def test_an_acquisition_answered_503_takes_no_lock(self) -> None:
-        for trouble in TROUBLES:
+        for fault in FAULTS:
             for delay_s in DELAYS_S:
-                with self.subTest(trouble=trouble.__name__, delay_s=delay_s):
+                with self.subTest(fault=fault.__name__, delay_s=delay_s):
 
-                    async def scene(cluster: Cluster, trouble: Any = trouble, delay_s: float = delay_s) -> None:
+                    async def scenario(cluster: Cluster, fault: Any = fault, delay_s: float = delay_s) -> None:
                         calls = Coordination(cluster)
                         acquiring = [
                             asyncio.ensure_future(calls.acquire(box, f"l-{box.name}", "a1", 60_000))
                             for box in cluster.boxes
                         ]
                         await asyncio.sleep(delay_s)
-                        await trouble(cluster)
+                        await fault(cluster)
                         answers = await asyncio.gather(*acquiring)
                         await asyncio.sleep(2.0)
                         for box, answer in zip(cluster.boxes, answers, strict=True):
@@ -118,11 +118,11 @@
                             if answer.status in (200, 503):
                                 self.assertEqual(409 if answer.status == 200 else 200, other.status)
 
-                    Cluster().play(scene)
+                    Cluster().play(scenario)
 
-    # Guards against a write that is called refused though a later primary may bring it in.
+    # Guards against a write that is reported as rejected although a later primary may commit it.
     def test_a_write_whose_primary_loses_its_place_ends_without_a_clear_answer(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             old = cluster.primary
             for box in cluster.backups:
@@ -136,12 +136,12 @@
             cluster.isolate(old)
             for answer in await asyncio.gather(*writing):
                 self.assertIn(answer.status, (504, NO_ANSWER))
-                self.assertLess(answer.took_s, PATIENCE_S)
+                self.assertLess(answer.took_s, CALL_TIMEOUT_S)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
     def test_each_controller_answers_503_within_a_second_while_there_is_no_majority(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             left = cluster.boxes[:2]
             for box in cluster.boxes[2:]:
@@ -159,9 +159,9 @@
                     await calls.watch(box, "g1", 1, 2000),
                 ):
                     self.assertEqual(503, answer.status)
-                    self.assertLess(answer.took_s, PATIENCE_S)
+                    self.assertLess(answer.took_s, CALL_TIMEOUT_S)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_served.py
+++ b/tests/controller/test_coordination_served.py
@@ -1,4 +1,4 @@
-"""Calls of coordination are answered, by each controller, in calm times."""
+"""Each controller answers coordination calls in the absence of faults."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from tests.controller.controller_world import Cluster
 from tests.controller.coordination_support import Coordination
 
-AIM_S = 0.06  # of the stricter of the two deployments
+LATENCY_TARGET_S = 0.06  # latency target of the stricter of the two deployments
 
 
 class ServedTest(unittest.TestCase):
-    # Guards against SHORT: every call of coordination got 404, and nothing of its worth was earned.
+    # Guards against coordination calls that all get 404.
     def test_calls_of_coordination_are_served(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             for turn, box in enumerate(cluster.boxes):
                 with self.subTest(controller=box.name, primary=box is cluster.primary):
@@ -29,16 +29,16 @@
                     watch = await calls.watch(box, group, 0)
                     answers = [acquired, renewed, number, put, read, watch]
                     self.assertEqual([200] * 6, [answer.status for answer in answers])
-                    self.assertLess(max(answer.took_s for answer in answers), AIM_S)
+                    self.assertLess(max(answer.took_s for answer in answers), LATENCY_TARGET_S)
                     self.assertEqual({"value": "5c0e7a21d94b36f8", "rev": 1}, read.body)
                     self.assertEqual({"rev": 1}, put.body)
                     self.assertEqual(1, watch.body["rev"])
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against SHORT: a controller that is no witness, since one more would be of no use, answered 503 for good.
+    # Guards against 503 for good from a controller that is not a witness because a further one would add nothing.
     def test_calls_are_served_at_a_controller_outside_the_configuration(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             outside = cluster.boxes[3]
             await asyncio.sleep(2.0)
@@ -50,11 +50,11 @@
 
         cluster = Cluster(zones=(0, 1, 2, 0), survive={"nodes": 1, "zones": 1})
         cluster.expected = 3
-        cluster.play(scene)
+        cluster.play(scenario)
 
-    # Guards against an incident that no figure shows: calls that are answered 404 or 503 leave no other trace.
+    # Guards against incidents that no metric shows: calls that are answered 404 or 503 leave no other trace.
     def test_answers_are_counted_by_resource_and_status(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             box = cluster.others(cluster.primary)[0]
             await calls.acquire(box, "l1", "a3.7")
@@ -69,7 +69,7 @@
             self.assertEqual(1, figures["locks", "409"])
             self.assertEqual(1, figures["unknown", "404"])
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_watches.py
+++ b/tests/controller/test_coordination_watches.py
@@ -1,4 +1,4 @@
-"""Watches: what they are answered, and when, at any controller and through the loss of the primary."""
+"""Watches on any controller: contents and timing of the answers, also during failover."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from tests.controller.coordination_support import Answer, Coordination
 
 FAILOVER_S = 3.0
-AT_ONCE_S = 0.03  # some hops between machines
+AT_ONCE_S = 0.03  # a few network hops
 HISTORY_S = 5.0
-KEPT_S = HISTORY_S + 10.0  # events stay for so long, and no longer once others take their place
+KEPT_S = HISTORY_S + 10.0  # retention of events; later puts may overwrite them after that
 LONG_MS = 20_000
 
 
 def revisions(answer: Answer) -> list[int]:
-    """The revisions of the events in an answer, in their order."""
+    """Return the revisions of the events in an answer, in order."""
     return [event["rev"] for event in answer.body["events"]]
 
 
 async def put_all(calls: Coordination, group: str, first: int, last: int) -> None:
-    """Put this many values, one a key, with the revisions from `first` to `last`."""
+    """Put one value per key, with the revisions from `first` to `last`."""
     for number in range(first, last + 1):
         box = calls.cluster.boxes[number % len(calls.cluster.boxes)]
         answer = await calls.put(box, f"{group}.{number}", f"{group} value {number}", 0)
@@ -31,7 +31,7 @@
 
 class WatchTest(unittest.TestCase):
     def test_each_group_counts_from_one_for_all_its_keys(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await put_all(calls, "g1", 1, 4)
             await put_all(calls, "g2", 1, 3)
@@ -39,10 +39,10 @@
                 answer = await calls.watch(cluster.boxes[0], group, 0)
                 self.assertEqual({"events": [], "rev": revision}, answer.body)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
     def test_past_0_is_answered_the_present_revision_at_once(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await put_all(calls, "g1", 1, 3)
             for box in cluster.boxes:
@@ -50,11 +50,11 @@
                 self.assertEqual({"events": [], "rev": 3}, answer.body)
                 self.assertLess(answer.took_s, AT_ONCE_S)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against ORDER: a watch's events skip a put, repeat one or fail to rise.
+    # Guards against a watch whose events skip a put, repeat one or are out of order.
     def test_a_resumed_watch_gets_each_later_put_of_its_group_once_and_rising(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await put_all(calls, "g1", 1, 6)
             await put_all(calls, "g10", 1, 2)
@@ -65,11 +65,11 @@
             event = (await calls.watch(cluster.boxes[0], "g1", 5)).body["events"][0]
             self.assertEqual({"name": "g1.6", "value": "g1 value 6", "rev": 6}, event)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against SHORT: a put earns by the share of its watchers that have it in time.
+    # Guards against late notification: a put counts by the share of its watchers that receive it in time.
     def test_a_waiting_watch_at_each_controller_gets_a_put_at_once(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await put_all(calls, "g1", 1, 1)
             ended_at: list[float] = []
@@ -90,10 +90,10 @@
             self.assertLess(max(ended_at), put_at + AT_ONCE_S)
             self.assertGreater(min(ended_at), put_at)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
     def test_a_watch_without_news_is_answered_once_its_time_is_over(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await put_all(calls, "g1", 1, 2)
             for box in cluster.boxes:
@@ -101,13 +101,13 @@
                 self.assertEqual({"events": [], "rev": 2}, answer.body)
                 self.assertAlmostEqual(0.7, answer.took_s, delta=AT_ONCE_S)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 class WatchFailoverTest(unittest.TestCase):
-    # Guards against LOST: watches resume from saved revisions at another primary.
+    # Guards against events that are lost when a watch resumes from a saved revision on another primary.
     def test_a_watch_resumes_from_each_revision_at_the_next_primary(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await put_all(calls, "g1", 1, 5)
             cluster.primary.power_off()
@@ -117,9 +117,9 @@
                 expected = list(range(past + 1, 6)) if past else []
                 self.assertEqual((5, expected), (answer.body["rev"], revisions(answer)))
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against SHORT: a watch goes on waiting at a primary that is lost.
+    # Guards against a watch that goes on waiting for a primary that is lost.
     def test_a_watch_that_waits_beside_a_lost_primary_is_answered_503(self) -> None:
         async def lose_power(cluster: Cluster) -> None:
             cluster.primary.power_off()
@@ -133,26 +133,26 @@
         async def terminate(cluster: Cluster) -> None:
             cluster.terminate(cluster.primary)
 
-        for trouble in (lose_power, kill, freeze, terminate):
-            with self.subTest(trouble.__name__):
+        for fault in (lose_power, kill, freeze, terminate):
+            with self.subTest(fault.__name__):
 
-                async def scene(cluster: Cluster, trouble: Any = trouble) -> None:
+                async def scenario(cluster: Cluster, fault: Any = fault) -> None:
                     calls = Coordination(cluster)
                     await put_all(calls, "g1", 1, 1)
                     others = cluster.others(cluster.primary)
                     waiting = [asyncio.ensure_future(calls.watch(box, "g1", 1, LONG_MS)) for box in others]
                     await asyncio.sleep(1.0)
                     began = cluster.world.now
-                    await trouble(cluster)
+                    await fault(cluster)
                     for answer in await asyncio.gather(*waiting):
                         self.assertEqual(503, answer.status)
                     self.assertLess(cluster.world.now - began, 1.0)
 
-                Cluster().play(scene)
+                Cluster().play(scenario)
 
-    # Guards against SHORT: a watch goes on waiting at a controller that shuts down or is primary no more.
+    # Guards against a watch that goes on waiting on a controller that shuts down or is no longer the primary.
     def test_a_watch_that_waits_at_a_primary_that_shuts_down_is_answered_503(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await put_all(calls, "g1", 1, 1)
             old = cluster.primary
@@ -163,11 +163,11 @@
             self.assertEqual(503, (await waiting).status)
             self.assertLess(cluster.world.now - began, 1.0)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
-    # Guards against ORDER: puts on both sides of a change of primary, and a watch that resumes through it.
+    # Guards against events skipped by a watch that resumes across a failover, with puts before and after it.
     def test_a_watch_that_resumes_through_changes_of_primary_skips_nothing(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await put_all(calls, "g1", 1, 1)
             seen: list[int] = []
@@ -195,13 +195,13 @@
             await watching
             self.assertEqual(list(range(2, 61)), seen)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 class HistoryTest(unittest.TestCase):
-    # Guards against LOST: 410 for a revision that was given less than `historyS` ago.
+    # Guards against 410 for a revision that was assigned less than `historyS` ago.
     def test_410_only_for_a_revision_given_longer_ago_than_the_history_spans(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             given: list[tuple[float, int]] = [(cluster.world.now, 1)]
             gone = 0
@@ -221,11 +221,11 @@
                         gone += 1
             self.assertGreater(gone, 0)
 
-        Cluster(slas={"historyS": HISTORY_S}).play(scene)
+        Cluster(slas={"historyS": HISTORY_S}).play(scenario)
 
-    # Guards against LOST: the history is forgotten, or cut too early, at a failover or a restart.
+    # Guards against a history that is lost, or truncated too early, at a failover or a restart.
     def test_the_history_spans_its_time_through_failovers_and_a_loss_of_all_power(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await put_all(calls, "g1", 1, 4)
             await asyncio.sleep(KEPT_S - HISTORY_S / 2)
@@ -246,7 +246,7 @@
             self.assertLess(cluster.world.now - given_at, HISTORY_S)
             self.assertEqual((200, 8, [5, 6, 7, 8]), (answer.status, answer.body["rev"], revisions(answer)))
 
-        Cluster(slas={"historyS": HISTORY_S}).play(scene)
+        Cluster(slas={"historyS": HISTORY_S}).play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_hold_checkpoints.py
+++ b/tests/controller/test_hold_checkpoints.py
@@ -1,4 +1,4 @@
-"""The records of running holds are replaced by ones that say what is left, and by nothing else."""
+"""The records of active holds, and no others, are replaced with records of their remaining duration."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from tests.controller.controller_world import Cluster
 from tests.controller.coordination_support import Coordination
 
-PLAN_S = 0.2  # between two rounds of the primary's work
+PLAN_S = 0.2  # interval of the primary's periodic work
 POLL_S = 0.01
 
 
 class HoldCheckpointsTest(unittest.TestCase):
     def test_the_records_of_running_holds_are_young_at_all_members_and_say_what_is_left(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             sent_at = cluster.world.now
             hold_s = 8.0
@@ -36,10 +36,10 @@
                 await asyncio.sleep(POLL_S)
             self.assertGreater(seen, 1000)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
     def test_locks_that_are_not_held_and_holds_that_are_renewed_cost_no_writes(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             fence = (await calls.acquire(cluster.boxes[0], "l1", "a1")).body["fence"]
             before = cluster.control(cluster.primary).state.revision
@@ -54,10 +54,10 @@
             await asyncio.sleep(5.0)
             self.assertEqual(before, cluster.control(cluster.primary).state.revision)
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
     def test_many_holds_are_written_a_part_at_a_time(self) -> None:
-        async def scene(cluster: Cluster) -> None:
+        async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             count = 2 * MAX_CHECKPOINTS
             for first in range(0, count, 64):
@@ -68,7 +68,7 @@
             items = [cluster.control(primary).state.items[f"lock/l{number}"] for number in range(count)]
             self.assertLess(max(primary.object.receipts.age_s(item) for item in items), 2 * (MAX_AGE_S + PLAN_S))
 
-        Cluster().play(scene)
+        Cluster().play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_name_cursor.py
+++ b/tests/controller/test_name_cursor.py
@@ -1,4 +1,4 @@
-"""The primary looks at locks and events in parts: with very many of them it goes on sending its heartbeats."""
+"""The primary scans locks and events in batches, so that it can send heartbeats however many there are."""
 
 from __future__ import annotations
 
@@ -28,23 +28,23 @@
 
 
 class CountingStore(ReplicatedStore):
-    """Counts the records that are asked for, one by one or all at a time."""
+    """Counts the records that are read, individually or all at once."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked_for = 0
+        self.records_read = 0
 
     def record(self, kind: type[R], name: str = "") -> R | None:
-        self.asked_for += 1
+        self.records_read += 1
         return super().record(kind, name)
 
     def records(self, kind: type[R]) -> dict[str, R]:
-        self.asked_for += self.count(kind)
+        self.records_read += self.count(kind)
         return super().records(kind)
 
 
 class Control:
-    """A control state whose writes are in force at once."""
+    """A control state whose writes are committed immediately."""
 
     def __init__(self) -> None:
         self.state = CountingStore()
@@ -66,15 +66,15 @@
     return control
 
 
-# Guards against SHORT: the loop of the primary stands still over 100,000 locks, and another controller takes its place.
+# Guards against a scan of 100,000 locks that blocks the primary's event loop until another controller takes over.
 def test_checkpoints_of_many_holds_are_written_in_parts() -> None:
     control = control_with_locks(hold_ms=600_000)
     checkpoints = HoldCheckpoints(cast(ControlState, control), control.receipts)
     for number in range(MANY // MAX_CHECKPOINTS + 20):
         control.now += 10.0
-        control.state.asked_for = 0
+        control.state.records_read = 0
         checkpoints.write_when_due()
-        assert control.state.asked_for <= hold_checkpoints.MAX_SCANNED, number
+        assert control.state.records_read <= hold_checkpoints.MAX_SCANNED, number
     assert 0 < control.largest_write <= MAX_CHECKPOINTS
 
 
@@ -85,9 +85,9 @@
     control.now += LONG_S
     rounds = 0
     while control.state.records(LockRecord):
-        control.state.asked_for = 0
+        control.state.records_read = 0
         collection.collect()
-        assert control.state.asked_for <= lock_collection.MAX_SCANNED
+        assert control.state.records_read <= lock_collection.MAX_SCANNED
         rounds += 1
     assert rounds == -(-MANY // lock_collection.MAX_SCANNED)
 
@@ -104,9 +104,9 @@
     collection.collect()
     control.now += LONG_S
     for _ in range(2 + MANY // event_collection.MAX_SCANNED):
-        control.state.asked_for = 0
+        control.state.records_read = 0
         collection.collect()
-        assert control.state.asked_for <= event_collection.MAX_SCANNED
+        assert control.state.records_read <= event_collection.MAX_SCANNED
     assert list(control.state.records(EventRecord)) == [event_name("g.", MANY - 1)]
     assert histories.of(control.state).of("g.").revision == MANY
 
@@ -119,8 +119,8 @@
     for _ in range(3):
         names: list[str] = []
         while len(names) < count:
-            part = cursor.take(control.state, limit)
-            assert 0 < len(part) <= limit
-            names += part
+            batch = cursor.take(control.state, limit)
+            assert 0 < len(batch) <= limit
+            names += batch
         assert sorted(names) == sorted(f"n{number}" for number in range(count))
     assert len(cursor.take(control.state, limit)) == min(limit, count)
--- a/tests/controller/test_retirement.py
+++ b/tests/controller/test_retirement.py
@@ -1,4 +1,4 @@
-"""Emptying a job store node: `done` only when others hold all of its partitions, as the committed records say."""
+"""Retirement of a job store node: `done` only when the committed records place all its partitions on other nodes."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 ZONES = {"s1#d": "a", "s2#d": "a", "s3#d": "b", "s4#d": "b"}
 
 
-class ControlReplication:
-    """What is revised is known here at once, and committed only when `commit` is called."""
+class FakeControlReplication:
+    """Changes are visible in `state` at once, and committed only when `commit` is called."""
 
     def __init__(self, published: ReplicatedStore) -> None:
         self.state, self.published, self.revision = ReplicatedStore(), published, 0
@@ -43,13 +43,13 @@
         self.published.apply(list(self.state.items.values()))
 
 
-class Stage:
+class Fixture:
     def __init__(self, zones: int = 0, names: str = "s1 s2 s3 s4") -> None:
         self.store = ReplicatedStore()
-        self.control = ControlReplication(self.store)
+        self.control = FakeControlReplication(self.store)
         control: Any = self.control
         self.living = {f"{name}#d" for name in names.split()}
-        self.settled = True
+        self.known = True
         self.resource = RetirementResource(control, self.store, self.stores, SurviveLimits(1, zones))
         for name in names.split():
             self.put(f"member/{name}", {"role": "store", "disk": "d", "zone": ZONES[f"{name}#d"], "region": "r"})
@@ -57,8 +57,8 @@
     def stores(self) -> StoreMembers | None:
         orders = self.control.state.records(RetirementRecord)
         retiring = {f"{node}#{order.disk}" for node, order in orders.items()}
-        places = {m: FailureDomain(ZONES.get(m, "a"), "r") for m in sorted(self.living)}
-        return StoreMembers(places, frozenset(retiring & self.living)) if self.settled else None
+        domains = {m: FailureDomain(ZONES.get(m, "a"), "r") for m in sorted(self.living)}
+        return StoreMembers(domains, frozenset(retiring & self.living)) if self.known else None
 
     def put(self, key: str, value: Any, commit: bool = True) -> None:
         self.control.propose([(key, json.dumps(value).encode())])
@@ -79,57 +79,57 @@
         return str(json.loads(reply.body)["state"])
 
 
-def play(scene: Callable[[], Awaitable[None]]) -> None:
-    run(scene)
+def run_scenario(scenario: Callable[[], Awaitable[None]]) -> None:
+    run(scenario)
 
 
 class RetireTest(unittest.TestCase):
     def test_done_comes_after_the_record_without_it_is_committed(self) -> None:
-        async def scene() -> None:
-            stage = Stage()
-            stage.part(1, "s1#d", "s3#d")
-            self.assertEqual(200, await stage.begin())
-            self.assertEqual("serving", await stage.state())
-            stage.part(2, "s1#d", "s3#d", learners=("s2#d",))
-            self.assertEqual("serving", await stage.state())
-            stage.part(3, "s3#d", "s2#d", commit=False)
-            self.assertEqual("serving", await stage.state())
-            stage.control.commit()
-            self.assertEqual("done", await stage.state())
-
-        play(scene)
+        async def scenario() -> None:
+            fixture = Fixture()
+            fixture.part(1, "s1#d", "s3#d")
+            self.assertEqual(200, await fixture.begin())
+            self.assertEqual("serving", await fixture.state())
+            fixture.part(2, "s1#d", "s3#d", learners=("s2#d",))
+            self.assertEqual("serving", await fixture.state())
+            fixture.part(3, "s3#d", "s2#d", commit=False)
+            self.assertEqual("serving", await fixture.state())
+            fixture.control.commit()
+            self.assertEqual("done", await fixture.state())
+
+        run_scenario(scenario)
 
     def test_members_that_are_not_heard_of_do_not_count(self) -> None:
-        async def scene() -> None:
-            stage = Stage()
-            stage.part(1, "s3#d", "s2#d")
-            await stage.begin()
-            self.assertEqual("done", await stage.state())
-            stage.living.discard("s2#d")
-            stage.part(2, "s3#d", "s2#d", learners=("s4#d",))
-            self.assertEqual("serving", await stage.state())
-            stage.part(3, "s3#d", "s4#d")
-            self.assertEqual("done", await stage.state())
-
-        play(scene)
+        async def scenario() -> None:
+            fixture = Fixture()
+            fixture.part(1, "s3#d", "s2#d")
+            await fixture.begin()
+            self.assertEqual("done", await fixture.state())
+            fixture.living.discard("s2#d")
+            fixture.part(2, "s3#d", "s2#d", learners=("s4#d",))
+            self.assertEqual("serving", await fixture.state())
+            fixture.part(3, "s3#d", "s4#d")
+            self.assertEqual("done", await fixture.state())
+
+        run_scenario(scenario)
 
     def test_the_copies_elsewhere_are_in_the_zones_that_are_asked_for(self) -> None:
-        async def scene() -> None:
-            stage = Stage(zones=1)
-            stage.part(1, "s3#d", "s4#d")
-            await stage.begin()
-            self.assertEqual("serving", await stage.state())
-            stage.part(2, "s3#d", "s2#d")
-            self.assertEqual("done", await stage.state())
+        async def scenario() -> None:
+            fixture = Fixture(zones=1)
+            fixture.part(1, "s3#d", "s4#d")
+            await fixture.begin()
+            self.assertEqual("serving", await fixture.state())
+            fixture.part(2, "s3#d", "s2#d")
+            self.assertEqual("done", await fixture.state())
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_refused_if_the_others_are_too_few_or_in_too_few_zones(self) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             for zones, names, silent, status in (
                 (0, "s1 s2 s3", "", 200),
                 (0, "s1 s3", "", 409),
-                (0, "s1 s2 s3 s4", "s2 s4", 503),  # the silent ones may be back soon
+                (0, "s1 s2 s3 s4", "s2 s4", 503),  # the unresponsive ones may return soon
                 (0, "s1 s2 s3 s4", "s4", 200),
                 (1, "s1 s2 s3", "", 200),
                 (1, "s1 s3 s4", "", 409),
@@ -137,33 +137,33 @@
                 (1, "s1 s2", "", 409),
             ):
                 with self.subTest(f"{zones} {names} without {silent}"):
-                    stage = Stage(zones, names)
-                    stage.living -= {f"{name}#d" for name in silent.split()}
-                    self.assertEqual(status, await stage.begin())
+                    fixture = Fixture(zones, names)
+                    fixture.living -= {f"{name}#d" for name in silent.split()}
+                    self.assertEqual(status, await fixture.begin())
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_nothing_is_said_before_it_is_known_who_lives(self) -> None:
-        async def scene() -> None:
-            stage = Stage()
-            stage.part(1, "s3#d", "s2#d")
-            await stage.begin()
-            stage.settled = False
-            self.assertEqual("serving", await stage.state())
-            self.assertEqual(503, await stage.begin("s2"))
+        async def scenario() -> None:
+            fixture = Fixture()
+            fixture.part(1, "s3#d", "s2#d")
+            await fixture.begin()
+            fixture.known = False
+            self.assertEqual("serving", await fixture.state())
+            self.assertEqual(503, await fixture.begin("s2"))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_machine_with_another_disk_may_be_retired_again(self) -> None:
-        async def scene() -> None:
-            stage = Stage()
-            await stage.begin()
-            stage.living = {"s1#e", "s2#d", "s3#d", "s4#d"}
-            stage.put("member/s1", {"role": "store", "disk": "e", "zone": "a", "region": "r"})
-            self.assertEqual(200, await stage.begin())
-            self.assertEqual(RetirementRecord("e"), stage.control.state.record(RetirementRecord, "s1"))
-
-        play(scene)
+        async def scenario() -> None:
+            fixture = Fixture()
+            await fixture.begin()
+            fixture.living = {"s1#e", "s2#d", "s3#d", "s4#d"}
+            fixture.put("member/s1", {"role": "store", "disk": "e", "zone": "a", "region": "r"})
+            self.assertEqual(200, await fixture.begin())
+            self.assertEqual(RetirementRecord("e"), fixture.control.state.record(RetirementRecord, "s1"))
+
+        run_scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/coordination/__init__.py
+++ b/tests/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the coordination library."""
+"""Tests of otterreach.coordination."""
--- a/tests/coordination/test_counters.py
+++ b/tests/coordination/test_counters.py
@@ -1,4 +1,4 @@
-"""Counters against their model: the values given under one name only rise, whatever was stored before."""
+"""Property tests of counters: the values returned under one name strictly increase, whatever was stored before."""
 
 from __future__ import annotations
 
--- a/tests/coordination/test_examples.py
+++ b/tests/coordination/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples in the docstrings of the coordination library are true."""
+"""Runs the doctests of otterreach.coordination."""
 
 from __future__ import annotations
 
--- a/tests/coordination/test_history.py
+++ b/tests/coordination/test_history.py
@@ -1,4 +1,4 @@
-"""The history of a group against a list of its events."""
+"""Model-based test of a group's history."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class HistoryMachine(RuleBasedStateMachine):
-    """The model: the kept events by slot, and the newest revision."""
+    """The model consists of the retained events by slot and the newest revision."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -23,7 +23,7 @@
         self.revision = 0
 
     def _append(self, slot: int, name: str, value: str, expected: int | None) -> None:
-        """A put that equals one that is kept is that one, sent again: it has no event of its own."""
+        """Store the event of a put, unless it is a retry of a retained one, which has no event of its own."""
         if any((event.name, event.value, event.expected) == (name, value, expected) for event in self.kept.values()):
             return
         self.revision += 1
@@ -49,7 +49,7 @@
 
     @rule(order=st.randoms(use_true_random=False))
     def read_it_from_its_slots(self, order: object) -> None:
-        """As after a restart: the slots come in any order."""
+        """Rebuild the history as after a restart, when the slots are read in any order."""
         slots = list(self.kept.items())
         order.shuffle(slots)  # type: ignore[attr-defined]
         self.history = GroupHistory()
@@ -78,9 +78,9 @@
     def spans_are_complete_or_refused(self) -> None:
         by_revision = {event.revision: event for event in self.kept.values()}
         for past in range(self.revision + 1):
-            wanted = range(past + 1, self.revision + 1)
-            is_whole = all(revision in by_revision for revision in wanted)
-            expected = [by_revision[revision] for revision in wanted] if is_whole else None
+            required = range(past + 1, self.revision + 1)
+            is_complete = all(revision in by_revision for revision in required)
+            expected = [by_revision[revision] for revision in required] if is_complete else None
             assert self.history.between(past, self.revision) == expected
 
     @invariant()
--- a/tests/coordination/test_keyspace.py
+++ b/tests/coordination/test_keyspace.py
@@ -1,4 +1,4 @@
-"""Compare-and-put against a list of all accepted puts."""
+"""Model-based test of compare-and-put."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from otterreach.coordination.keyspace import Conflict, Entry, Put, Repeated, Written, group_of, put
 
 NAMES = ("g.a", "g.b", "g.c")
-MAX_KEPT = 4  # events: then a put takes the oldest one's slot
+MAX_KEPT = 4  # retained events; further puts overwrite the oldest one
 
 
 class KeyspaceMachine(RuleBasedStateMachine):
-    """The model: the accepted puts, each with its revision, which is its place in the list."""
+    """The model is the list of accepted puts. The revision of a put is its position in the list."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -25,7 +25,7 @@
         self.accepted: list[Put] = []
 
     def _revision(self, name: str) -> int:
-        return max([place for place, call in enumerate(self.accepted, 1) if call.name == name], default=0)
+        return max([position for position, call in enumerate(self.accepted, 1) if call.name == name], default=0)
 
     def _store(self, call: Put, entry: Entry) -> None:
         full = len(self.history) >= MAX_KEPT
@@ -37,7 +37,7 @@
 
     @rule(name=st.sampled_from(NAMES), stale_by=st.integers(-1, 3) | st.none())
     def put_a_new_value(self, name: str, stale_by: int | None) -> None:
-        """`stale_by` None: whatever revision the key has."""
+        """Put a value on an expected revision; with `stale_by` None, on any revision."""
         current = self._revision(name)
         expected = None if stale_by is None else max(0, current - stale_by)
         call = Put(name, f"value {len(self.accepted)}", expected)
@@ -51,7 +51,7 @@
 
     @rule(data=st.data())
     def put_an_accepted_one_again(self, data: st.DataObject) -> None:
-        """Those that the history still has, and the newest of each key, are recognised."""
+        """Retry a put. It is recognised if the history retains it or it is the newest put of its key."""
         if not self.accepted:
             return
         revision = data.draw(st.integers(1, len(self.accepted)))
@@ -64,7 +64,7 @@
 
     @rule(data=st.data())
     def put_an_accepted_value_elsewhere(self, data: st.DataObject) -> None:
-        """Another key with the same value is another put."""
+        """Put the same value under another key, which is a different put."""
         if not self.accepted:
             return
         call = data.draw(st.sampled_from(self.accepted))
--- a/tests/coordination/test_locks.py
+++ b/tests/coordination/test_locks.py
@@ -1,7 +1,7 @@
-"""Locks against callers that take themselves for holders as the pages say: never two of them at one moment.
+"""Model-based test of mutual exclusion: at no time do two callers consider themselves holder of the lock.
 
-The machine has what a service has: a primary and a backup that store each hold when it reaches them, and know only how
-long ago that was; calls that come late, answers that get lost, changes of primary, restarts, checkpoints.
+The state machine models the service: a primary and a backup that store each hold on its receipt and know only how long
+ago that was, with delayed calls, lost responses, failovers, restarts and checkpoints.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 @dataclass
 class Replica:
-    """A machine that stores the hold."""
+    """A replica that stores the hold."""
 
     hold: Hold | None = None
     stored_at: int = 0
@@ -52,23 +52,23 @@
 
 @dataclass
 class Caller:
-    """What an owner believes, and the tokens that it ever got."""
+    """An owner's view of its hold, and all tokens that it has received."""
 
     fence: int = 0
-    until: int = 0  # it is holder before this
-    hold_ms: int = 0  # that it believes in
+    until: int = 0  # time until which it considers itself the holder
+    hold_ms: int = 0  # duration of the hold in its view
     calls_sent: int = 0
     fences: list[int] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
 class Sent:
-    """A call on its way."""
+    """A call in flight."""
 
     call: Acquire | Renew | Release
     sent_at: int
-    number: int  # among the calls of its owner
-    others_had: int  # the highest token that another owner had got before
+    number: int  # sequence number among the calls of its owner
+    others_had: int  # highest token received by another owner before
 
 
 class LocksMachine(RuleBasedStateMachine):
@@ -95,7 +95,7 @@
             return Acquire(owner, hold_ms)
         if kind == "renew":
             return Renew(owner, fence, hold_ms)
-        self.callers[owner].until = 0  # it is no holder from when it sends this
+        self.callers[owner].until = 0  # it stops being the holder when it sends the release
         return Release(owner, fence)
 
     @rule(owner=owners, kind=kinds, hold_ms=holds_ms, is_lost=st.booleans(), delay_ms=delays_ms)
@@ -112,14 +112,14 @@
     @precondition(lambda self: self.sent)
     @rule(data=st.data(), delay_ms=delays_ms, is_repeated=st.booleans())
     def receive_late(self, data: st.DataObject, delay_ms: int, is_repeated: bool) -> None:
-        """In any order, and perhaps more than once."""
+        """Receive delayed calls in any order and possibly repeatedly."""
         sent = data.draw(st.sampled_from(self.sent))
         if not is_repeated:
             self.sent.remove(sent)
         self._receive(sent, delay_ms, is_lost=False)
 
     def _receive(self, sent: Sent, delay_ms: int, is_lost: bool) -> None:
-        """The effect reaches the backup later, and the answer the caller, or not."""
+        """Apply a call on the primary and later on the backup; the response reaches the caller unless it is lost."""
         granted = self._decide(sent.call)
         if granted is None:
             return
@@ -130,7 +130,7 @@
             self._answer(sent, granted)
 
     def _decide(self, call: Acquire | Renew | Release) -> Hold | None:
-        """The hold that is granted; a release and a refusal have none."""
+        """Return the granted hold; None for a release or a rejection."""
         elapsed_s = (self.now - self.primary.stored_at) / 1000
         hold = self.primary.hold
         if isinstance(call, Release):
@@ -150,7 +150,7 @@
         return result.hold
 
     def _answer(self, sent: Sent, granted: Hold) -> None:
-        """A caller that has sent another call since doesn't wait for this answer any more."""
+        """Deliver a response, unless the caller has sent another call since and ignores it."""
         caller = self.callers[sent.call.owner]
         if sent.number != caller.calls_sent or isinstance(sent.call, Release):
             return
@@ -163,9 +163,9 @@
             caller.fence = granted.fence
             caller.until = until
         elif caller.until > self.now and caller.fence == sent.call.fence:
-            caller.until = until  # else the time is over, and the renewal counts for nothing
+            caller.until = until  # otherwise the hold has expired for the caller, and the renewal has no effect
 
-    # Trouble -------------------------------------------------------------------------------------
+    # Faults --------------------------------------------------------------------------------------
 
     @rule(delay_ms=delays_ms | st.just(1100))
     def time_passes(self, delay_ms: int) -> None:
@@ -173,28 +173,28 @@
 
     @rule(delay_ms=delays_ms)
     def the_backup_takes_over(self, delay_ms: int) -> None:
-        """Its own backup gets the hold later."""
+        """Fail over to the backup; the new primary's backup stores the hold later."""
         self.now += delay_ms
         self.primary = self.backup
         self.backup = Replica(self.primary.hold, self.now + delay_ms)
 
     @rule(delay_ms=delays_ms)
     def all_start_again(self, delay_ms: int) -> None:
-        """Nobody knows any more when anything was stored."""
+        """Restart all replicas, which lose the time at which the hold was stored."""
         self.now += delay_ms
         self.primary.stored_at = self.backup.stored_at = self.now
 
     @rule(delay_ms=delays_ms)
-    def what_is_left_is_stored(self, delay_ms: int) -> None:
+    def store_the_remaining_time(self, delay_ms: int) -> None:
         hold = self.primary.hold
         if hold is None:
             return
-        left = remaining_ms(hold, (self.now - self.primary.stored_at) / 1000)
-        if left > 0:
-            self.primary.store(replace(hold, hold_ms=left), self.now)
+        remaining = remaining_ms(hold, (self.now - self.primary.stored_at) / 1000)
+        if remaining > 0:
+            self.primary.store(replace(hold, hold_ms=remaining), self.now)
             self.backup.store(self.primary.hold, self.now + delay_ms)
 
-    # What has to hold ----------------------------------------------------------------------------
+    # Invariants ----------------------------------------------------------------------------------
 
     @invariant()
     def one_holder(self) -> None:
@@ -220,20 +220,20 @@
 
 @given(st.integers(1, 10_000), steps)
 def test_what_is_left_never_ends_sooner_than_the_hold_and_hardly_later(hold_ms: int, steps_s: list[Step]) -> None:
-    """Each step: how long after it was stored what is left is computed, and how long after that it is stored."""
+    """Each step gives the age at which the remaining time is computed, and the delay until that is stored."""
     hold = Hold("a", 1, 1, hold_ms)
     now = 0.0
     late_s = 0.0
     for wait_s, delay_s in steps_s:
-        left = remaining_ms(hold, wait_s)
-        if left <= 0:
+        remaining = remaining_ms(hold, wait_s)
+        if remaining <= 0:
             assert now + wait_s >= hold_ms / 1000 - ROUNDING_S
             return
-        hold = replace(hold, hold_ms=left)
+        hold = replace(hold, hold_ms=remaining)
         now += wait_s + delay_s
         late_s += delay_s + 0.001 + wait_s * MAX_CLOCK_DRIFT
-        assert now + left / 1000 >= hold_ms / 1000 - ROUNDING_S
-        assert now + left / 1000 <= hold_ms / 1000 + late_s + ROUNDING_S
+        assert now + remaining / 1000 >= hold_ms / 1000 - ROUNDING_S
+        assert now + remaining / 1000 <= hold_ms / 1000 + late_s + ROUNDING_S
 
 
 def test_a_hold_is_over_right_after_its_time_and_the_margin() -> None:
@@ -244,16 +244,16 @@
     assert is_expired(granted.hold, ends_s + ROUNDING_S)
 
 
-# Guards against ONE: a clock that runs fast ends a hold of a day while its holder, whose clock runs slow, goes on.
+# Guards against two holders: a fast clock ends a hold of a day while its holder, whose clock is slow, relies on it.
 @given(st.integers(1, 24 * 3600 * 1000), st.floats(0.0005, 1.0))
 def test_a_hold_outlasts_the_drift_of_two_clocks(hold_ms: int, checkpoint_share: float) -> None:
     hold = Hold("a", 1, 1, hold_ms)
-    fast = 1.0005 / 0.9995  # of this machine's clock against the holder's
+    fast = 1.0005 / 0.9995  # rate of the local clock relative to the holder's
     wait_s = hold_ms / 1000 * checkpoint_share
     holder_now_s = 0.0
-    while (left := remaining_ms(hold, wait_s * fast)) > 0 and holder_now_s <= hold_ms / 1000:
+    while (remaining := remaining_ms(hold, wait_s * fast)) > 0 and holder_now_s <= hold_ms / 1000:
         holder_now_s += wait_s
-        hold = replace(hold, hold_ms=left)
+        hold = replace(hold, hold_ms=remaining)
     rest_s = max(0.0, hold_ms / 1000 - holder_now_s)
     assert not is_expired(hold, rest_s * fast)
 
--- a/tests/coordination/test_watches.py
+++ b/tests/coordination/test_watches.py
@@ -1,4 +1,4 @@
-"""The table of waiting watches against a dictionary."""
+"""Model-based test of the table of pending watches."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class WatchTableMachine(RuleBasedStateMachine):
-    """The model: the group and the revision that each waiter waits to see passed."""
+    """The model maps each waiter to its group and the revision after which it waits for events."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -26,7 +26,7 @@
     @rule(waiter=waiters, group=groups, past=revisions)
     def add(self, waiter: int, group: str, past: int) -> None:
         if waiter in self.model:
-            return  # a waiter waits for one thing only
+            return  # a waiter waits for one group only
         added = self.table.add(group, past, waiter)
         assert added == (len(self.model) < LIMIT)
         if added:
