--- a/otterreach/controller/api/configuration.py
+++ b/otterreach/controller/api/configuration.py
@@ -72,7 +72,7 @@
         if isinstance(result, Failure):
             log("config_rejected", code=int(result.code), reason=result.reason)
             return await when_committed(self.control, rejection(result))
-        if result is config.ALREADY:
+        if result is config.REPEATED:
             return await when_committed(self.control, OK)
         assert isinstance(result, dict)
         return await self._accept(result, history.item_for(config.change_of(call.method, call.body, if_match)))
--- a/otterreach/controller/api/keys.py
+++ b/otterreach/controller/api/keys.py
@@ -18,7 +18,7 @@
 from otterreach.controller.api.coordination_resource import CoordinationResource
 from otterreach.controller.api.resource import METHOD_NOT_ALLOWED, NOT_FOUND
 from otterreach.controller.coordination_records import EventRecord, KeyRecord, event_name
-from otterreach.controller.group_histories import FollowedHistories
+from otterreach.controller.group_histories import HistoryCache
 from otterreach.controller.messages import ApiCall, ApiResponse
 from otterreach.controller.receipt_times import ReceiptTimes
 from otterreach.coordination import keyspace
@@ -35,7 +35,7 @@
     """Handles keys and the histories of their groups."""
 
     def __init__(
-        self, control: CoordinationState, histories: FollowedHistories, receipts: ReceiptTimes, retention_s: float
+        self, control: CoordinationState, histories: HistoryCache, receipts: ReceiptTimes, retention_s: float
     ) -> None:
         """:param retention_s: the minimum time for which an event is retained in its group's history"""
         self.control = control
--- a/otterreach/controller/api/router.py
+++ b/otterreach/controller/api/router.py
@@ -25,7 +25,7 @@
 from otterreach.controller.api.servers import ServerHeartbeats, ServerResource, merge_heartbeat, read_heartbeat
 from otterreach.controller.api.versions import VersionResource
 from otterreach.controller.api.watches import WatchResource
-from otterreach.controller.group_histories import FollowedHistories
+from otterreach.controller.group_histories import HistoryCache
 from otterreach.controller.messages import ApiCall, ApiResponse
 from otterreach.controller.planner import StoreMembers
 from otterreach.controller.receipt_times import ReceiptTimes
@@ -110,7 +110,7 @@
         self.forwarder = Forwarder(control)
         self.answers: Counter[AnswerKind] = Counter()
         published = follower.store
-        self.histories = histories = FollowedHistories()
+        self.histories = histories = HistoryCache()
         receipts = coordination.receipts
         self.resources: dict[str, Resource] = {
             CONFIGURATION: ConfigurationResource(control, published),
--- a/otterreach/controller/api/watches.py
+++ b/otterreach/controller/api/watches.py
@@ -7,7 +7,7 @@
 from otterreach.controller.api.coordination_fields import FieldError
 from otterreach.controller.api.coordination_resource import CoordinationResource
 from otterreach.controller.api.resource import METHOD_NOT_ALLOWED, UNAVAILABLE, ControlState
-from otterreach.controller.group_histories import FollowedHistories
+from otterreach.controller.group_histories import HistoryCache
 from otterreach.controller.messages import ApiCall, ApiResponse
 from otterreach.controller.watch_hub import TooManyWatchesError, WatchHub
 from otterreach.runtime.codes import Code, Failure
@@ -28,7 +28,7 @@
     returns the current revision immediately, or waits for the first put into an empty group.
     """
 
-    def __init__(self, control: ControlState, histories: FollowedHistories, hub: WatchHub) -> None:
+    def __init__(self, control: ControlState, histories: HistoryCache, hub: WatchHub) -> None:
         self.control = control
         self.histories = histories
         self.hub = hub
--- a/otterreach/controller/config.py
+++ b/otterreach/controller/config.py
@@ -22,10 +22,10 @@
 class Verdict(Enum):
     """The result for a change that neither yields a new configuration nor is rejected."""
 
-    ALREADY = "already"  # the same change has already been accepted: the response is 200, and nothing changes
+    REPEATED = "already"  # the same change has already been accepted: the response is 200, and nothing changes
 
 
-ALREADY = Verdict.ALREADY
+REPEATED = Verdict.REPEATED
 
 
 def parse_if_match(header: str | None) -> int | Failure:
@@ -42,7 +42,7 @@
 def check_change(
     method: str, body: bytes, current: Document | None, if_match: int, history: ChangeHistory
 ) -> Document | Verdict | Failure:
-    """Return the configuration that results from a PUT or PATCH, ALREADY for a repeat, or the reason of a rejection."""
+    """Return the configuration that results from a PUT or PATCH, or REPEATED, or the reason for rejecting it."""
     check = check_put if method == "PUT" else check_patch
     return check(body, current, if_match, history)
 
@@ -52,15 +52,15 @@
 ) -> Document | Verdict | Failure:
     """Return the body of a PUT as the next configuration.
 
-    The result is ALREADY if the body equals the current configuration or the same PUT has been accepted before.
+    The result is REPEATED if the body equals the current configuration or the same PUT has been accepted before.
     """
     if history.has(change_of("PUT", body, if_match)):
-        return ALREADY
+        return REPEATED
     raw = read_body(body)
     if isinstance(raw, Failure):
         return raw
     if current is not None and _same_value(raw, current):
-        return ALREADY
+        return REPEATED
     failure = validate(raw)
     if failure is None:
         failure = _check_order(ConfigurationRecord(raw).version, current, if_match, history)
@@ -70,13 +70,13 @@
 def check_patch(
     body: bytes, current: Document | None, if_match: int, history: ChangeHistory = EMPTY_HISTORY
 ) -> Document | Verdict | Failure:
-    """Return the current configuration with the body of a PATCH applied, or ALREADY if it has been accepted before.
+    """Return the current configuration with the body of a PATCH applied, or REPEATED if it has been accepted before.
 
     A PATCH that would change nothing is not necessarily a repeat: another operator's change may have had the same
     effect and more.
     """
     if history.has(change_of("PATCH", body, if_match)):
-        return ALREADY
+        return REPEATED
     patch = read_body(body)
     if isinstance(patch, Failure):
         return patch
--- a/otterreach/controller/config_schema.py
+++ b/otterreach/controller/config_schema.py
@@ -98,7 +98,7 @@
 
 @functools.cache
 def _decoder() -> Callable[[Any], ConfigurationSchema]:
-    from mashumaro.codecs.basic import BasicDecoder  # deferred: not needed at start-up
+    from mashumaro.codecs.basic import BasicDecoder  # deferred: a start without a configuration does not need it
     from mashumaro.dialect import Dialect
 
     class Strict(Dialect):
@@ -126,7 +126,7 @@
     return path or "configuration"
 
 
-def _typed(raw: Document) -> ConfigurationSchema | Failure:
+def _decode(raw: Document) -> ConfigurationSchema | Failure:
     for kind in ("routes", "backends"):
         rows = raw.get(kind)
         if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
@@ -137,11 +137,11 @@
         return Failure(Code.CONFIG_FIELD, f"{_field_path(error)}: missing or of the wrong type")
 
 
-def _refuse_constant(text: str) -> Any:
+def _reject_constant(text: str) -> Any:
     raise ValueError(f"{text} is no JSON")
 
 
-def _finite(text: str) -> float:
+def _parse_finite(text: str) -> float:
     value = float(text)
     if value in (float("inf"), float("-inf")):
         raise ValueError(f"{text} is out of range")
@@ -151,7 +151,7 @@
 def read_body(body: bytes) -> Document | Failure:
     """Parse a body as a JSON object in UTF-8 with finite numbers; return CONFIG_UNREADABLE if it is anything else."""
     try:
-        raw = json.loads(body.decode("utf-8"), parse_constant=_refuse_constant, parse_float=_finite)
+        raw = json.loads(body.decode("utf-8"), parse_constant=_reject_constant, parse_float=_parse_finite)
     except (ValueError, RecursionError) as error:
         return Failure(Code.CONFIG_UNREADABLE, f"body: {error}")
     if not isinstance(raw, dict):
@@ -193,7 +193,7 @@
 
     :returns: the first violation found; None if the configuration is valid
     """
-    configuration = _typed(raw)
+    configuration = _decode(raw)
     if isinstance(configuration, Failure):
         return configuration
     if configuration.gen <= 0:
--- a/otterreach/controller/event_collection.py
+++ b/otterreach/controller/event_collection.py
@@ -10,7 +10,7 @@
 from otterreach.controller.api.coordination_answers import MAX_STATE_BYTES
 from otterreach.controller.api.resource import ControlState
 from otterreach.controller.coordination_records import EventRecord, split_event_name
-from otterreach.controller.group_histories import FollowedHistories
+from otterreach.controller.group_histories import HistoryCache
 from otterreach.controller.name_cursor import NameCursor
 from otterreach.controller.receipt_times import ReceiptTimes
 from otterreach.runtime.records import delete, key_of
@@ -23,7 +23,7 @@
     """Deletes expired events. Runs on the primary."""
 
     def __init__(
-        self, control: ControlState, histories: FollowedHistories, receipts: ReceiptTimes, retention_s: float
+        self, control: ControlState, histories: HistoryCache, receipts: ReceiptTimes, retention_s: float
     ) -> None:
         """:param retention_s: the minimum time for which an event is retained in its group's history"""
         self.control = control
--- a/otterreach/controller/group_histories.py
+++ b/otterreach/controller/group_histories.py
@@ -39,7 +39,7 @@
         return None if slot is None else self.state.items.get(key_of(EventRecord, event_name(group, slot)))
 
 
-class FollowedHistories:
+class HistoryCache:
     """Cache of the histories of the current state. They are rebuilt only after the whole state has been replaced."""
 
     def __init__(self) -> None:
--- a/otterreach/controller/lock_collection.py
+++ b/otterreach/controller/lock_collection.py
@@ -13,7 +13,7 @@
 from otterreach.coordination.locks import is_expired
 from otterreach.runtime.records import delete, key_of
 
-KEPT_S = 60.0  # retention of a record after its hold has expired
+RETENTION_S = 60.0  # retention of a record after its hold has expired
 MAX_SCANNED = 256  # locks examined per run
 
 
@@ -38,4 +38,4 @@
         if record is None:
             return False
         age_s = self.receipts.age_s(state.items[key_of(LockRecord, name)])
-        return is_expired(record.hold, age_s - KEPT_S)
+        return is_expired(record.hold, age_s - RETENTION_S)
--- a/otterreach/controller/name_cursor.py
+++ b/otterreach/controller/name_cursor.py
@@ -13,13 +13,13 @@
 
     def __init__(self, kind: type[Record]) -> None:
         self.kind = kind
-        self._left: deque[str] = deque()  # names not yet returned in the current pass
+        self._remaining: deque[str] = deque()  # names not yet returned in the current pass
 
     def take(self, state: ReplicatedStore, limit: int) -> list[str]:
         """Return the next names, at most `limit`, each once per pass. The call after the last name starts a new pass.
 
         The result may contain names of items that were deleted since the pass began.
         """
-        if not self._left:
-            self._left.extend(state.names(self.kind))
-        return [self._left.popleft() for _ in range(min(limit, len(self._left)))]
+        if not self._remaining:
+            self._remaining.extend(state.names(self.kind))
+        return [self._remaining.popleft() for _ in range(min(limit, len(self._remaining)))]
--- a/otterreach/controller/planner.py
+++ b/otterreach/controller/planner.py
@@ -6,7 +6,7 @@
 failure (survival.py), as far as the live machines allow it; the number of replicas follows from that. Repairs, moves
 and retirements preserve the spread.
 
-A dead primary is replaced by a live backup immediately. A dead member stays in the record until a learner is in sync,
+A dead primary and a live backup swap roles immediately. A dead member stays in the record until a learner is in sync,
 because it may hold the only other replica; writes wait in the meantime.
 """
 
@@ -63,7 +63,7 @@
 
 
 def attainable(domains: Collection[FailureDomain], limits: SurviveLimits) -> SurviveLimits:
-    """Return the limits, reduced to the available zones and regions. The number of nodes is never reduced."""
+    """Return the limits, reduced to the available zones and regions. Tolerated node failures are never reduced."""
     zones = len({domain.zone for domain in domains})
     regions = len({domain.region for domain in domains})
     return SurviveLimits(
@@ -92,7 +92,7 @@
     chosen: list[str] = []
     while True:
         replicas = [*counted, *chosen]
-        candidates = _in_order_of_preference(partition, replicas, {*named, *chosen}, stores, load)
+        candidates = _candidates_by_preference(partition, replicas, {*named, *chosen}, stores, load)
         best = choose_replicas(replicas, candidates, stores.domains, limits)
         if not best:
             return chosen
@@ -100,7 +100,7 @@
         load[best[0]] += 1
 
 
-def _in_order_of_preference(
+def _candidates_by_preference(
     partition: int, replicas: list[str], named: set[str], stores: StoreMembers, load: Counter[str]
 ) -> list[str]:
     zones = {stores.domains[member].zone for member in replicas}
--- a/tests/controller/control_api_support.py
+++ b/tests/controller/control_api_support.py
@@ -86,7 +86,7 @@
         self.number += 1
         self._revision += REVISIONS_PER_EPOCH
         self.is_primary = True
-        self.commit()  # a new primary first replicates its document state
+        self.commit()  # a new primary first replicates its whole state
 
     def _resolve(self, done: bool) -> None:
         waiting, self._waiting = self._waiting, []
--- a/tests/controller/test_configuration.py
+++ b/tests/controller/test_configuration.py
@@ -14,7 +14,7 @@
 
 from otterreach.controller.change_history import ChangeHistory
 from otterreach.controller.config import (
-    ALREADY,
+    REPEATED,
     change_of,
     check_patch,
     check_put,
@@ -251,7 +251,7 @@
             check_put(body(changed(lambda c: c.update(gen=6))), BASE, 7), Code.CONFIG_OLD_NUMBER, "gen"
         )
 
-    def test_lost_race_is_told_as_one(self) -> None:
+    def test_a_lost_race_is_reported_as_one(self) -> None:
         """Two changes are based on the same version, and the losing one has the lower `gen`."""
         late = changed(lambda c: c.update(gen=6))
         self.assert_rejected(check_put(body(late), BASE, 5), Code.CONFIG_STALE_MATCH)
@@ -260,7 +260,7 @@
         blanks = json.dumps(BASE, indent=3).encode()
         for data in (body(BASE), blanks):
             for if_match in (5, 7):
-                self.assertIs(ALREADY, check_put(data, BASE, if_match))
+                self.assertIs(REPEATED, check_put(data, BASE, if_match))
         near = changed(route(0, timeoutMs=1500.0))
         self.assert_rejected(check_put(body(near), BASE, 5), Code.CONFIG_STALE_MATCH)
 
@@ -268,7 +268,7 @@
         """A retry of an accepted change whose answer was lost gets 200, even after another change was accepted."""
         newest = changed(lambda c: c.update(gen=9))
         history = remembering("PUT", body(BASE), 5)
-        self.assertIs(ALREADY, check_put(body(BASE), newest, 5, history))
+        self.assertIs(REPEATED, check_put(body(BASE), newest, 5, history))
         self.assert_rejected(check_put(body(BASE), newest, 6, history), Code.CONFIG_STALE_MATCH)
         self.assert_rejected(check_patch(body(BASE), newest, 5, history), Code.CONFIG_STALE_MATCH)
 
@@ -295,7 +295,7 @@
         for data in (body(value), body(BASE | {"routes": [value]}), body({"gen": 9, "upsert": value})):
             for check in (check_put, check_patch):
                 found = check(data, BASE, 7)
-                self.assertTrue(found is ALREADY or isinstance(found, dict | Failure))
+                self.assertTrue(found is REPEATED or isinstance(found, dict | Failure))
 
 
 class PatchTest(RejectionCase):
@@ -311,7 +311,7 @@
         self.assertEqual((9, BASE["backends"], BASE["caps"]), (found["gen"], found["backends"], found["caps"]))
         self.assertEqual(before, BASE)
         history = remembering("PATCH", body(patch), 7)
-        self.assertIs(ALREADY, check_patch(body(patch), found, 7, history))
+        self.assertIs(REPEATED, check_patch(body(patch), found, 7, history))
 
     def test_other_patch_that_would_change_nothing(self) -> None:
         """Of two changes of one version, of which the second is a subset of the first, only one was accepted."""
@@ -339,7 +339,7 @@
     def test_removing_what_is_not_there(self) -> None:
         self.assertEqual(BASE | {"gen": 8}, self.patched({"gen": 8, "remove": {"routes": ["old"], "shades": ["x"]}}))
 
-    def test_places_change_hands(self) -> None:
+    def test_a_new_route_may_reuse_the_prefix_of_a_removed_one(self) -> None:
         moved = dict(BASE["routes"][0], name="again")
         found = self.patched({"gen": 9, "upsert": {"routes": [moved]}, "remove": {"routes": ["read"]}})
         self.assertEqual(["write", "train", "again"], [row["name"] for row in found["routes"]])
@@ -384,7 +384,7 @@
     def test_same_again_after_another(self) -> None:
         patch = body({"gen": 9, "upsert": {"routes": [NEW]}})
         newest = BASE | {"gen": 12}
-        self.assertIs(ALREADY, check_patch(patch, newest, 7, remembering("PATCH", patch, 7)))
+        self.assertIs(REPEATED, check_patch(patch, newest, 7, remembering("PATCH", patch, 7)))
         self.assert_rejected(check_patch(patch, newest, 7, remembering("PATCH", patch, 8)), Code.CONFIG_STALE_MATCH)
         self.assert_rejected(check_put(patch, newest, 7, remembering("PATCH", patch, 7)), Code.CONFIG_FIELD)
 
--- a/tests/controller/test_control_api.py
+++ b/tests/controller/test_control_api.py
@@ -209,7 +209,7 @@
 
         self.run_scenario(scenario)
 
-    def test_room_for_a_day(self) -> None:
+    def test_the_history_covers_the_changes_of_a_day(self) -> None:
         self.assertGreater(change_history.CHANGES_REMEMBERED, 3 * 1300)
 
     def test_a_state_of_before_there_was_a_history(self) -> None:
--- a/tests/controller/test_control_api_resources.py
+++ b/tests/controller/test_control_api_resources.py
@@ -115,7 +115,7 @@
 
         self.run_scenario(scenario)
 
-    def test_silence_is_no_reason_to_refuse(self) -> None:
+    def test_unresponsive_members_are_no_reason_to_reject(self) -> None:
         async def scenario() -> None:
             _, resource, living = self.create(3)
             living.discard("s1#d1")
@@ -125,7 +125,7 @@
 
         self.run_scenario(scenario)
 
-    def test_refused_only_because_of_what_lasts(self) -> None:
+    def test_rejected_only_because_of_committed_state(self) -> None:
         """An order must not be rejected because of another one that may never be committed."""
 
         async def scenario() -> None:
--- a/tests/controller/test_control_api_router.py
+++ b/tests/controller/test_control_api_router.py
@@ -68,7 +68,7 @@
 
         self.run_scenario(scenario)
 
-    def test_passed_on(self) -> None:
+    def test_forwarding(self) -> None:
         async def scenario() -> None:
             control = FakeControl()
             control.is_primary = False
--- a/tests/controller/test_coordination_bounds.py
+++ b/tests/controller/test_coordination_bounds.py
@@ -18,7 +18,7 @@
 RESERVED_BYTES = 200
 HISTORY_S = 3.0
 COLLECTED_WITHIN_S = 2.0  # from the end of the retention period
-KEPT_S = HISTORY_S + 10.0  # retention of events; later puts may overwrite them after that
+EVENT_RETENTION_S = HISTORY_S + 10.0  # retention of events; later puts may overwrite them after that
 
 
 class BoundsTest(unittest.TestCase):
@@ -58,7 +58,7 @@
             self.assert_limit(await calls.put(cluster.boxes[1], "g1.a", "v6", None))
             self.assertEqual({"rev": 1}, (await calls.put(cluster.boxes[1], "g2.a", "w1", None)).body)
             self.assertEqual({"rev": 1}, (await calls.put(cluster.boxes[2], "g1.a", "v1", None)).body, "sent again")
-            await asyncio.sleep(KEPT_S + 0.1)
+            await asyncio.sleep(EVENT_RETENTION_S + 0.1)
             self.assertEqual({"rev": 6}, (await calls.put(cluster.boxes[1], "g1.a", "v6", None)).body)
 
         with mock.patch.object(keys, "MAX_GROUP_EVENTS", 5):
@@ -70,7 +70,7 @@
             value = "x" * 1000
             answers = [await calls.put(cluster.boxes[0], "g1.a", f"{value}{n}", None) for n in range(6)]
             self.assertEqual([200] * 5 + [429], [answer.status for answer in answers])
-            await asyncio.sleep(KEPT_S + 0.1)
+            await asyncio.sleep(EVENT_RETENTION_S + 0.1)
             answers = [await calls.put(cluster.boxes[0], "g1.a", f"{value}{n}", None) for n in range(6, 11)]
             self.assertEqual([200] * 5, [answer.status for answer in answers])
 
@@ -91,7 +91,7 @@
                 self.assert_limit(answer)
                 rounds.append(last + 1 - first)
                 self.assertEqual(200, (await calls.watch(cluster.boxes[1], "g1", first - 1 or 1)).status)
-                await asyncio.sleep(KEPT_S + COLLECTED_WITHIN_S)
+                await asyncio.sleep(EVENT_RETENTION_S + COLLECTED_WITHIN_S)
             self.assertGreater(min(rounds), 5)
             self.assertEqual({"events": [], "rev": last}, (await calls.watch(cluster.boxes[1], "g1", last)).body)
             for box in [cluster.primary, *cluster.backups]:
@@ -164,9 +164,9 @@
         async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             ended = (await calls.acquire(cluster.boxes[0], "ended", "a1", 500)).body["fence"]
-            long_ms = 1000 * int(lock_collection.KEPT_S + COLLECTED_WITHIN_S + 60)
+            long_ms = 1000 * int(lock_collection.RETENTION_S + COLLECTED_WITHIN_S + 60)
             held = (await calls.acquire(cluster.boxes[0], "held", "a1", long_ms)).body["fence"]
-            await asyncio.sleep(lock_collection.KEPT_S - 5)
+            await asyncio.sleep(lock_collection.RETENTION_S - 5)
             state = cluster.control(cluster.primary).state
             self.assertIsNotNone(state.record(LockRecord, "ended"), "for a while a late renewal is told that it lost")
             await asyncio.sleep(COLLECTED_WITHIN_S + 5 + 1)
--- a/tests/controller/test_coordination_keys.py
+++ b/tests/controller/test_coordination_keys.py
@@ -9,7 +9,7 @@
 from tests.controller.coordination_support import Coordination
 
 HISTORY_S = 3.0
-KEPT_S = HISTORY_S + 10.0  # retention of events; later puts may overwrite them after that
+EVENT_RETENTION_S = HISTORY_S + 10.0  # retention of events; later puts may overwrite them after that
 
 
 class KeysTest(unittest.TestCase):
@@ -76,7 +76,7 @@
             calls = Coordination(cluster)
             first = await calls.put(cluster.boxes[0], "g1.a", "v1", 0)
             for number in range(6):
-                await asyncio.sleep(KEPT_S + 0.5)
+                await asyncio.sleep(EVENT_RETENTION_S + 0.5)
                 await calls.put(cluster.boxes[0], f"g1.b{number}", f"w{number}", 0)
             self.assertEqual(410, (await calls.watch(cluster.boxes[1], "g1", 1)).status)
             again = await calls.put(cluster.boxes[1], "g1.a", "v1", 0)
--- a/tests/controller/test_coordination_watches.py
+++ b/tests/controller/test_coordination_watches.py
@@ -12,7 +12,7 @@
 FAILOVER_S = 3.0
 AT_ONCE_S = 0.03  # a few network hops
 HISTORY_S = 5.0
-KEPT_S = HISTORY_S + 10.0  # retention of events; later puts may overwrite them after that
+EVENT_RETENTION_S = HISTORY_S + 10.0  # retention of events; later puts may overwrite them after that
 LONG_MS = 20_000
 
 
@@ -228,7 +228,7 @@
         async def scenario(cluster: Cluster) -> None:
             calls = Coordination(cluster)
             await put_all(calls, "g1", 1, 4)
-            await asyncio.sleep(KEPT_S - HISTORY_S / 2)
+            await asyncio.sleep(EVENT_RETENTION_S - HISTORY_S / 2)
             given_at = cluster.world.now
             past = (await calls.watch(cluster.boxes[0], "g1", 0)).body["rev"]
             box = cluster.primary
--- a/tests/controller/test_name_cursor.py
+++ b/tests/controller/test_name_cursor.py
@@ -12,7 +12,7 @@
 from otterreach.controller.api.resource import ControlState
 from otterreach.controller.coordination_records import EventRecord, LockRecord, NumberRecord, event_name
 from otterreach.controller.event_collection import EventCollection
-from otterreach.controller.group_histories import FollowedHistories
+from otterreach.controller.group_histories import HistoryCache
 from otterreach.controller.hold_checkpoints import MAX_CHECKPOINTS, HoldCheckpoints
 from otterreach.controller.lock_collection import LockCollection
 from otterreach.controller.name_cursor import NameCursor
@@ -98,7 +98,7 @@
     control = Control()
     events = {slot: Event("g.a", f"v{slot}", slot + 1, None) for slot in range(MANY)}
     control.propose([put(EventRecord(event), event_name("g.", slot)) for slot, event in events.items()])
-    histories = FollowedHistories()
+    histories = HistoryCache()
     histories.of(control.state)
     collection = EventCollection(cast(ControlState, control), histories, control.receipts, retention_s=30.0)
     collection.collect()
--- a/tests/controller/test_retirement.py
+++ b/tests/controller/test_retirement.py
@@ -143,7 +143,7 @@
 
         run_scenario(scenario)
 
-    def test_nothing_is_said_before_it_is_known_who_lives(self) -> None:
+    def test_no_definite_answer_until_the_live_members_are_known(self) -> None:
         async def scenario() -> None:
             fixture = Fixture()
             fixture.part(1, "s3#d", "s2#d")
