--- a/otterreach/jobstore/backup.py
+++ b/otterreach/jobstore/backup.py
@@ -1,6 +1,7 @@
-"""The backup's side of a partition: what a primary of a newer or the same epoch may write here and ask.
+"""The backup's side of the replication: handlers of the messages that a primary of the same or a newer epoch sends.
 
-Every message names the epoch and the member it is meant for; what is older or meant for another disk is rejected.
+Every message names its epoch and the member that it is addressed to. Messages of an older epoch, or addressed to a
+member with another disk, are rejected.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class BackupHandlers:
-    """Handles the messages of other primaries."""
+    """Handles the messages of primaries on other machines."""
 
     def __init__(
         self,
@@ -43,7 +44,10 @@
         endpoint.on(PartitionDigests, self.handle_digests)
 
     def _admit(self, partition: int, epoch: int, member: str) -> PartitionReplica | Failure:
-        """The replica that a primary may write to; it is in the epoch then, on disk with the next sync."""
+        """Return the replica that a primary may write to, or the Failure that rejects the message.
+
+        The replica enters the epoch; that is on disk after the next sync.
+        """
         if member != self.context.member or not 0 <= partition < PARTITIONS:
             return Failure(Code.NOT_MEMBER, self.context.member)
         replica = self.replicas[partition]
@@ -60,7 +64,7 @@
         return replica
 
     async def handle_append(self, link: Link, request: AppendEntries) -> ReplicaPosition | Failure:
-        """Append entries behind the position that the primary names, if the log is there."""
+        """Append entries after the position that the primary names, if the log is at that position."""
         replica = self._admit(request.partition, request.epoch, request.member)
         if isinstance(replica, Failure):
             return replica
@@ -75,7 +79,7 @@
         return await self._position_on_disk(replica, request.epoch)
 
     async def handle_install(self, link: Link, request: PartitionInstall) -> ReplicaPosition | Failure:
-        """Load a chunk of a complete replica; the last one puts it in place."""
+        """Load a chunk of a complete replica. The last chunk replaces the current replica with it."""
         replica = self._admit(request.partition, request.epoch, request.member)
         if isinstance(replica, Failure):
             return replica
@@ -88,7 +92,7 @@
             return Failure(Code.NOT_SYNCED, "another installation")
         if request.chunk not in (staged.next_chunk, staged.next_chunk - 1):
             return Failure(Code.NOT_SYNCED, "chunks out of order")
-        if request.chunk == staged.next_chunk - 1:  # sent again: its answer was lost
+        if request.chunk == staged.next_chunk - 1:  # a retry, since its answer was lost
             return await self._position_on_disk(replica, request.epoch)
         staged.next_chunk += 1
         replica.load(request.records)
@@ -107,13 +111,13 @@
         return ReplicaPosition(epoch, position.index, position.chain)
 
     async def handle_ping(self, link: Link, ping: PartitionPing) -> PartitionEpochs | Failure:
-        """Tell the epochs of some partitions."""
+        """Return the epochs of the requested partitions."""
         if ping.member != self.context.member:
             return Failure(Code.NOT_MEMBER, self.context.member)
         return PartitionEpochs([self.replicas[partition % PARTITIONS].epoch for partition in ping.partitions])
 
     async def handle_digests(self, link: Link, request: PartitionDigests) -> Done | Failure:
-        """Compare the jobs at a position."""
+        """Compare the digests of the jobs, if this replica is at the same position."""
         replica = self._admit(request.partition, request.epoch, request.member)
         if isinstance(replica, Failure):
             return replica
--- a/otterreach/jobstore/installation.py
+++ b/otterreach/jobstore/installation.py
@@ -1,8 +1,8 @@
-"""Transfers a complete replica of a partition to a member that lacks something: in chunks, beside all else.
+"""Installation: the transfer of a complete replica to a member whose replica lacks entries, in chunks.
 
-The jobs are held as they were at one position, and encoded one by one with turns of the loop between. A chunk without
-an answer is sent again, over whatever connection there is, so that what has arrived is not sent twice; its time-out is
-for this chunk alone. The replica is complete at the other end once its END is on disk there.
+The jobs are a copy as of one position. They are encoded one by one, and the event loop runs other work in between. Only
+a chunk without an answer is sent again, over whatever connection there is then; chunks that have arrived are not
+repeated. The time-out applies to one chunk. The replica is complete at the receiver once its END record is on disk.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.log import log
 
-CHUNK_BYTES = 256 * 1024  # of entries in one message, about: pings share the connection and wait behind it
-SLOWEST_BYTES_PER_S = 64 * 1024  # a link or machine that is slower than this makes no progress
+CHUNK_BYTES = 256 * 1024  # approximate limit per message; pings share the connection and wait behind it
+SLOWEST_BYTES_PER_S = 64 * 1024  # below this throughput of the link or the receiver, chunks time out
 RETRY_S = 0.1
 NO_ANSWER = (Code.TIMED_OUT, Code.CLOSED, Code.UNREACHABLE)
 
 
 def transfer_timeout_s(size: int) -> float:
-    """How long a call with so many bytes may take, on the slowest link that counts."""
+    """Return the time-out of a call that carries `size` bytes at the lowest supported throughput."""
     return CALL_TIMEOUT_S + size / SLOWEST_BYTES_PER_S
 
 
 def size_of(entries: list[Entry]) -> int:
-    """Bytes of entries in a message, about."""
+    """Return the approximate size of entries in a message, in bytes."""
     return sum(len(entry.body) for entry in entries)
 
 
 def chunks_of(entries: Iterator[Entry]) -> Iterator[list[Entry]]:
-    """Chunks of about CHUNK_BYTES; an entry that is larger is one by itself."""
+    """Split entries into chunks of about CHUNK_BYTES. A larger entry forms a chunk by itself."""
     chunk: list[Entry] = []
     size = 0
     for entry in entries:
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstallationTarget:
-    """Who is filled, under which leadership."""
+    """The member that is filled, and the leadership under which this happens."""
 
     partition: int
     epoch: int
@@ -60,12 +60,12 @@
 
 
 class Installation:
-    """One complete replica to one member."""
+    """The transfer of one complete replica to one member."""
 
     def __init__(
         self, context: ReplicationContext, target: InstallationTarget, position: LogPosition, jobs: list[Job]
     ) -> None:
-        """:param jobs: as they are at `position`; they must not change any more."""
+        """:param jobs: the jobs as of `position`; they must not change any more."""
         self.context = context
         self.target = target
         self.position = position
@@ -74,7 +74,7 @@
         self.sent_at = 0.0  # when the last chunk was sent
 
     async def run(self) -> ReplicaPosition | Failure:
-        """The member's position once all of it is on disk there, or the Failure that ended it."""
+        """Transfer the replica. Return the member's position once all of it is on disk there, or the Failure."""
         target = self.target
         log(
             "install",
@@ -99,7 +99,7 @@
             number += 1
 
     async def _deliver(self, number: int, chunk: list[Entry], last: bool) -> ReplicaPosition | Failure:
-        """Send a chunk until there is an answer to it."""
+        """Send a chunk, and retry until it is answered."""
         target = self.target
         request = PartitionInstall(
             partition=target.partition,
--- a/otterreach/jobstore/leadership.py
+++ b/otterreach/jobstore/leadership.py
@@ -1,7 +1,7 @@
-"""Being primary of a partition in one epoch: what its members have on disk, and what may be answered by that.
+"""Leadership of a partition: the role of its primary in one epoch.
 
-A write is answered once every required member has it on disk; a read needs every required member's confirmation, from a
-moment ago, that it is still in this epoch. docs/system.md, "Partitions of batch jobs".
+A write is acknowledged once every required member has synced it to disk. A read requires that every required member has
+recently confirmed that it is still in this epoch. See docs/system.md, "Partitions of batch jobs".
 """
 
 from __future__ import annotations
@@ -18,41 +18,41 @@
 from otterreach.runtime.codes import Failure
 from otterreach.runtime.records import PartitionRecord
 
-REPORT_RETRY_S = 0.2  # between reports of a learner that is in sync, until one is accepted
-REPORT_REPEAT_S = 1.0  # the same, after one was accepted: the new record may be on its way
+REPORT_RETRY_S = 0.2  # interval between ReplicaInSync reports until one is accepted
+REPORT_REPEAT_S = 1.0  # interval after an accepted report: the new record may be on its way
 
 
 class LeadershipListener(Protocol):
-    """Is notified of what happens to partitions."""
+    """Receives notifications about partitions."""
 
     def committed(self, replica: PartitionReplica, change: JobChange) -> None:
-        """An entry is at all replicas."""
+        """Called when an entry is on the disks of all required members."""
 
     def became_leader(self, replica: PartitionReplica) -> None:
-        """This machine serves the partition from now on, perhaps as before under a lower epoch."""
+        """Called when this machine starts to serve the partition; it may have served it under a lower epoch as well."""
 
     def stepped_down(self, replica: PartitionReplica) -> None:
-        """This machine no longer serves the partition."""
+        """Called when this machine no longer serves the partition."""
 
 
 class LeadershipOwner(Protocol):
     """Starts and ends leaderships."""
 
     def sync_soon(self, replica: PartitionReplica) -> None:
-        """Entries of this replica are to be synced."""
+        """Schedule a sync of this replica's entries."""
 
     def step_down(self, replica: PartitionReplica, reason: str) -> None:
-        """End the leadership of this replica's partition."""
+        """End this machine's leadership of the replica's partition."""
 
 
 def finish(future: asyncio.Future[None]) -> None:
-    """Let whoever waits go on."""
+    """Resolve a future unless it is done already."""
     if not future.done():
         future.set_result(None)
 
 
 class PartitionLeader:
-    """Being primary of a partition in one epoch."""
+    """This machine's leadership of one partition in one epoch."""
 
     def __init__(
         self,
@@ -69,9 +69,9 @@
         self.record = record
         self.epoch = record.epoch
         self.session = context.random.getrandbits(48) | 1
-        self.first_index = replica.index  # it answers nothing until all replicas have the entries up to here
-        self.synced_index = -1  # on the own disk
-        self.committed_index = -1  # at all members
+        self.first_index = replica.index  # nothing is served until all required members have the entries before this
+        self.synced_index = -1  # entries on the local disk
+        self.committed_index = -1  # entries on the disks of all required members
         self.ended = False
         self.began_at = context.now()
         self.streams: dict[str, ReplicaStream] = {}  # by member
@@ -79,7 +79,7 @@
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
 
     async def begin(self) -> None:
-        """The epoch on disk first, then the other replicas."""
+        """Sync the epoch to the local disk, then start the replication to the other members."""
         index = self.replica.index
         if not await self.context.disk.sync() or self.ended:
             return
@@ -88,7 +88,7 @@
         self.advance_commit()
 
     def update(self, record: PartitionRecord) -> None:
-        """Start and end streams; only learners may change within an epoch."""
+        """Start and stop streams as the record requires. Within an epoch only the learners may change."""
         self.record = record
         wanted = {*record.backups, *record.learners, *self.replica.in_sync} - {self.context.member}
         for member in wanted - set(self.streams):
@@ -100,7 +100,7 @@
             self._tasks.pop(member).cancel()
 
     def end(self) -> None:
-        """The leadership is over: whoever waits for an index goes on without it."""
+        """End the leadership and release all waiters, whether or not their entries were committed."""
         self.ended = True
         for task in self._tasks.values():
             task.cancel()
@@ -111,42 +111,48 @@
             finish(future)
 
     def superseded(self, reason: str) -> None:
-        """A member is in a higher epoch: this one is over."""
+        """Step down because a member is in a higher epoch."""
         self.owner.step_down(self.replica, f"superseded: {reason}")
 
-    # What may be answered ------------------------------------------------------------------------
+    # Confirmation by the members -----------------------------------------------------------------
 
     @property
     def required(self) -> list[str]:
-        """The members that writes and reads wait for: a learner too, once the controller may make it a backup."""
+        """The members whose acknowledgements writes and reads require.
+
+        Learners in sync are among them, since the controller may make them backups at any time.
+        """
         return [*self.record.backups, *(self.replica.in_sync - set(self.record.backups))]
 
     def age_s(self) -> float:
-        """Seconds since all members were last surely in this epoch: nobody else was primary then."""
+        """Return the seconds since all required members were last known to be in this epoch.
+
+        No other process can have been primary at that time.
+        """
         now = self.context.now()
         confirmed = [self.streams[m].confirmed_at if m in self.streams else NEVER_S for m in self.required]
         return now - min(confirmed, default=now)
 
     @property
     def has_enough_backups(self) -> bool:
-        """Whether the record names as many as are to survive."""
+        """True if the record names as many backups as the setting `survive.nodes` requires."""
         return len(self.record.backups) >= self.context.survive_nodes
 
     @property
     def is_serving(self) -> bool:
-        """Whether it accepts writes; they complete once they are at all members."""
+        """True if writes are accepted here; they complete once all required members have them on disk."""
         disk_works = self.context.journal.failed is None
         return not self.ended and self.replica.state is ReplicaState.SERVING and disk_works
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether it is surely the only primary now: it answers reads, and lets items run."""
+        """True if this is known to be the only primary at present: it answers reads and lets items run."""
         return self.is_serving and self.age_s() < self.context.max_confirmation_age_s
 
     # Writes --------------------------------------------------------------------------------------
 
     def append(self, entry: Entry, parsed: Job | None = None) -> int:
-        """Append an entry at all replicas. Returns the index to wait for."""
+        """Append an entry to the log and replicate it. Return the index to wait for."""
         index = self.replica.append(entry, parsed)
         self.owner.sync_soon(self.replica)
         for stream in self.streams.values():
@@ -154,18 +160,18 @@
         return index
 
     def waiter(self, index: int) -> asyncio.Future[None]:
-        """Done once the index is at all members, or the leadership is over."""
+        """Return a future that resolves once the index is committed or the leadership is over."""
         future: asyncio.Future[None] = self.context.loop.create_future()
         self._waiters.append((index, future))
         return future
 
     def synced(self, index: int) -> None:
-        """The own disk has the entries up to here."""
+        """Record that the local disk has the entries before this index."""
         self.synced_index = max(self.synced_index, index)
         self.advance_commit()
 
     def replica_advanced(self, stream: ReplicaStream) -> None:
-        """Another replica has more on disk."""
+        """Handle the acknowledgement of entries by another replica."""
         is_learner = stream.member in self.record.learners or stream.member in self.replica.in_sync
         if is_learner and stream.acknowledged >= self.replica.index and not stream.reporting_in_sync:
             stream.reporting_in_sync = True
@@ -174,7 +180,10 @@
         self.advance_commit()
 
     async def _report_in_sync(self, stream: ReplicaStream) -> None:
-        """From here on writes wait for it, so that the controller may make it a backup at any time."""
+        """Report a learner to the controller until it is a backup.
+
+        Writes wait for it from here on, so the controller may make it a backup at any time.
+        """
         request = ReplicaInSync(self.replica.partition, self.epoch, stream.member)
         if not await self.context.disk.sync():
             return
@@ -187,7 +196,10 @@
         return is_current and stream.member not in self.record.backups
 
     def advance_commit(self) -> None:
-        """See how far all members are; the one place where entries become visible."""
+        """Commit the entries that all required members have on disk.
+
+        This is the only place where entries become visible to readers.
+        """
         if self.ended:
             return
         acknowledged = [self.streams[m].acknowledged if m in self.streams else -1 for m in self.required]
--- a/otterreach/jobstore/member_pings.py
+++ b/otterreach/jobstore/member_pings.py
@@ -1,7 +1,7 @@
-"""Heartbeats of a primary to the members of its partitions: one ping for each machine.
+"""Heartbeats of a primary to the members of its partitions, one ping per machine.
 
-A ping covers all partitions that both share. An answer makes reads possible; a member that is silent is reported to the
-controller, which places another replica.
+A ping covers all partitions that both machines share. The answer confirms their epochs, which reads depend on. A member
+that does not answer is reported to the controller, which places another replica.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 PING_INTERVAL_S = 0.15
 PING_TIMEOUT_S = 0.4
-LOST_S = 0.6  # a member silent for so long is reported to the controller
+LOST_S = 0.6  # a member that has not answered for this time is reported to the controller
 REPORT_INTERVAL_S = 0.3
 MAX_REPORTED_S = 1e6
 
 
 class MemberPings:
-    """For all partitions that this machine is primary of."""
+    """Sends the pings for all partitions that this machine is primary of."""
 
     def __init__(self, context: ReplicationContext, leaders: Mapping[int, PartitionLeader]) -> None:
         self.context = context
         self.leaders = leaders
-        self._in_flight: set[str] = set()  # members that have not answered yet
+        self._in_flight: set[str] = set()  # members with a ping that is not yet answered
 
     async def run(self) -> None:
-        """Ping the members of all partitions led here; for ever."""
+        """Ping the members of all partitions led here, until cancelled."""
         while True:
             for member, leaders in self._leaders_by_member().items():
                 if member not in self._in_flight:
@@ -65,7 +65,7 @@
         for leader, epoch in zip(leaders, epochs, strict=False):
             stream = leader.streams.get(member)
             if epoch > leader.epoch and not leader.ended:
-                leader.superseded(f"{member} is in {epoch}")
+                leader.superseded(f"{member} is in epoch {epoch}")
             elif epoch == leader.epoch and stream:
                 stream.confirm(sent_at)
 
--- a/otterreach/jobstore/partition_replica.py
+++ b/otterreach/jobstore/partition_replica.py
@@ -1,7 +1,7 @@
-"""One replica of a partition: its state, the epoch it is in, its log and the batch jobs that the log gives.
+"""A replica of one partition: its state, its epoch, its log, and the table of batch jobs that results from the log.
 
-The position (index, chain) is the count of entries and a hash over all of them, so that two replicas at the same
-position hold the same, whoever wrote it. No network in here.
+A position (index, chain) is the number of entries and a hash over all of them: two replicas at the same position hold
+the same entries, whichever primary wrote them. This module does no network I/O.
 """
 
 from __future__ import annotations
@@ -36,25 +36,25 @@
 from otterreach.runtime.log import log
 from otterreach.runtime.records import PartitionRecord
 
-CHAIN_BYTES = 7  # fits a message's signed number
+CHAIN_BYTES = 7  # fits into a signed 64-bit integer of a message
 
 
 class RecordLog(Protocol):
-    """The part of the journal that a replica uses."""
+    """The part of the journal's interface that a replica uses."""
 
     def append(self, kind: int, payload: bytes) -> None:
-        """Queue a record; it is on disk with the next sync."""
+        """Queue a record; it is on disk after the next sync."""
 
 
 class ReplicaState(Enum):
-    """The part that a replica takes in its epoch."""
+    """The role of a replica in its epoch."""
 
     ABSENT = "absent"
-    LEARNER = "learner"  # to be filled by the primary
+    LEARNER = "learner"  # is being filled by the primary
     BACKUP = "backup"
-    SYNCING = "primary-syncing"  # answers nothing until all backups are where it is
+    SYNCING = "primary-syncing"  # answers nothing until all backups have its entries
     SERVING = "primary-serving"
-    FENCED = "fenced"  # has taken part, and another epoch goes on without it
+    FENCED = "fenced"  # took part in an epoch; a later epoch continues without it
 
 
 TRANSITIONS: dict[ReplicaState, set[ReplicaState]] = {
@@ -78,23 +78,23 @@
 
 
 def next_chain(chain: int, entry: Entry) -> int:
-    """The hash over all entries, this one included."""
+    """Return the hash over all entries up to and including this one."""
     digest = hashlib.blake2b(entry.body, digest_size=CHAIN_BYTES, key=struct.pack("<QB", chain, entry.kind))
     return int.from_bytes(digest.digest(), "little")
 
 
 @dataclass(slots=True)
 class StagedReplica:
-    """A complete replica that is being transferred; it replaces the present one at its end."""
+    """A complete replica that is being received. Once it is complete it replaces the current one."""
 
     token: int  # of the installation
     position: LogPosition
     jobs: JobTable = field(default_factory=JobTable)
-    entries: list[Entry] = field(default_factory=list)  # for a rewrite of the journal meanwhile
+    entries: list[Entry] = field(default_factory=list)  # for a rewrite of the journal during the transfer
     next_chunk: int = 0
 
     def load(self, entry: Entry, now: float) -> None:
-        """One more entry of it."""
+        """Apply one more entry of the replica."""
         self.entries.append(entry)
         change = self.jobs.apply(entry, len(self.entries), now)
         if change:
@@ -102,10 +102,10 @@
 
 
 class PartitionReplica:
-    """A partition at this machine.
+    """The replica of one partition on this machine.
 
-    More than 20 methods: all that is journalled of a partition is written and replayed here, so that disk and memory
-    can't differ.
+    The class has more than 20 methods because all journal records of a partition are written and replayed here, so that
+    the states on disk and in memory can't diverge.
     """
 
     def __init__(self, partition: int, journal: RecordLog, now: Callable[[], float]) -> None:
@@ -113,32 +113,32 @@
         self.journal = journal
         self.now = now
         self.state = ReplicaState.ABSENT
-        self.epoch = 0  # it takes part in nothing lower
-        self.placement: PartitionRecord | None = None  # of this epoch, once known
+        self.epoch = 0  # the replica takes part in no lower epoch
+        self.placement: PartitionRecord | None = None  # the record of this epoch, once known
         self.in_sync: set[str] = set()  # learners of this epoch that writes wait for
-        self.uninitialised = True  # it was never complete
+        self.uninitialised = True  # no replica on this disk was ever complete
         self.is_complete = False
         self.index = 0
         self.chain = 0
         self.jobs = JobTable()
-        self.session = 0  # of the primary whose entries are accepted
+        self.session = 0  # session of the primary whose entries are accepted
         self.staged: StagedReplica | None = None
-        self.history_generation = 0  # rises when the log is replaced: what was waited for may be gone
-        self.retained_from = 0  # entries from this index on are still needed by another replica
+        self.history_generation = 0  # incremented when the log is replaced: entries that writers wait for may be gone
+        self.retained_from = 0  # another replica still needs the entries from this index on
         self.fenced_at = 0.0
         self._recent = RecentEntries()
-        self._uncommitted: deque[tuple[int, JobChange]] = deque()  # with the index behind the entry
+        self._uncommitted: deque[tuple[int, JobChange]] = deque()  # changes, with the index after their entry
 
     # State ---------------------------------------------------------------------------------------
 
     def become(self, state: ReplicaState, reason: str) -> None:
-        """The one function that changes the state."""
+        """Change the state. No other function does."""
         old = self.state
         if old is state:
             return
-        if state not in TRANSITIONS[old]:  # a primary or a member under an older epoch: that ends first
+        if state not in TRANSITIONS[old]:  # the role in an older epoch has to end first
             if state not in TRANSITIONS[ReplicaState.FENCED]:
-                raise ValueError(f"a replica never goes from {old} to {state}")
+                raise ValueError(f"invalid transition of a partition replica from {old} to {state}")
             self.become(ReplicaState.FENCED, reason)
         self.state = state
         if state is ReplicaState.FENCED:
@@ -157,16 +157,19 @@
 
     @property
     def is_primary(self) -> bool:
-        """Whether this replica leads its partition."""
+        """True if this replica leads its partition."""
         return self.state in (ReplicaState.SYNCING, ReplicaState.SERVING)
 
     @property
     def position(self) -> LogPosition:
-        """How far the log is; NO_POSITION if this replica is not complete."""
+        """The position at the end of the log; NO_POSITION if this replica is not complete."""
         return LogPosition(self.index, self.chain) if self.is_complete else NO_POSITION
 
     def promise(self, epoch: int) -> None:
-        """Take part in nothing lower; on disk with the next sync, before anything is done under it."""
+        """Promise to take part in no epoch lower than this one.
+
+        The promise is on disk after the next sync, before anything is done in this epoch.
+        """
         if epoch > self.epoch:
             self.epoch = epoch
             self.placement = None
@@ -175,7 +178,7 @@
             self._record_epoch()
 
     def add_in_sync(self, member: str) -> None:
-        """Writes wait for this learner from now on; on disk with the next sync."""
+        """Make writes wait for this learner from now on; on disk after the next sync."""
         self.in_sync.add(member)
         self._record_epoch()
 
@@ -186,7 +189,10 @@
         return EpochRecord(self.partition, self.epoch, frozenset(self.in_sync)).encode()
 
     def start_empty(self) -> None:
-        """Begin with nothing, as a member that never had a replica: an acknowledged write would have waited for it."""
+        """Start as a complete, empty replica, on a member that never had one.
+
+        No write can have been acknowledged, since it would have waited for this member.
+        """
         self.journal.append(*begin_record(self.partition, START))
         self.journal.append(*boundary_record(RecordKind.END, self.partition))
         self._replace(JobTable(), START)
@@ -194,7 +200,7 @@
     # The log -------------------------------------------------------------------------------------
 
     def append(self, entry: Entry, parsed: Job | None = None) -> int:
-        """Append an entry; it is on disk with the next sync. Returns the index behind it."""
+        """Append an entry; it is on disk after the next sync. Return the index after it."""
         self.journal.append(*entry_record(RecordKind.RECORD, self.partition, entry))
         self._advance(entry, parsed)
         return self.index
@@ -212,7 +218,7 @@
         self._recent.trim(self.retained_from)
 
     def commit(self, index: int) -> list[JobChange]:
-        """All replicas have the entries up to here: readers may see them. Returns what they did."""
+        """Make the entries before this index visible to readers: all replicas have them. Return their changes."""
         changes = []
         while self._uncommitted and self._uncommitted[0][0] <= index:
             _, change = self._uncommitted.popleft()
@@ -224,13 +230,13 @@
         self.commit(self.index)
 
     def contains(self, position: LogPosition) -> bool:
-        """Whether a replica at this position lacks only entries that are still here."""
+        """Return True if all entries that a replica at this position lacks are still in memory."""
         if position == self.position:
             return self.is_complete
         return self._recent.contains(position)
 
     def entries_after(self, position: LogPosition, limit: int) -> list[Entry]:
-        """The entries behind a position that is contained: about `limit` bytes of them, and one at least."""
+        """Return the entries after a contained position: about `limit` bytes, at least one entry if there is any."""
         if position == self.position:
             return []
         return self._recent.after(position, limit)
@@ -238,13 +244,13 @@
     # Installation --------------------------------------------------------------------------------
 
     def stage(self, token: int, position: LogPosition) -> StagedReplica:
-        """A complete replica begins to arrive; one that was on its way is dropped."""
+        """Begin to receive a complete replica; one that was being received is dropped."""
         self.journal.append(*begin_record(self.partition, position))
         self.staged = StagedReplica(token, position)
         return self.staged
 
     def load(self, entries: Iterable[Entry]) -> None:
-        """More of the replica that is arriving."""
+        """Add entries to the replica that is being received."""
         staged = self.staged
         assert staged is not None
         for entry in entries:
@@ -252,7 +258,7 @@
             staged.load(entry, self.now())
 
     def install_staged(self) -> None:
-        """The replica that was arriving is complete, and replaces the present one."""
+        """Replace the current replica with the received one, which is complete."""
         staged = self.staged
         assert staged is not None
         self.journal.append(*boundary_record(RecordKind.END, self.partition))
@@ -271,7 +277,7 @@
         self.history_generation += 1
 
     def drop(self) -> None:
-        """Other members hold everything: free what is here."""
+        """Drop the contents of this replica; other members hold everything."""
         self.journal.append(*boundary_record(RecordKind.DROPPED, self.partition))
         self._forget()
         self.become(ReplicaState.ABSENT, "dropped")
@@ -283,7 +289,7 @@
     # The journal ---------------------------------------------------------------------------------
 
     def live_records(self) -> Iterator[Record]:
-        """The records that give this replica again."""
+        """Yield the journal records that restore this replica."""
         if not self.epoch:
             return
         yield self._epoch_record()
@@ -296,7 +302,7 @@
             yield from staged_replica_tail(self.partition, self.staged.entries)
 
     def replay(self, kind: int, payload: bytes) -> None:
-        """Apply a journal record of this partition at the start. Ages are counted from now."""
+        """Apply a journal record of this partition at start-up. The ages of jobs count from now on."""
         if kind == RecordKind.EPOCH:
             record = EpochRecord.decode(payload)
             self.epoch = record.epoch
@@ -313,7 +319,7 @@
             self.staged.load(decode_entry(payload), self.now())
 
     def finish_replay(self) -> None:
-        """The journal has been read: a replica that was arriving never became complete."""
+        """Finish the replay of the journal. A replica that was being received is incomplete and is dropped."""
         self.staged = None
         for job in self.jobs.jobs.values():
             job.received_at = max(job.received_at, self.now())
--- a/otterreach/jobstore/recent_entries.py
+++ b/otterreach/jobstore/recent_entries.py
@@ -1,4 +1,4 @@
-"""The latest entries of a partition's log, for replicas that are only a little behind."""
+"""The latest entries of a partition's log, for replicas that lag by only a few entries."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from otterreach.jobstore.journal_records import LogPosition
 from otterreach.jobstore.messages import Entry
 
-MIN_BYTES = 128 * 1024  # kept in any case
-MAX_BYTES = 8 * 1024 * 1024  # kept while another replica still needs them
+MIN_BYTES = 128 * 1024  # always kept
+MAX_BYTES = 8 * 1024 * 1024  # kept only while another replica needs them
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,19 +21,19 @@
 
 
 class RecentEntries:
-    """Entries with the positions before them, in order."""
+    """Entries in log order, with the position before each."""
 
     def __init__(self) -> None:
         self._entries: deque[_Positioned] = deque()
         self._bytes = 0
 
     def append(self, position: LogPosition, entry: Entry) -> None:
-        """One more entry; `position` is before it."""
+        """Append an entry; `position` is the log position before it."""
         self._entries.append(_Positioned(position, entry))
         self._bytes += len(entry.body)
 
     def trim(self, retained_from: int) -> None:
-        """Drop the oldest entries as far as there are too many; those from `retained_from` on are still needed."""
+        """Drop the oldest entries above the size limits. Those from the index `retained_from` on are still needed."""
         while self._entries:
             is_needed = self._entries[0].position.index >= retained_from
             if self._bytes <= (MAX_BYTES if is_needed else MIN_BYTES):
@@ -41,12 +41,12 @@
             self._bytes -= len(self._entries.popleft().entry.body)
 
     def clear(self) -> None:
-        """Drop all: they are no longer of this log."""
+        """Drop all entries, since the log has been replaced."""
         self._entries.clear()
         self._bytes = 0
 
     def contains(self, position: LogPosition) -> bool:
-        """Whether all entries behind this position are here."""
+        """Return True if all entries after this position are here."""
         if not self._entries:
             return False
         offset = self._offset_of(position)
@@ -56,7 +56,7 @@
         return position.index - self._entries[0].position.index
 
     def after(self, position: LogPosition, limit: int) -> list[Entry]:
-        """The entries behind a position that is contained: about `limit` bytes of them, and one at least."""
+        """Return the entries after a contained position: about `limit` bytes, and at least one entry."""
         entries: list[Entry] = []
         size = 0
         for entry in self._behind(position):
--- a/otterreach/jobstore/replica_stream.py
+++ b/otterreach/jobstore/replica_stream.py
@@ -1,4 +1,4 @@
-"""Another replica of a partition as its primary sees it: find out where it is, fill it, send it what comes."""
+"""Replication from a primary to one other replica: find its position, install a complete replica, stream entries."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.log import log
 
-RETRY_S = 0.06  # after a call that was not answered; longer with each
+RETRY_S = 0.06  # before the retry of an unanswered call; grows by RETRY_FACTOR with each further one
 MAX_RETRY_S = 0.3
 RETRY_FACTOR = 1.6
 NEVER_S = -1e9
-NOTHING_NEEDED = 1 << 60  # an index above all
+NOTHING_NEEDED = 1 << 60  # greater than any index
 
 
 class StreamState(Enum):
-    """What the primary does about the other replica."""
+    """The phase of the replication to another replica."""
 
-    ASKING = "asking"  # for its position
+    ASKING = "asking"  # its position is being queried
     INSTALLING = "installing"
     STREAMING = "streaming"
 
@@ -43,30 +43,30 @@
     session: int
 
     def superseded(self, reason: str) -> None:
-        """The other replica is in a higher epoch."""
+        """Called when the other replica is in a higher epoch."""
 
     def replica_advanced(self, stream: ReplicaStream) -> None:
-        """The other replica has more on disk."""
+        """Called when the other replica has acknowledged entries."""
 
 
 class ReplicaStream:
-    """Another replica, as its primary sees it."""
+    """The replication to one other replica under one leadership."""
 
     def __init__(self, context: ReplicationContext, owner: StreamOwner, member: str) -> None:
         self.context = context
         self.owner = owner
         self.member = member
         self.state = StreamState.ASKING
-        self.acknowledged = -1  # entries that it has on disk
-        self.confirmed_at = NEVER_S  # when the last call that it answered under this epoch was sent
+        self.acknowledged = -1  # number of entries that the replica has on disk
+        self.confirmed_at = NEVER_S  # send time of the last call that the replica answered in this epoch
         self.reported_lost_at = NEVER_S
         self.reporting_in_sync = False
         self.wake = asyncio.Event()
         self._next: LogPosition = NO_POSITION
-        self._installing_from: int | None = None  # the index of an installation in progress
+        self._installing_from: int | None = None  # index of the installation in progress
 
     def become(self, state: StreamState, reason: str = "") -> None:
-        """The one function that changes the state."""
+        """Change the state. No other function does."""
         if state is self.state:
             return
         if reason:
@@ -82,23 +82,29 @@
 
     @property
     def needed_from(self) -> int:
-        """Entries from this index on are still to be sent to it."""
+        """The index from which on entries are still to be sent to the replica."""
         if self._installing_from is not None:
             return self._installing_from
         return self.acknowledged if self.state is StreamState.STREAMING else NOTHING_NEEDED
 
     def confirm(self, asked_at: float) -> None:
-        """It has said, asked at that time, that it is in this epoch."""
+        """Record that the replica, asked at that time, confirmed that it is in this epoch."""
         self.confirmed_at = max(self.confirmed_at, asked_at)
 
     def mark_differing(self) -> None:
-        """It holds something else at the same position: fill it anew, and count on nothing until then."""
+        """Have the replica installed anew: its contents differ at the same position.
+
+        Until then none of its entries count as acknowledged.
+        """
         self.acknowledged = -1
-        self.become(StreamState.INSTALLING, "differs")
+        self.become(StreamState.INSTALLING, "contents differ")
         self.wake.set()
 
     async def run(self) -> None:
-        """Ask for its position, fill it if it has to be, send what comes; for as long as the leadership lasts."""
+        """Query the position, install a complete replica if necessary, and stream entries.
+
+        Runs until it is cancelled at the end of the leadership.
+        """
         replica = self.owner.replica
         pause_s = RETRY_S
         while True:
@@ -113,7 +119,7 @@
             pause_s = min(MAX_RETRY_S, pause_s * RETRY_FACTOR)
 
     async def _advance(self) -> bool:
-        """One step. False: there was no answer, try again later."""
+        """Take one step. Return False if there was no answer, so that it is to be retried after a pause."""
         address = self.context.address_of(self.member)
         if not address:
             return False
@@ -143,7 +149,7 @@
         return self._handle_position(reply, sent_at)
 
     def _handle_position(self, reply: ReplicaPosition | Failure, sent_at: float) -> bool:
-        """Go on from where it says it is. False: it said nothing, try again later."""
+        """Continue from the position in the reply. Return False if there is none, so that the call is to be retried."""
         replica = self.owner.replica
         if isinstance(reply, Failure):
             if reply.code is Code.STALE_EPOCH:
@@ -153,7 +159,7 @@
         self.confirm(sent_at)
         position = LogPosition(reply.index, reply.chain)
         if not replica.contains(position):
-            self.become(StreamState.INSTALLING, f"at {reply.index} of {replica.index}")
+            self.become(StreamState.INSTALLING, f"at index {reply.index} of {replica.index}")
             return True
         self._next = position
         self.acknowledged = reply.index
--- a/otterreach/jobstore/replication.py
+++ b/otterreach/jobstore/replication.py
@@ -1,6 +1,6 @@
-"""All replicas of partitions at this machine: which of them it leads or backs up, by the newest records.
+"""All partition replicas on this machine, and their roles as primary or backup according to the newest records.
 
-Safety rests on epochs and on writes that wait for every member; times only bound how old a read may be.
+Safety rests on epochs and on writes that wait for every member; clocks only bound how stale a read may be.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from otterreach.runtime.store import Item
 
 DIGEST_INTERVAL_S = 5.0
-DROP_DELAY_S = 10.0  # a replica that no record names is kept so long
+DROP_DELAY_S = 10.0  # a replica that its partition's record no longer names is kept for this time
 
 
 class Replication:
-    """All replicas at this machine."""
+    """All partition replicas on this machine."""
 
     def __init__(self, node: Node, journal: JobJournal, random: Random, listener: LeadershipListener) -> None:
         self.node = node
@@ -47,19 +47,19 @@
         """The member id of this process."""
         return self.context.member
 
-    # Whose partitions ----------------------------------------------------------------------------
+    # Roles by the newest records -----------------------------------------------------------------
 
     def _record_changed(self, item: Item) -> None:
         if item.name.isdigit() and int(item.name) < PARTITIONS:
             self.follow(self.replicas[int(item.name)])
 
     def follow_all(self) -> None:
-        """Look at all records; after the start."""
+        """Apply the records of all partitions; called once at start-up."""
         for replica in self.replicas:
             self.follow(replica)
 
     def follow(self, replica: PartitionReplica) -> None:
-        """Take the part that the newest record gives."""
+        """Take the role that the newest record assigns to this member."""
         record = self.node.store.record(PartitionRecord, str(replica.partition))
         if record is None or record.epoch < replica.epoch or record == replica.placement:
             return
@@ -97,7 +97,7 @@
         replica.placement = record
         if replica.state is not ReplicaState.ABSENT:
             replica.become(ReplicaState.FENCED, "not a member")
-        elif replica.is_complete:  # as read from the journal
+        elif replica.is_complete:  # replayed from the journal
             replica.become(ReplicaState.FENCED, "no longer a member")
 
     # Leadership ----------------------------------------------------------------------------------
@@ -113,9 +113,9 @@
         self.context.spawn(leader.begin())
 
     def end_leadership(self, replica: PartitionReplica, stays_primary: bool = False) -> None:
-        """End this machine's leadership of the partition, if it has it.
+        """End this machine's leadership of the partition, if there is one.
 
-        :param stays_primary: it leads the next epoch as well, so nobody has to be notified
+        :param stays_primary: this machine also leads the next epoch, so the listener is not notified
         """
         leader = self.leaders.pop(replica.partition, None)
         if leader is None:
@@ -126,13 +126,13 @@
             self.listener.stepped_down(replica)
 
     def step_down(self, replica: PartitionReplica, reason: str) -> None:
-        """Lead the partition no longer, whatever the record that is known here says."""
+        """Stop leading the partition, whatever the record that is known here says."""
         if replica.partition in self.leaders:
             log("step_down", level="WARNING", partition=replica.partition, epoch=replica.epoch, reason=reason)
             self.end_leadership(replica)
 
     def leader(self, partition: int) -> PartitionLeader | Failure:
-        """This machine's leadership of a partition, if it accepts writes."""
+        """Return this machine's leadership of a partition if it accepts writes, or a Failure."""
         leader = self.leaders.get(partition)
         state = self.replicas[partition].state.value
         if leader is None:
@@ -142,7 +142,7 @@
     # Commits -------------------------------------------------------------------------------------
 
     async def committed(self, replica: PartitionReplica, index: int, timeout_s: float) -> bool:
-        """Wait until the entry before `index` is at all members. False: it may be there or not."""
+        """Wait until the entry before `index` is committed. Return False if that remains unknown."""
         generation = replica.history_generation
         deadline = self.context.now() + timeout_s
         while True:
@@ -164,7 +164,7 @@
             timer.cancel()
 
     def sync_soon(self, replica: PartitionReplica) -> None:
-        """Entries of this replica are to be synced; all that come meanwhile share one sync."""
+        """Schedule a sync of this replica's entries. All entries appended during a sync share the next one."""
         self._unsynced[replica.partition] = replica
         if not self._syncing:
             self._syncing = True
@@ -185,7 +185,7 @@
             self._syncing = False
 
     async def finish_writes(self, timeout_s: float) -> None:
-        """Wait until what has been accepted is at all members; for a shutdown."""
+        """Wait until all accepted writes are committed, at most for `timeout_s`; for a shutdown."""
         deadline = self.context.now() + timeout_s
         for leader in list(self.leaders.values()):
             if leader.is_serving:
@@ -194,7 +194,7 @@
     # Anti-entropy --------------------------------------------------------------------------------
 
     async def reconcile(self) -> None:
-        """Called now and then: drop replicas that are no longer needed, compare the others."""
+        """Drop replicas that are no longer needed and compare the others by digests; called periodically."""
         now = self.context.now()
         for replica in self.replicas:
             if self._is_surplus(replica, now):
--- a/otterreach/jobstore/replication_context.py
+++ b/otterreach/jobstore/replication_context.py
@@ -1,4 +1,4 @@
-"""What all parts of the replication at one machine share: settings, clock, disk, and calls to other members."""
+"""The context that all parts of the replication on one machine share: settings, clock, disk, calls to other members."""
 
 from __future__ import annotations
 
@@ -17,27 +17,28 @@
 from otterreach.runtime.records import MemberRecord
 
 CALL_TIMEOUT_S = 0.8
-# A read needs every member's confirmation that was asked for within this, or half of settleMs if that is less.
+# A read requires that every member confirmed its epoch in answer to a call sent within this time, or within half of
+# settleMs if that is less.
 MAX_CONFIRMATION_AGE_S = 0.5
 
 T = TypeVar("T")
 
 
 class JobJournal(RecordLog, Protocol):
-    """otterreach.runtime.journal.Journal, or a stand-in."""
+    """The part of the interface of otterreach.runtime.journal.Journal that a job store node uses."""
 
     size: int
     failed: Failure | None
 
     async def sync(self) -> bool:
-        """Everything appended so far is on disk. False: the disk has failed."""
+        """Sync everything appended so far to disk. Return False if the disk has failed."""
 
     async def rewrite(self, live: LiveSlices) -> bool:
-        """Replace the file by one that holds the live state."""
+        """Replace the file with one that holds only the live state."""
 
 
 class ReplicationContext:
-    """Knows no partition: those who lead or back them up know this."""
+    """The context of the leaders and backups of all partitions. Holds no state of a partition itself."""
 
     def __init__(self, node: Node, journal: JobJournal, random: Random) -> None:
         self.node = node
@@ -56,24 +57,27 @@
         return self.node.member
 
     def spawn(self, work: Coroutine[object, object, T]) -> asyncio.Task[T]:
-        """Run in the background."""
+        """Run a coroutine in the background."""
         return self.node.endpoint.spawn(work)
 
     async def call(self, address: str, request: Request[ReplyT], timeout_s: float) -> ReplyT | Failure:
-        """A call to another process."""
+        """Call another process."""
         return await self.node.endpoint.call(address, request, timeout_s)
 
     def installing(self, member: str) -> asyncio.Semaphore:
-        """One installation at a time to each member: its jobs are held in memory meanwhile."""
+        """Return the semaphore that admits one installation at a time to a member.
+
+        An installation holds a copy of the partition's jobs in memory until it ends.
+        """
         return self._installing.setdefault(member, asyncio.Semaphore(1))
 
     def address_of(self, member: str) -> str:
-        """Where this member is; empty if it isn't known, or another disk is there now."""
+        """Return the address of this member; empty if it is unknown or its node has another disk now."""
         known = self.node.store.record(MemberRecord, node_of(member))
         return known.address if known and known.disk == disk_of(member) else ""
 
     async def call_controller(self, request: Request[ReplyT]) -> ReplyT | Failure:
-        """A call to the primary controller, wherever it is; the last Failure if no controller takes it."""
+        """Call the primary controller, trying all known controllers. Return the last Failure if none accepts it."""
         follower = self.node.follower
         reply: ReplyT | Failure = Failure(Code.UNREACHABLE, "no controller is known")
         for address in dict.fromkeys([follower.primary, *follower.controllers]):
@@ -85,7 +89,10 @@
         return reply
 
     def send_to_controller(self, message: object) -> bool:
-        """Send the primary controller a message one way. False: there is no connection yet, but one is being opened."""
+        """Send a one-way message to the primary controller.
+
+        Return False if there is no connection yet; one is being opened, provided that the primary is known.
+        """
         address = self.node.follower.primary
         if not address:
             return False
