--- a/otterreach/jobstore/assignment_blocks.py
+++ b/otterreach/jobstore/assignment_blocks.py
@@ -1,24 +1,30 @@
-"""Which proxies get no items of which model for now: those that could reach no server for them. Pure."""
+"""Temporary blocks of proxies that reached no server for items of a model: they get none of its items.
+
+Pure: no I/O and no clock.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Collection
 
-BLOCK_S = 3.0  # longer than a proxy keeps an item that it can't place, so that others have their turn first
+BLOCK_S = 3.0  # longer than a proxy keeps an item that it reaches no server for, so that other proxies come first
 
 
 class AssignmentBlocks:
-    """Blocks by node and model. They end by themselves."""
+    """Blocks by node and model. Each expires after BLOCK_S."""
 
     def __init__(self) -> None:
         self._until: dict[tuple[str, str], float] = {}
 
     def add(self, node: str, model: str, now: float) -> None:
-        """A proxy has returned items of this model."""
+        """Block a proxy that has returned items of this model."""
         self._until = {key: until for key, until in self._until.items() if until > now}
         self._until[node, model] = now + BLOCK_S
 
     def blocked(self, model: str, nodes: Collection[str], now: float) -> set[str]:
-        """Those of the nodes that get no items of the model; none if it would be all, for then one may as well try."""
+        """Return which of the nodes get no items of the model.
+
+        If all nodes are blocked the result is empty: no other proxy is left, so an attempt costs nothing.
+        """
         blocked = {node for node in nodes if self._until.get((node, model), 0.0) > now}
         return blocked if len(blocked) < len(nodes) else set()
--- a/otterreach/jobstore/disk_monitor.py
+++ b/otterreach/jobstore/disk_monitor.py
@@ -1,7 +1,7 @@
-"""How long syncs of the disk have been in progress, and reporting a disk that takes no writes.
+"""Detection of a stalled disk: measures how long syncs are in progress, and reports to the controller.
 
-The event loop never waits for the disk, so a process whose disk stalls goes on answering pings: only it can know. The
-controller places its replicas elsewhere, as if the machine were lost, until the reports end.
+The event loop never waits for the disk, so a process whose disk stalls goes on answering pings, and no other process
+can detect the stall. The controller places its replicas elsewhere, as if the machine were lost, until the reports end.
 """
 
 from __future__ import annotations
@@ -15,36 +15,38 @@
 from otterreach.runtime.log import log
 from otterreach.runtime.node import Node
 
-STALLED_S = 0.7  # a sync that takes so long: with the controller's next plan, as soon as a silent machine
+# A sync in progress for this time counts as a stall. With the wait for the controller's next plan, the replicas of a
+# stalled disk are replaced as soon as those of a machine without heartbeats.
+STALLED_S = 0.7
 CHECK_INTERVAL_S = 0.05
 REPORT_INTERVAL_S = 0.25
-LATE_CHECK_S = 0.3  # this process stood still: the delay is its own
+LATE_CHECK_S = 0.3  # after a longer pause between checks this process was stalled, not the disk
 NEVER_S = -1e9
 
 
 class SyncedLog(Protocol):
-    """The part of the journal that is monitored."""
+    """The part of the journal's interface that is monitored."""
 
     failed: Failure | None
 
     async def sync(self) -> bool:
-        """Everything appended so far is on disk. False: the disk has failed."""
+        """Sync everything appended so far to disk. Return False if the disk has failed."""
 
 
 class DiskMonitor:
-    """All syncs of a journal go through here."""
+    """Measures the syncs of a journal; all of them go through this object."""
 
     def __init__(self, journal: SyncedLog, now: Callable[[], float]) -> None:
         self.journal = journal
         self.now = now
-        self._began_at: dict[int, float] = {}  # syncs that are in progress
+        self._began_at: dict[int, float] = {}  # by number: start times of the syncs in progress
         self._last_sync = 0
         self._checked_at = now()
         self._reported_at = NEVER_S
         self._stall_logged = False
 
     async def sync(self) -> bool:
-        """Everything appended so far is on disk. False: the disk has failed."""
+        """Sync everything appended so far to disk. Return False if the disk has failed."""
         self._last_sync += 1
         number = self._last_sync
         self._began_at[number] = self.now()
@@ -54,17 +56,17 @@
             del self._began_at[number]
 
     def waiting_s(self) -> float:
-        """How long the oldest sync has been in progress."""
+        """Return how long the oldest sync has been in progress."""
         now = self.now()
         return now - min(self._began_at.values(), default=now)
 
     @property
     def usable(self) -> bool:
-        """Whether the disk takes writes, to this process's knowledge."""
+        """True if the disk has neither failed nor stalled, as far as this process knows."""
         return self.journal.failed is None and self.waiting_s() < STALLED_S
 
     async def run(self, node: Node) -> None:
-        """Check, and report to the controller while the disk takes no writes; for ever."""
+        """Check the disk, and report to the controller while it takes no writes, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             self._check(node)
--- a/otterreach/jobstore/disk_probe.py
+++ b/otterreach/jobstore/disk_probe.py
@@ -1,4 +1,4 @@
-"""Before a start: whether the disk takes writes. On a full one a process waits for free space, and takes no part."""
+"""Check before the start that the disk takes writes. On a full disk the process waits for space and does not join."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 PROBE_FILE = "probe"
 PROBE_BYTES = 4096
 RETRY_S = 0.5
-MAX_WAIT_S = 30.0  # then the start goes on, and fails as it has to
+MAX_WAIT_S = 30.0  # the start then continues, and fails if the disk still takes no writes
 
 
 def takes_writes(folder: Path) -> bool:
-    """Write and sync a small file, and remove it."""
+    """Write, sync and remove a small file. Return False if that fails."""
     path = folder / PROBE_FILE
     try:
         folder.mkdir(parents=True, exist_ok=True)
@@ -32,7 +32,7 @@
 
 
 async def wait_until_writable(folder: Path) -> None:
-    """Until the disk takes writes, or for MAX_WAIT_S."""
+    """Wait until the disk takes writes, at most for MAX_WAIT_S."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     logged = False
--- a/otterreach/jobstore/dispatcher.py
+++ b/otterreach/jobstore/dispatcher.py
@@ -1,6 +1,7 @@
-"""What runs where: items of open batch jobs are assigned to proxies, and come back when a proxy is lost.
+"""The dispatcher: assigns the items of open batch jobs to proxies, and queues them again when a proxy is lost.
 
-Only in memory: an item may run more than once, and a new primary asks the proxies what they run.
+Its state is only in memory. An item may therefore run more than once, and a new primary learns from the proxies which
+items they run.
 """
 
 from __future__ import annotations
@@ -24,41 +25,41 @@
 from otterreach.runtime.repeated_work import RepeatedWork
 from otterreach.runtime.rpc import Link
 
-FORGOTTEN_S = 2.0  # a proxy that doesn't name a job so long after it got items of it has lost them
-RUNNING_REPORT_WAIT_S = 0.4  # how long a new primary lets proxies tell what they run
-SURPLUS_DELAY_S = 60.0  # items that no trainer waits for count as due so much later
-NO_SURPLUS = 1 << 60  # an order above all
+FORGOTTEN_S = 2.0  # a proxy whose pings don't name a job this long after it was sent items of it has lost them
+RUNNING_REPORT_WAIT_S = 0.4  # a new primary waits this long for the proxies to report which items they run
+SURPLUS_DELAY_S = 60.0  # added to the due time of items that no trainer waits for
+NO_SURPLUS = 1 << 60  # greater than any order
 
 QueuedItem = tuple[tuple[int, int], str]  # order, id of the item
 
 
 def surplus_from(job: Job) -> int:
-    """The order of the first group beyond those that the trainer waits for."""
+    """Return the order of the first group beyond those that the trainer waits for."""
     desired = job.desired_groups
     starts = sorted({item.order[0] for item in job.items.values()})
     return starts[desired] if desired is not None and 0 < desired < len(starts) else NO_SURPLUS
 
 
 class DispatchHost(Protocol):
-    """What the dispatcher needs of the job store node."""
+    """The interface of the job store node that the dispatcher uses."""
 
     def may_run(self, partition: int) -> bool:
-        """Whether this machine is surely the primary of the partition now."""
+        """Return True if this machine is known to be the partition's primary at present."""
 
     def deadlines(self, job: Job) -> JobDeadlines:
-        """When results of a batch job are due."""
+        """Return when the results of a batch job are due."""
 
     def epoch(self, partition: int) -> int:
-        """The epoch that the partition is in here."""
+        """Return the epoch of this machine's replica of the partition."""
 
     def item_slots(self) -> int:
-        """The slots of all servers that items may run at."""
+        """Return the total slots of the servers that items may run on."""
 
 
 class Dispatcher:
     """Assigns the items of the partitions that are served here.
 
-    More than 20 methods: the handlers of a proxy's messages all work on the one queue of items.
+    The class has more than 20 methods because the handlers of all messages of proxies work on the same queues of items.
     """
 
     def __init__(self, host: DispatchHost, random: Random) -> None:
@@ -67,10 +68,10 @@
         self.loop = asyncio.get_running_loop()
         self.now: Callable[[], float] = self.loop.time
         self.sessions = ProxySessions(self.now, self._return_items)
-        self.open_jobs: dict[str, Job] = {}  # of partitions served here
+        self.open_jobs: dict[str, Job] = {}  # of the partitions served here
         self.pending: dict[str, list[QueuedItem]] = {}  # by job, in order
-        self.surplus_from: dict[str, int] = {}  # by job: from this order on, groups that its trainer doesn't wait for
-        self.assignable_from: dict[int, float] = {}  # by partition served here: by then proxies have told what they run
+        self.surplus_from: dict[str, int] = {}  # by job: the order of the first group that its trainer doesn't wait for
+        self.assignable_from: dict[int, float] = {}  # by partition served here: when proxies have reported their items
         self.stopped = False
         self.assignments = RepeatedWork("assign_item")
         self._blocks = AssignmentBlocks()
@@ -79,7 +80,10 @@
     # Partitions and jobs -------------------------------------------------------------------------
 
     def became_leader(self, replica: PartitionReplica) -> None:
-        """All open jobs of the partition are here now. Of one that is new here nothing is known of what runs."""
+        """Add the open jobs of a partition that is served here from now on.
+
+        If the partition was not served here before, it is unknown which of its items run.
+        """
         if replica.partition not in self.assignable_from:
             self.assignable_from[replica.partition] = self.now() + RUNNING_REPORT_WAIT_S
         for job in replica.jobs.jobs.values():
@@ -89,13 +93,13 @@
                 self.job_cancelled(job)
 
     def stepped_down(self, replica: PartitionReplica) -> None:
-        """Another machine has the partition."""
+        """Remove the jobs of a partition that is no longer served here."""
         self.assignable_from.pop(replica.partition, None)
         for job in [job for job in self.open_jobs.values() if partition_of(job.id) == replica.partition]:
             self.job_closed(job)
 
     def job_opened(self, job: Job) -> None:
-        """Its items may be run."""
+        """Queue the items of a batch job that may run from now on."""
         self.open_jobs[job.id] = job
         queue = []
         for item in job.items.values():
@@ -107,7 +111,7 @@
         self.schedule()
 
     def job_closed(self, job: Job) -> None:
-        """Nothing of it is to be run from here."""
+        """Remove a batch job whose items are no longer assigned from here."""
         self.open_jobs.pop(job.id, None)
         self.pending.pop(job.id, None)
         self.surplus_from.pop(job.id, None)
@@ -116,7 +120,7 @@
         self.schedule()
 
     def job_cancelled(self, job: Job) -> None:
-        """It has been ended: the proxies that have items of it are notified."""
+        """Remove a batch job that has been ended, and notify the proxies that have items of it."""
         for session in self.sessions.of_job(job):
             if not session.link.closed:
                 session.link.send(CancelJob(job.id))
@@ -125,13 +129,13 @@
     # Items ---------------------------------------------------------------------------------------
 
     def item_listed(self, job: Job, item: JobItem) -> None:
-        """A result of it has been accepted."""
+        """Remove an item whose result has been accepted."""
         self.sessions.remove_item(job, item)
         self._remove_pending(job, item)
         self.schedule()
 
     def item_failed(self, job: Job, item: JobItem) -> None:
-        """What came of it can't be listed: it has to run again."""
+        """Queue an item again whose result can't be listed."""
         self.sessions.remove_item(job, item)
         self._return_item(job, item)
 
@@ -141,7 +145,7 @@
             queue.remove((item.order, item.id))
 
     def _return_item(self, job: Job, item: JobItem) -> None:
-        """It does not run any more, and has no result: it is queued again, in its order."""
+        """Queue an item again, in its order, that no longer runs and has no result."""
         if item.state is not ItemState.ASSIGNED:
             return
         item.state = ItemState.PENDING
@@ -157,16 +161,16 @@
     # Proxies -------------------------------------------------------------------------------------
 
     def handle_ping(self, link: Link, ping: ProxyPing) -> None:
-        """A proxy is there, and has told which jobs it has items of."""
+        """Handle a proxy's ping, which names the jobs that it has items of."""
         session, reconnected = self.sessions.handle_ping(link, ping)
         if reconnected:
-            self._send(session, list(session.items.values()))  # some may not have arrived over the other connection
+            self._send(session, list(session.items.values()))  # some may have been lost with the previous connection
         self.sessions.become(session, SessionState.LIVE)
         self._find_forgotten(session, set(ping.jobs))
         self.schedule()
 
     def _find_forgotten(self, session: ProxySession, named: set[str]) -> None:
-        """Items of jobs that the proxy should have named by now have not arrived there."""
+        """Queue the items again that the proxy has lost: by now its pings should have named their jobs."""
         late = self.now() - FORGOTTEN_S
         session.assigned_at = {job: at for job, at in session.assigned_at.items() if job in self.open_jobs}
         forgotten = {job for job, at in session.assigned_at.items() if at < late and job not in named}
@@ -175,10 +179,10 @@
             self._return_item(assigned.job, assigned.item)
 
     def items_returned(self, node: str, message: ReturnItems) -> None:
-        """A proxy will not run these.
+        """Handle that a proxy will not run some items.
 
-        One that reached no server for them gets no others of this model for a while; any other gets nothing until it
-        has pinged again.
+        If it reached no server for them, it is assigned no items of this model for a while. Otherwise it is assigned
+        nothing until its next ping.
         """
         session = self.sessions.by_node.get(node)
         if session is None:
@@ -189,7 +193,8 @@
         elif job is not None:
             log("items_out_of_reach", proxy=node, job=job.id, items=len(message.items))
             self._blocks.add(node, job.model, self.now())
-        failures = dict(zip(message.items, message.failures, strict=False))  # none from a proxy of an earlier version
+        # A proxy of an earlier version sends no failure counts.
+        failures = dict(zip(message.items, message.failures, strict=False))
         for item_id in message.items:
             self._take_back(session, (message.job, item_id), failures.get(item_id, 0))
 
@@ -200,7 +205,7 @@
             self._return_item(assigned.job, assigned.item)
 
     def item_runs_at(self, node: str, job: Job, item_id: str) -> None:
-        """A proxy says that it has this item."""
+        """Record that a proxy has reported that it runs this item."""
         session = self.sessions.by_node.get(node)
         item = job.items.get(item_id)
         if session is None or item is None or item.state is not ItemState.PENDING or job.id not in self.open_jobs:
@@ -212,7 +217,7 @@
         session.add(AssignedItem(job, item), self.now())
 
     def tick(self) -> None:
-        """Look for proxies that are lost; called about ten times a second."""
+        """Check for lost proxies; called about ten times per second."""
         self.sessions.tick()
         if self.pending:
             self.schedule()
@@ -220,7 +225,7 @@
     # Assigning -----------------------------------------------------------------------------------
 
     def schedule(self) -> None:
-        """Assign what can be, once for all that happens in this turn of the loop."""
+        """Schedule one round of assignments for all events of this iteration of the event loop."""
         if not self._scheduled and not self.stopped:
             self._scheduled = True
             self.loop.call_soon(self._assign_all)
@@ -235,7 +240,7 @@
             return
         batches: dict[str, list[AssignedItem]] = {}  # by node
         ready = self._ready_jobs()
-        # What no trainer waits for comes after all that one does: it replaces a group that fails.
+        # Items that no trainer waits for come after all others: they replace a group that fails.
         needed = [(job, self.surplus_from[job.id]) for job in ready]
         surplus = [(job, NO_SURPLUS) for job in ready]
         for job, end in [*needed, *surplus]:
@@ -250,7 +255,7 @@
             self._send(sessions[node], batch)
 
     def _ready_jobs(self) -> list[Job]:
-        """The jobs whose items may be assigned now, the one that is due first at the front."""
+        """Return the jobs whose items may be assigned now, in the order of their due times."""
         now = self.now()
         waiting = {partition_of(job) for job, queue in self.pending.items() if queue}
         ready = {
@@ -262,7 +267,10 @@
         return sorted(jobs, key=lambda job: job.received_at + self.host.deadlines(job).due_s)
 
     def _assign_next(self, session: ProxySession, job: Job, queue: list[QueuedItem]) -> AssignedItem:
-        """The first item that waits. Not whole groups: one proxy would work on a group while others have nothing."""
+        """Assign the first pending item of a job to a proxy.
+
+        Items are assigned singly and not as whole groups, as one proxy would then run a group while others are idle.
+        """
         _, item_id = queue.pop(0)
         item = job.items[item_id]
         self.assignments.note(f"{job.id} {item_id}", None)
@@ -278,7 +286,8 @@
             by_job.setdefault(assigned.job.id, []).append(assigned.item)
         for job_id, items in by_job.items():
             job = self.open_jobs.get(job_id)
-            # Danger: an end may be committed before this is notified of it; the bodies are gone by then.
+            # A job's end may be committed before the dispatcher is notified of it. The bodies of its items are gone
+            # then, so they must not be sent.
             if job is None or job.state is not JobState.OPEN:
                 continue
             session.assigned_at[job_id] = self.now()
--- a/otterreach/jobstore/free_proxies.py
+++ b/otterreach/jobstore/free_proxies.py
@@ -1,4 +1,4 @@
-"""The proxies that may get items in one round of assigning: the least loaded first, among equals by a random draw."""
+"""The proxies with free capacity in one round of assignments: least loaded first, ties broken at random."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from otterreach.jobstore.placement import choose_runners
 from otterreach.jobstore.proxy_sessions import ProxySession
 
-MAX_LOAD = 1.5  # items at a proxy, for each of its slots
+MAX_LOAD = 1.5  # items per slot of a proxy
 
 
 class FreeProxies:
-    """Made for one round, from the sessions as they are then."""
+    """The free proxies in one round of assignments, from the sessions at its start."""
 
     def __init__(
         self, sessions: Iterable[ProxySession], server_slots: int, blocks: AssignmentBlocks, random: Random, now: float
@@ -25,16 +25,16 @@
         self._sessions = {session.node: session for session in sessions if session.can_be_assigned}
         self._server_slots = server_slots
         self._heap: list[tuple[float, float, ProxySession]] = []
-        self._blocked: dict[str, set[str]] = {}  # nodes, by model
+        self._blocked: dict[str, set[str]] = {}  # by model: the nodes that get none of its items
         self._added: set[str] = set()
         self._add_runners(set())
 
     def __bool__(self) -> bool:
-        """Whether any proxy has room."""
+        """Return True if any proxy has free capacity."""
         return bool(self._heap)
 
     def take(self, model: str) -> ProxySession | None:
-        """The proxy for the next item of a model; `put_back` gives it its place again."""
+        """Remove and return the proxy for the next item of a model; `put_back` adds it again."""
         blocked = self._blocked_for(model)
         passed_over = []
         found: ProxySession | None = None
@@ -49,12 +49,12 @@
         return found
 
     def put_back(self, session: ProxySession) -> None:
-        """It may get more, if it has room."""
+        """Add a proxy again if it has free capacity."""
         if session.load < MAX_LOAD:
             heapq.heappush(self._heap, (session.load, self._random.random(), session))
 
     def _blocked_for(self, model: str) -> set[str]:
-        """The nodes that get none of this model. Others take their places among those that run items."""
+        """Return the nodes that get no items of this model. Other proxies are added as runners in their place."""
         blocked = self._blocked.get(model)
         if blocked is None:
             blocked = self._blocked[model] = self._blocks.blocked(model, self._sessions.keys(), self._now)
--- a/otterreach/jobstore/graceful_shutdown.py
+++ b/otterreach/jobstore/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""How a job store node drains: its replicas go to others before it ends, if there is time and somebody to take them."""
+"""Graceful shutdown: a job store node has its replicas moved to other nodes, if there are any and the time suffices."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from otterreach.runtime.records import PartitionRecord
 
 CALL_TIMEOUT_S = 0.8
-REPEAT_S = 0.2  # between requests, which are repeated while it lasts
-GRACE_SHARE = 0.6  # of the time between SIGTERM and the end; the rest is for the end itself
+REPEAT_S = 0.2  # interval between requests, which are repeated until the replicas have moved
+GRACE_SHARE = 0.6  # of the time between SIGTERM and the end of the process; the rest is for stopping
 
 
 def is_named(node: Node) -> bool:
-    """Whether a record that is known here names this member."""
+    """Return True if any partition record known here names this member."""
     records = node.store.records(PartitionRecord)
     return any(node.member in record.replicas for record in records.values())
 
 
 async def transfer_replicas(node: Node) -> bool:
-    """Ask to be replaced until no record names this member.
+    """Ask the controller to move this member's replicas, until no record names it or its time is up.
 
-    :returns: False if it is still named, and ends anyway
+    :returns: False if a record still names it; the process ends anyway
     """
     loop = asyncio.get_running_loop()
     began = loop.time()
--- a/otterreach/jobstore/placement.py
+++ b/otterreach/jobstore/placement.py
@@ -1,4 +1,4 @@
-"""Which partition a batch job belongs to, and which proxies run items."""
+"""Placement of batch jobs on partitions, and the choice of the proxies that run items."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from collections.abc import Mapping
 
 PARTITIONS = 16
-RUNNER_SLOTS_SHARE = 1.3  # slots of the proxies that run items, for each slot of the servers
-MIN_RUNNERS = 2  # so that the loss of one is not the loss of all
+RUNNER_SLOTS_SHARE = 1.3  # total slots of the runners, per slot of the servers
+MIN_RUNNERS = 2  # some items go on running when one runner is lost
 
 
 def partition_of(job: str) -> int:
-    """The partition of a batch job, by its id."""
+    """Return the partition of a batch job, by a hash of its id."""
     return zlib.crc32(job.encode()) % PARTITIONS
 
 
 def choose_runners(slots: Mapping[str, int], server_slots: int) -> list[str]:
-    """The proxies that run items.
+    """Choose the proxies that run items (the runners).
 
-    The first ones of an order that all job store nodes share, as many as fill the servers' slots. Few proxies need few
-    connections to a server, and each sees more of its load.
+    They are the first proxies in an order that all job store nodes share, as many as fill the servers' slots. With few
+    runners there are few connections to each server, and each runner sees more of a server's load.
 
-    :param slots: of the proxies that are alive, by node: the items that each may run at once
+    :param slots: by node, for each proxy that is alive: the number of items that it may run at once
     """
     chosen: list[str] = []
     chosen_slots = 0
--- a/otterreach/jobstore/proxy_sessions.py
+++ b/otterreach/jobstore/proxy_sessions.py
@@ -1,4 +1,4 @@
-"""Which proxies are connected, and which items each has. Dispatching decides what they get (dispatcher.py)."""
+"""Sessions of the connected proxies, with the items that each has. The dispatcher decides on assignments."""
 
 from __future__ import annotations
 
@@ -11,98 +11,98 @@
 from otterreach.runtime.log import log
 from otterreach.runtime.rpc import Link
 
-PING_TIMEOUT_S = 0.9  # a proxy with items whose pings stop for so long is lost
-IDLE_MARGIN_S = 0.65  # one without items: so much later than it said that its next ping would come
-MAX_INTERVAL_S = 5.0  # no proxy is taken to be there for longer than this and the margin
-RECONNECT_S = 0.35  # one whose connection ended may come back by another
-LATE_TICK_S = 0.3  # this process stood still: the silence is its own
-FORGET_S = 60.0  # a lost proxy is remembered so long
+PING_TIMEOUT_S = 0.9  # a proxy with items is lost after this time without a ping
+IDLE_MARGIN_S = 0.65  # a proxy without items is lost this long after its next ping was announced for
+MAX_INTERVAL_S = 5.0  # upper bound of the announced ping interval, so that a lost proxy is detected in any case
+RECONNECT_S = 0.35  # a disconnected proxy may reconnect within this time
+LATE_TICK_S = 0.3  # after a longer pause between ticks this process was stalled, not the proxies
+FORGET_S = 60.0  # the session of a lost proxy is removed after this time
 
 ItemKey = tuple[str, str]  # the ids of the job and of the item
 
 
 @dataclass(frozen=True, slots=True)
 class AssignedItem:
-    """An item at a proxy."""
+    """An item that is assigned to a proxy."""
 
     job: Job
     item: JobItem
 
     @property
     def key(self) -> ItemKey:
-        """Its key among the items of a proxy."""
+        """The item's key among the items of a proxy."""
         return self.job.id, self.item.id
 
 
 class SessionState(Enum):
-    """Whether a proxy is there."""
+    """The state of a proxy's session."""
 
     LIVE = "live"
-    DISCONNECTED = "disconnected"  # its connection ended
+    DISCONNECTED = "disconnected"  # the connection ended; the proxy may reconnect
     LOST = "lost"
 
 
 @dataclass(slots=True)
 class ProxySession:
-    """A proxy that runs items."""
+    """The session of one proxy."""
 
     node: str
     link: Link
     pinged_at: float
     slots: int = 0
     free: int = 0
-    interval_s: float = 0.0  # between its pings while it has no items from here, as it said
-    items_since: float = 0.0  # when it got items from here, having had none
+    interval_s: float = 0.0  # the announced interval of its pings while it has no items from this node
+    items_since: float = 0.0  # when it was assigned an item from this node while it had none
     incarnation: int = 0
     state: SessionState = SessionState.LIVE
     disconnected_at: float = 0.0
     items: dict[ItemKey, AssignedItem] = field(default_factory=dict)
-    assigned_at: dict[str, float] = field(default_factory=dict)  # by job: when it was last sent items of it
+    assigned_at: dict[str, float] = field(default_factory=dict)  # by job: when items of the job were last sent to it
 
     @property
     def load(self) -> float:
-        """Items there against its slots, those of other job store nodes included as far as they run."""
+        """The ratio of items to slots. Items of other job store nodes count once they run."""
         if self.slots <= 0:
             return float("inf")
         return max(len(self.items), self.slots - self.free) / self.slots
 
     @property
     def can_be_assigned(self) -> bool:
-        """Whether messages to it may arrive."""
+        """True if messages can be sent to the proxy."""
         return self.state is SessionState.LIVE and not self.link.closed
 
     def add(self, assigned: AssignedItem, now: float) -> None:
-        """It has this item from now on."""
+        """Add an item that has been assigned to the proxy."""
         if not self.items:
             self.items_since = now
         self.items[assigned.key] = assigned
 
     def has_timed_out(self, now: float) -> bool:
-        """Whether its pings have stopped for longer than it may be silent."""
+        """Return True if the proxy has not pinged for longer than its time-out."""
         if not self.items:
             return now - self.pinged_at > max(PING_TIMEOUT_S, self.interval_s + IDLE_MARGIN_S)
         return now - max(self.pinged_at, self.items_since) > PING_TIMEOUT_S
 
     def remove_job(self, job: str) -> None:
-        """It has no items of this job any more."""
+        """Remove all items of this job."""
         for key in [key for key in self.items if key[0] == job]:
             del self.items[key]
 
 
 class ProxySessions:
-    """The proxies by their node names."""
+    """The sessions of all proxies, by node name."""
 
     def __init__(self, now: Callable[[], float], return_items: Callable[[Iterable[AssignedItem]], None]) -> None:
-        """:param return_items: called with the items that a proxy does not have any more"""
+        """:param return_items: called with the items that a proxy no longer has"""
         self.now = now
         self.return_items = return_items
         self.by_node: dict[str, ProxySession] = {}
         self._ticked_at = now()
 
     def handle_ping(self, link: Link, ping: ProxyPing) -> tuple[ProxySession, bool]:
-        """A proxy is there. Returns its session, and whether it has come by another connection.
+        """Update the session of a proxy. Return it, and True if the ping came over another connection than before.
 
-        Another incarnation of it has none of the items that it had.
+        A new incarnation of the proxy has none of the items that the previous one had.
         """
         now = self.now()
         session = self.by_node.get(ping.node)
@@ -124,7 +124,7 @@
         return session, reconnected
 
     def become(self, session: ProxySession, state: SessionState) -> None:
-        """The one function that changes the state of a session."""
+        """Change the state of a session. No other function does."""
         if session.state is state:
             return
         session.state = state
@@ -136,7 +136,7 @@
 
     def _watch(self, session: ProxySession, link: Link) -> None:
         def closed(gone: Link) -> None:
-            """The connection has ended; one that a newer connection has replaced does not matter."""
+            """Handle the end of a connection, unless a newer one has replaced it."""
             if session.link is gone and session.state is SessionState.LIVE:
                 self.become(session, SessionState.DISCONNECTED)
 
@@ -148,21 +148,21 @@
         self.return_items(items.values())
 
     def of_job(self, job: Job) -> list[ProxySession]:
-        """The proxies that were assigned items of a job."""
+        """Return the sessions of the proxies that were assigned items of a job."""
         return [self.by_node[node] for node in job.proxies if node in self.by_node]
 
     def remove_item(self, job: Job, item: JobItem) -> None:
-        """No proxy has this item any more."""
+        """Remove an item from all sessions."""
         for session in self.of_job(job):
             session.items.pop((job.id, item.id), None)
 
     def tick(self) -> None:
-        """Look for proxies that are lost; called about ten times a second."""
+        """Check for lost proxies; called about ten times per second."""
         now = self.now()
         late = now - self._ticked_at > LATE_TICK_S
         self._ticked_at = now
         for session in list(self.by_node.values()):
-            if late:  # what they sent is still to be read
+            if late:  # pings that arrived during the pause are not yet read
                 session.pinged_at = now
                 session.disconnected_at = now
             elif self._has_timed_out(session, now):
