--- a/otterreach/jobstore/__init__.py
+++ b/otterreach/jobstore/__init__.py
@@ -1,1 +1,1 @@
-"""The directory of batch jobs: partitions of jobs, each with one primary and its backups under an epoch."""
+"""The job store: partitions of batch jobs, each replicated to a primary and its backups under an epoch."""
--- a/otterreach/jobstore/__main__.py
+++ b/otterreach/jobstore/__main__.py
@@ -25,11 +25,11 @@
     from otterreach.runtime.figures import FigureSource
 
 JOURNAL = "jobs.journal"
-STOP_TIMEOUT_S = 0.8  # what is being written has so long to get to disk
+STOP_TIMEOUT_S = 0.8  # for writes in flight to reach the disk
 
 
 async def first_of(*events: asyncio.Event) -> None:
-    """Until one of them is set."""
+    """Wait until one of the events is set."""
     waiting = [asyncio.ensure_future(event.wait()) for event in events]
     await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
     for task in waiting:
@@ -37,7 +37,7 @@
 
 
 def figure_sources(node: Node, journal: Journal, store_node: JobStoreNode) -> tuple[FigureSource, ...]:
-    """What a job store node tells of itself. Imports what a start does without."""
+    """Return the sources of the node's metrics. Their modules are imported here, as the start doesn't need them."""
     from otterreach.jobstore.figures import job_store_figures
     from otterreach.runtime.node_figures import journal_figures, node_figures
 
@@ -45,7 +45,7 @@
 
 
 async def serve(settings: Settings) -> None:
-    """Run a job store node until SIGTERM. Ends with the code of DISK_FAILED if the disk refuses a write."""
+    """Run a job store node until SIGTERM. Exits with the code DISK_FAILED if the disk has refused a write."""
     assert settings.datadir is not None
     random = Random(SystemRandom().getrandbits(64))
     await wait_until_writable(settings.datadir)
@@ -57,7 +57,7 @@
     terminate = asyncio.Event()
     on_signals(terminate.set, node.reload)
     await store_node.start()
-    if not node.stopping.is_set():  # else its disk takes no writes, and it announces itself to nobody
+    if not node.stopping.is_set():  # set if the disk takes no writes: the node then doesn't announce itself
         await node.start(MemberRole.JOB_STORE)
         endpoint.spawn(node.watch_settings())
         await MetricsListener(partial(figure_sources, node, journal, store_node)).listen(settings.ip)
@@ -77,7 +77,7 @@
 
 
 def main() -> None:
-    """The program."""
+    """Run the program."""
     run_role(serve)
 
 
--- a/otterreach/jobstore/figures.py
+++ b/otterreach/jobstore/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a job store node: replicas, leaders, items, proxies."""
+"""Metrics of a job store node: replicas, leaderships, items, proxies."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def job_store_figures(node: JobStoreNode) -> Iterable[Figure | Histogram]:
-    """Of one job store node."""
+    """Yield the metrics of a job store node."""
     replication = node.replication
     states = Counter(replica.state for replica in replication.replicas)
     for state in ReplicaState:
--- a/otterreach/jobstore/item_requests.py
+++ b/otterreach/jobstore/item_requests.py
@@ -1,4 +1,4 @@
-"""What proxies tell of the items that they run: pings, results, items that run there, items that come back."""
+"""Handlers of the messages that proxies send about items: pings, results, running items, returned items."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class ItemRequests:
-    """Answers the proxies, for the partitions that this machine leads."""
+    """Handles messages of proxies for the partitions that this machine leads."""
 
     def __init__(self, replication: Replication, jobs: JobRequests, routes: JobRoutes, dispatcher: Dispatcher) -> None:
         self.replication = replication
@@ -44,7 +44,7 @@
     # Pings ---------------------------------------------------------------------------------------
 
     async def handle_ping(self, link: Link, ping: ProxyPing) -> ProxyPong:
-        """A proxy is there: tell it what this machine serves, and which of its jobs have ended."""
+        """Handle a proxy's ping. Return the partitions served here, and which of the proxy's jobs have ended."""
         link.peer = ping.node
         self.dispatcher.handle_ping(link, ping)
         served = [
@@ -55,7 +55,7 @@
         return ProxyPong(ping.sent_ms, served, [job for job in ping.jobs if self._has_ended(job)])
 
     def _has_ended(self, job_id: str) -> bool:
-        """Whether nothing of the batch job may run; only said while this machine is surely its primary."""
+        """Return True if the job has ended or is unknown. Always False unless this is known to be its only primary."""
         leader = self.jobs.confirmed_leader(job_id)
         if isinstance(leader, Failure):
             return False
@@ -65,7 +65,7 @@
     # Results -------------------------------------------------------------------------------------
 
     async def handle_finished(self, link: Link, finished: ItemFinished) -> Done | Failure:
-        """List the result of an item, if it can be one."""
+        """List the result of an item, if it is valid."""
         leader = self.replication.leader(partition_of(finished.job))
         if isinstance(leader, Failure):
             return leader
@@ -85,7 +85,7 @@
         return await self._list(leader, job, item, finished)
 
     async def _why_closed(self, replica: PartitionReplica, job: Job, item: JobItem) -> Failure | None:
-        """If nothing may be listed for the item any more: why, once that is at all replicas."""
+        """Return why no result may be listed for the item any more, once that is committed; None if one may be."""
         listed = item.state is ItemState.LISTED
         if not listed and job.state is JobState.OPEN:
             return None
@@ -95,7 +95,7 @@
         return Failure(Code.UNKNOWN_ITEM, "listed") if listed else Failure(Code.JOB_ENDED, job.id)
 
     def _rejection(self, job: Job, item: JobItem, finished: ItemFinished) -> Failure | None:
-        """Why this can't be a result, or None. BAD_MESSAGE is final: the item will run again."""
+        """Return why this can't be a result, or None. BAD_MESSAGE is final for the proxy; the item will run again."""
         why = rejection_reason(self.routes, job, item, finished, self.replication.context.now())
         if not why:
             return None
@@ -115,10 +115,10 @@
         self.dispatcher.item_listed(job, item)
         return await self.jobs.done_when_committed(leader.replica, index)
 
-    # Items that run, and that come back ----------------------------------------------------------
+    # Running and returned items ------------------------------------------------------------------
 
     async def handle_running(self, link: Link, request: RunningItems) -> Done | Failure:
-        """A proxy tells a new primary what it runs."""
+        """Handle a proxy's report to a new primary of the items that it runs."""
         leader = self.replication.leader(request.partition)
         if isinstance(leader, Failure):
             return leader
@@ -132,5 +132,5 @@
         return Done()
 
     async def handle_returned(self, link: Link, message: ReturnItems) -> None:
-        """A proxy will not run some items."""
+        """Handle that a proxy will not run some items."""
         self.dispatcher.items_returned(link.peer, message)
--- a/otterreach/jobstore/job.py
+++ b/otterreach/jobstore/job.py
@@ -1,4 +1,4 @@
-"""A batch job and its items, as one partition replica holds them."""
+"""A batch job and its items, as held by a partition replica."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class JobState(Enum):
-    """Whether a batch job still runs."""
+    """The state of a batch job."""
 
     OPEN = "open"
     ENDED = "ended"
 
 
 class ItemState(Enum):
-    """How far an item is. Only LISTED is replicated; the others are the primary's own."""
+    """The state of an item. Only LISTED is replicated; the other states are local to the primary."""
 
     PENDING = "pending"
     ASSIGNED = "assigned"  # to a proxy
@@ -39,22 +39,22 @@
     scorer_host: str = ""
     scorer_path: str = ""
     scorer_body: bytes = b""
-    order: tuple[int, int] = (0, 0)  # puts whole groups behind each other, in the order of the batch job
+    order: tuple[int, int] = (0, 0)  # sort key: keeps groups together, in the order of the batch job
     state: ItemState = ItemState.PENDING
-    index: int = 0  # of the record that listed it
-    failures: int = 0  # answers of 500 that proxies have told of; the primary's own
+    index: int = 0  # log index after the entry that listed it
+    failures: int = 0  # responses with status 500 that proxies have reported; local to the primary
 
     @property
     def size(self) -> int:
-        """Bytes of the bodies."""
+        """The size of the bodies in bytes."""
         return len(self.body) + len(self.scorer_body)
 
     def copy(self) -> JobItem:
-        """The item as it is now, in an object of its own."""
+        """Return a copy of the item."""
         return replace(self)
 
     def free(self) -> None:
-        """Drop the bodies: nobody may ask for them any more."""
+        """Drop the bodies and headers, which can no longer be read."""
         self.body = b""
         self.scorer_body = b""
         self.headers = "{}"
@@ -62,52 +62,52 @@
 
 @dataclass(slots=True)
 class Job:
-    """A batch job. Of `results`, the first `readable` are at all replicas and may be read."""
+    """A batch job. The first `readable` of its `results` are committed and may be read."""
 
     id: str
     host: str
     route: str
-    head: dict[str, Any]  # the fields of the submission besides the items, as they came
+    head: dict[str, Any]  # the fields of the submission other than the items, unchanged
     items: dict[str, JobItem]
     received_at: float  # on the monotonic clock
     state: JobState = JobState.OPEN
     results: list[bytes] = field(default_factory=list)
     readable: int = 0
-    index: int = 0  # of the record that submitted it
-    end_index: int = 0  # of the record that ended it
+    index: int = 0  # log index after the entry that submitted it
+    end_index: int = 0  # log index after the entry that ended it
     crc: int = 0  # over the results
-    committed: bool = False  # it is at all replicas
-    ended: bool = False  # its end is at all replicas
-    proxies: set[str] = field(default_factory=set)  # that were assigned items of it
+    committed: bool = False  # the submission is at all replicas
+    ended: bool = False  # the end is at all replicas
+    proxies: set[str] = field(default_factory=set)  # nodes that were assigned items of it
 
     @property
     def model(self) -> str:
-        """The model that is trained; empty if none is named."""
+        """The name of the model that is trained; empty if the submission has none."""
         return str(self.head.get("model") or "")
 
     @property
     def min_version(self) -> int:
-        """The lowest version of the weights that a result may come from."""
+        """The lowest version of the weights that a result may be generated with."""
         return int(self.head.get("minVersion") or 0)
 
     @property
     def desired_groups(self) -> int | None:
-        """How many groups the trainer waits for; None if it names no number."""
+        """The number of groups that the trainer waits for; None if the submission has none."""
         desired = self.head.get("desired")
         return desired if isinstance(desired, int) else None
 
     @property
     def has_versions(self) -> bool:
-        """Whether its results carry versions of the weights."""
+        """True if the results carry versions of the weights."""
         return "minVersion" in self.head or "step" in self.head
 
     def copy(self) -> Job:
-        """The job as it is now, in objects of its own; texts are shared."""
+        """Return a copy of the job and its items; strings and bytes are shared."""
         items = {name: item.copy() for name, item in self.items.items()}
         return replace(self, items=items, results=list(self.results), proxies=set(self.proxies))
 
     def digest(self) -> int:
-        """The same at two replicas that hold the same."""
+        """Return a digest that is equal at replicas that hold the same state of the job."""
         kept_bytes = 0
         if self.state is JobState.OPEN:
             kept_bytes = sum(item.size for item in self.items.values() if item.state is not ItemState.LISTED)
@@ -115,7 +115,7 @@
         return zlib.crc32(f"{self.id} {counts} {self.crc} {kept_bytes}".encode())
 
     def read(self, offset: int) -> tuple[int, bytes]:
-        """The results that may be read from `offset` on, as many as fit: the offset behind them, and their bytes."""
+        """Return the readable results from `offset` on, as many as fit: the offset after them, and their bytes."""
         size = 0
         end = offset
         while end < self.readable:
--- a/otterreach/jobstore/job_entries.py
+++ b/otterreach/jobstore/job_entries.py
@@ -1,6 +1,6 @@
 """The entries of a partition's log: a batch job is submitted, an item's result is listed, a job ends or is dropped.
 
-The kinds and the layout of bodies are stored data. Texts in a body are joined with their lengths before them.
+The kinds and the layout of bodies are stored data and must not change. A body is a sequence of length-prefixed fields.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry does."""
+    """Kinds of log entries."""
 
     SUBMIT = 1
     RESULT = 2
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """The body of a SUBMIT."""
+    """The body of a SUBMIT entry."""
 
     job: str
     host: str
@@ -53,48 +53,48 @@
 
     @classmethod
     def decode(cls, data: bytes) -> Submission:
-        """From the body of an entry."""
+        """Decode the body of an entry."""
         job, host, route, age_ms, body = _split(data, 5)
         return cls(job.decode(), host.decode(), route.decode(), int(age_ms), body)
 
 
 @dataclass(frozen=True, slots=True)
 class ListedResult:
-    """The body of a RESULT."""
+    """The body of a RESULT entry."""
 
     job: str
     item: str
-    result: bytes  # as readers get it
+    result: bytes  # in the form that readers get
 
     @classmethod
     def decode(cls, data: bytes) -> ListedResult:
-        """From the body of an entry."""
+        """Decode the body of an entry."""
         job, item, result = _split(data, 3)
         return cls(job.decode(), item.decode(), result)
 
 
 def submit_entry(job: str, host: str, route: str, body: bytes, age_ms: int = 0) -> Entry:
-    """A batch job is submitted."""
+    """Return the entry that submits a batch job."""
     return Entry(EntryKind.SUBMIT, _join(job.encode(), host.encode(), route.encode(), str(age_ms).encode(), body))
 
 
 def result_entry(job: str, item: str, result: bytes) -> Entry:
-    """An item's result is listed."""
+    """Return the entry that lists an item's result."""
     return Entry(EntryKind.RESULT, _join(job.encode(), item.encode(), result))
 
 
 def end_entry(job: str) -> Entry:
-    """Nothing more of the batch job is wanted."""
+    """Return the entry that ends a batch job; no further results are listed."""
     return Entry(EntryKind.END, job.encode())
 
 
 def drop_entry(job: str) -> Entry:
-    """Nobody may read the batch job any more."""
+    """Return the entry that drops a batch job; it can no longer be read."""
     return Entry(EntryKind.DROP, job.encode())
 
 
 def entries_of(job: Job, now: float) -> Iterator[Entry]:
-    """The entries that give this job, without what is no longer needed."""
+    """Yield the entries that restore this job, without bodies that are no longer needed."""
     with_bodies: frozenset[str] = frozenset()
     if job.state is JobState.OPEN:
         with_bodies = frozenset(item.id for item in job.items.values() if item.state is not ItemState.LISTED)
--- a/otterreach/jobstore/job_expiry.py
+++ b/otterreach/jobstore/job_expiry.py
@@ -1,4 +1,4 @@
-"""Gives up items that have waited too long, and drops batch jobs that nobody may read any more."""
+"""Expiry: lists items that have waited too long as errored, and drops batch jobs that may no longer be read."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from otterreach.jobstore.replication import Replication
 from otterreach.jobstore.result_check import ERRORED, ROUTE_GONE, WAITED
 
-KEEP_MARGIN_S = 3.0  # results are kept a little longer than promised
-WAIT_MARGIN_S = 1.0
+KEEP_MARGIN_S = 3.0  # results are kept for longer than statusS promises
+WAIT_MARGIN_S = 1.0  # after maxWaitS
 
 
 class JobExpiry:
-    """Run now and then, for the partitions that this machine leads."""
+    """Periodic expiry in the partitions that this machine leads."""
 
     def __init__(self, replication: Replication, routes: JobRoutes, dispatcher: Dispatcher) -> None:
         self.replication = replication
@@ -25,7 +25,7 @@
         self.dispatcher = dispatcher
 
     def run(self) -> None:
-        """Look at all jobs once."""
+        """Check all jobs once."""
         now = self.replication.context.now()
         keep_s = self.replication.node.settings.bounds.status_s + KEEP_MARGIN_S
         for leader in list(self.replication.leaders.values()):
--- a/otterreach/jobstore/job_json.py
+++ b/otterreach/jobstore/job_json.py
@@ -1,4 +1,4 @@
-"""The JSON forms of batch jobs: submissions as trainers send them, results as they read them."""
+"""The JSON formats of batch jobs: submissions from trainers, and the results that trainers read."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def read_job(job: str, host: str, route: str, body: bytes, received_at: float) -> Job | Failure:
-    """A batch job from its JSON; BAD_JOB if that can't be read."""
+    """Parse the JSON of a batch job. Return a Failure with BAD_JOB if it is invalid."""
     try:
         raw = json.loads(body)
         items = _items_in_order(raw.pop("reqs"))
@@ -29,9 +29,9 @@
 
 
 def check_numbers(job: Job) -> Failure | None:
-    """BAD_JOB if a number doesn't fit into the messages about the job's items.
+    """Return a Failure with BAD_JOB if a number doesn't fit into the messages about the job's items.
 
-    Not part of read_job: a journal may hold jobs that an earlier version accepted.
+    This is not part of read_job, because a journal may hold jobs that an earlier version accepted.
     """
     try:
         for number in (job.min_version, *(item.tokens for item in job.items.values())):
@@ -79,7 +79,7 @@
 
 
 def encode_job(job: Job, with_bodies_of: frozenset[str]) -> bytes:
-    """The JSON of a batch job, with the headers and bodies of these items alone: nobody asks for the others'."""
+    """Return the JSON of a batch job with the headers and bodies of only these items; the others' are never read."""
     rows = [_item_row(item, item.id in with_bodies_of) for item in job.items.values()]
     return json.dumps({**job.head, "reqs": rows}, separators=(",", ":")).encode()
 
@@ -97,7 +97,7 @@
 
 
 def encode_result(job: Job, finished: ItemFinished) -> bytes:
-    """The result of an item as readers get it."""
+    """Return the result of an item in the form that readers get."""
     result: dict[str, Any] = {"id": finished.item, "state": finished.state, "text": finished.text}
     if job.has_versions:
         result["versions"] = finished.versions
--- a/otterreach/jobstore/job_requests.py
+++ b/otterreach/jobstore/job_requests.py
@@ -1,4 +1,4 @@
-"""What proxies ask on behalf of clients: submit, read and end batch jobs."""
+"""Handlers of the requests that proxies make on behalf of clients: submit, read and end batch jobs."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done, Link
 
-WRITE_TIMEOUT_S = 2.5  # a write that isn't at all replicas by then is answered as perhaps done
-MAX_WAIT_S = 5.0  # of a read, for results that are not there yet
-DISK_SHARE = 0.4  # of the disk, for the journal: its rewrite needs as much again
-MEMORY_SHARE = 0.35  # of the memory, for what batch jobs hold
+WRITE_TIMEOUT_S = 2.5  # a write that is not committed by then is answered as possibly done
+MAX_WAIT_S = 5.0  # limit of the time that a read waits for new results
+DISK_SHARE = 0.4  # of the disk, for the journal; its rewrite needs the same space again
+MEMORY_SHARE = 0.35  # of the memory, for batch jobs
 BYTES_PER_MB = 1e6
 
 
@@ -30,7 +30,7 @@
         self.node = replication.node
         self.loop = asyncio.get_running_loop()
         self.stopping = False
-        self._readers: dict[str, list[asyncio.Future[None]]] = {}  # by job: who waits for results
+        self._readers: dict[str, list[asyncio.Future[None]]] = {}  # by job: reads that wait for results
         endpoint = self.node.endpoint
         endpoint.on(SubmitJob, self.handle_submit)
         endpoint.on(ReadJob, self.handle_read)
@@ -40,7 +40,7 @@
     # Submit --------------------------------------------------------------------------------------
 
     async def handle_submit(self, link: Link, request: SubmitJob) -> Done | Failure:
-        """Keep a batch job. One id is one batch job, however often it is submitted."""
+        """Store a batch job. Idempotent: repeated submissions of an id are one batch job."""
         leader = self.replication.leader(partition_of(request.job))
         if isinstance(leader, Failure):
             return leader
@@ -66,7 +66,7 @@
         return settings.disk_mb > 0 and journal_size > DISK_SHARE * settings.disk_mb * BYTES_PER_MB
 
     async def done_when_committed(self, replica: PartitionReplica, index: int) -> Done | Failure:
-        """Done once all members have the entry before `index`; TIMED_OUT: perhaps they have."""
+        """Return Done once the entry before `index` is committed. TIMED_OUT means that it may be or not."""
         if await self.replication.committed(replica, index, WRITE_TIMEOUT_S):
             return Done()
         return Failure(Code.TIMED_OUT, "not at all replicas in time")
@@ -74,7 +74,7 @@
     # Read ----------------------------------------------------------------------------------------
 
     def confirmed_leader(self, job: str) -> PartitionLeader | Failure:
-        """This machine's leadership of a job's partition, if it is surely the only one now."""
+        """Return this machine's leadership of a job's partition if it is known to be the only one, or a Failure."""
         leader = self.replication.leader(partition_of(job))
         if isinstance(leader, Failure) or leader.is_confirmed:
             return leader
@@ -90,7 +90,7 @@
         return job if job.committed else Failure(Code.NOT_SYNCED, "not yet at all replicas")
 
     async def handle_read(self, link: Link, request: ReadJob) -> JobResults | Failure:
-        """The results from an offset on; waits for one if there is none yet."""
+        """Return the results from an offset on; wait for one if there is none yet."""
         deadline = self.loop.time() + min(MAX_WAIT_S, request.wait_ms / 1000)
         while True:
             job = self._find(request.job)
@@ -121,18 +121,18 @@
                 del self._readers[job]
 
     def wake_readers(self, job: str) -> None:
-        """There is something new of this job."""
+        """Wake the reads that wait for results of this job."""
         for future in self._readers.pop(job, ()):
             finish(future)
 
     def wake_readers_of(self, partition: int) -> None:
-        """The leadership of this partition has changed."""
+        """Wake the reads that wait for jobs of this partition, since its leadership has changed."""
         for job in list(self._readers):
             if partition_of(job) == partition:
                 self.wake_readers(job)
 
     async def handle_read_item(self, link: Link, request: ReadItem) -> ItemBody | Failure:
-        """The body of an item that is not yet listed."""
+        """Return the body of an item that is not yet listed."""
         job = self._find(request.job)
         if isinstance(job, Failure):
             return job
@@ -147,7 +147,7 @@
     # End -----------------------------------------------------------------------------------------
 
     async def handle_end(self, link: Link, request: EndJob) -> Done | Failure:
-        """Nothing more of a batch job is wanted."""
+        """End a batch job: no further results of it are listed."""
         leader = self.replication.leader(partition_of(request.job))
         if isinstance(leader, Failure):
             return leader
--- a/otterreach/jobstore/job_routes.py
+++ b/otterreach/jobstore/job_routes.py
@@ -1,4 +1,4 @@
-"""What the newest configuration says of the routes that batch jobs came by."""
+"""The routes of batch jobs, according to the newest configuration."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 from otterreach.runtime.node import Node
 from otterreach.runtime.records import ServerRecord, key_of
 
-GONE_AFTER_S = 1.0  # so much newer than a batch job a configuration has to be to prove that its route is gone
+GONE_AFTER_S = 1.0  # a configuration shows that a job's route is gone only if it is newer than the job by this time
 CONFIGURATION_KEY = key_of(ConfigurationRecord)
 
 
 @dataclass(frozen=True, slots=True)
 class JobDeadlines:
-    """What the route says, in seconds from when the batch job was received."""
+    """The deadlines that a route sets, in seconds since the batch job was received."""
 
-    due_s: float  # results are wanted by then
-    max_wait_s: float  # an item may be given up from then on
+    due_s: float  # results are due
+    max_wait_s: float  # items may be listed as errored from then on
 
 
 DEFAULT_DEADLINES = JobDeadlines(60.0, 1e9)
 
 
 class JobRoutes:
-    """Reads the replica of the control state at this process."""
+    """Looks up routes in this process's replica of the control state."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
         self._configuration = Configuration()
         self._configuration_revision = -1
         self._slots = 0
-        self._slots_revision = -1  # of the store
+        self._slots_revision = -1  # of the control state
 
     def _current(self) -> Configuration | None:
-        """The newest configuration; None if none is known here."""
+        """Return the newest configuration; None if none is known here."""
         item = self.node.store.items.get(CONFIGURATION_KEY)
         if item is None:
             return None
@@ -45,18 +45,18 @@
         return self._configuration
 
     def route_of(self, job: Job) -> Route | None:
-        """The route of a batch job in the newest configuration here; None if it isn't in it."""
+        """Return the route of a batch job; None if the newest configuration here doesn't have it."""
         configuration = self._current()
         return configuration.route_named(job.route) if configuration else None
 
     def is_gone(self, job: Job) -> bool:
-        """Whether the route is surely gone: the configuration here is from after the batch job came by it."""
+        """Return True if the route is known to be gone: the configuration here is newer than the batch job."""
         if self._current() is None or self.route_of(job) is not None:
             return False
         return self.node.follower.fresh_at > job.received_at + GONE_AFTER_S
 
     def deadlines(self, job: Job) -> JobDeadlines:
-        """When results of a batch job are due."""
+        """Return when the results of a batch job are due."""
         route = self.route_of(job)
         if route is None:
             return DEFAULT_DEADLINES
@@ -66,7 +66,7 @@
         )
 
     def item_slots(self) -> int:
-        """The slots of all servers of the services that batch jobs go to."""
+        """Return the total slots of the servers of the services that batch jobs are routed to."""
         store = self.node.store
         if self._slots_revision != store.revision:
             services = self._rollout_services()
--- a/otterreach/jobstore/job_table.py
+++ b/otterreach/jobstore/job_table.py
@@ -1,7 +1,7 @@
-"""The batch jobs of one partition as a state machine: log entries in, jobs with their items and results out.
+"""The batch jobs of one partition, as a state machine that is driven by log entries.
 
-The same entries give the same state at every replica. Results are kept once, as the bytes that readers get; an item's
-body only while somebody may still ask for it.
+The same entries give the same state at every replica. Each result is kept once, as the bytes that readers get. An
+item's body is kept only as long as it may still be read.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from otterreach.runtime.codes import Failure
 from otterreach.runtime.log import log
 
-DIGEST_RANGES = 16  # of jobs, over which replicas are compared
-ITEM_OVERHEAD_BYTES = 600  # that an item takes besides its texts, about
+DIGEST_RANGES = 16  # ranges of jobs over which replicas are compared
+ITEM_OVERHEAD_BYTES = 600  # approximate memory of an item besides its bodies
 
 
 @dataclass(slots=True)
 class JobChange:
-    """What an entry did."""
+    """The effect of a log entry."""
 
     kind: EntryKind
     job: Job
@@ -35,18 +35,20 @@
 
     def __init__(self) -> None:
         self.jobs: dict[str, Job] = {}
-        self.size = 0  # bytes held, about
+        self.size = 0  # approximate memory in bytes
 
     def get(self, job: str) -> Job | None:
-        """The batch job with this id."""
+        """Return the batch job with this id, or None."""
         return self.jobs.get(job)
 
     def apply(self, entry: Entry, index: int, now: float, parsed: Job | None = None) -> JobChange | None:
-        """Apply an entry; the one function that changes jobs. None if it changes nothing.
+        """Apply a log entry. Return its effect, or None if it changes nothing.
 
-        :param index: of the log behind the entry
-        :param now: on the monotonic clock
-        :param parsed: the job of a SUBMIT, if it has been read already
+        No other function changes the replicated state of jobs.
+
+        :param index: the log index after the entry
+        :param now: the time on the monotonic clock
+        :param parsed: the job of a SUBMIT entry, if it has been parsed already
         """
         kind = EntryKind(entry.kind)
         if kind is EntryKind.SUBMIT:
@@ -75,7 +77,7 @@
             return None
         received_at = now - submission.age_ms / 1000
         job = read_job(submission.job, submission.host, submission.route, submission.body, received_at)
-        if isinstance(job, Failure):  # it was checked before it became an entry
+        if isinstance(job, Failure):  # unexpected: the submission was checked before it was appended
             log("entry_unreadable", level="ERROR", job=submission.job, reason=job.reason)
             return None
         return job
@@ -105,7 +107,7 @@
         return JobChange(EntryKind.DROP, job)
 
     def commit(self, change: JobChange) -> None:
-        """The entry of this change is at all replicas: readers may see it."""
+        """Make a change visible to readers: its entry is at all replicas."""
         job = change.job
         if change.kind is EntryKind.SUBMIT:
             job.committed = True
@@ -122,16 +124,16 @@
         item.free()
 
     def snapshot(self, now: float) -> Iterator[Entry]:
-        """The entries that give this state, without those that are no longer needed."""
+        """Yield the entries that restore this state, without what is no longer needed."""
         for job in list(self.jobs.values()):
             yield from entries_of(job, now)
 
     def copy_jobs(self) -> list[Job]:
-        """The jobs as they are now, whatever becomes of them later; texts are shared."""
+        """Return copies of all jobs, which later changes don't affect; strings and bytes are shared."""
         return [job.copy() for job in self.jobs.values()]
 
     def digests(self) -> list[int]:
-        """Over ranges of jobs; replicas at the same position have the same."""
+        """Return digests over ranges of jobs. They are equal at replicas at the same position."""
         digests = [0] * DIGEST_RANGES
         for job in self.jobs.values():
             digests[zlib.crc32(job.id.encode()) // 16 % DIGEST_RANGES] ^= job.digest()
--- a/otterreach/jobstore/messages.py
+++ b/otterreach/jobstore/messages.py
@@ -13,18 +13,18 @@
 @message(60)
 @dataclass(slots=True)
 class SubmitJob(Request[Done]):
-    """A proxy to the primary: keep this batch job. A Failure with `maybe_done`: it may be kept."""
+    """Sent by a proxy to the primary to submit a batch job. After a Failure with `maybe_done` it may be stored."""
 
     job: str
-    host: str  # of the route it came by
-    route: str  # the route's name then
-    body: bytes  # the JSON as it came
+    host: str  # host of the route that the submission matched
+    route: str  # name of that route at the time
+    body: bytes  # the JSON, unchanged
 
 
 @message(62)
 @dataclass(slots=True)
 class JobResults:
-    """Results of a batch job, in their order."""
+    """Results of a batch job, in the order in which they were listed."""
 
     total: int
     next_cursor: int
@@ -34,7 +34,7 @@
 @message(61)
 @dataclass(slots=True)
 class ReadJob(Request[JobResults]):
-    """A proxy to the primary: the results from `offset` on. Waits up to `wait_ms` until there is one."""
+    """Sent by a proxy to the primary to read the results from `offset` on. Waits up to `wait_ms` if there are none."""
 
     job: str
     offset: int
@@ -52,7 +52,7 @@
 @message(63)
 @dataclass(slots=True)
 class ReadItem(Request[ItemBody]):
-    """A proxy to the primary: the body of an item that is not yet listed."""
+    """Sent by a proxy to the primary to read the body of an item that is not yet listed."""
 
     job: str
     item: str
@@ -61,7 +61,7 @@
 @message(65)
 @dataclass(slots=True)
 class EndJob(Request[Done]):
-    """A proxy to the primary: nothing more of this batch job is wanted. Done once all replicas have that on disk."""
+    """Sent by a proxy to the primary to end a batch job. The reply is Done once all replicas have the end on disk."""
 
     job: str
 
@@ -76,38 +76,38 @@
 
     partition: int
     epoch: int
-    age_ms: int  # since all its backups were last surely in this epoch
+    age_ms: int  # since all backups were last known to be in this epoch
 
 
 @message(67)
 @dataclass(slots=True)
 class ProxyPong:
-    """What a job store node serves."""
+    """The reply to a ProxyPing: the partitions that a job store node serves."""
 
-    sent_ms: int  # as in the ping
+    sent_ms: int  # copied from the ping
     served: list[ServedPartition] = field(default_factory=list)
-    ended: list[str] = field(default_factory=list)  # of the ping's jobs: a CancelJob may have been lost
+    ended: list[str] = field(default_factory=list)  # jobs of the ping that have ended; a CancelJob may have been lost
 
 
 @message(66)
 @dataclass(slots=True)
 class ProxyPing(Request[ProxyPong]):
-    """A proxy to every job store node, again and again."""
+    """Sent periodically by a proxy to every job store node."""
 
     node: str
     address: str
     sent_ms: int  # by the proxy's monotonic clock
-    slots: int  # items that it may run at once
-    free: int  # slots that are not taken
-    jobs: list[str] = field(default_factory=list)  # whose items it has, queued or running
-    incarnation: int = 0  # drawn at the start of the process: another incarnation runs nothing yet
-    interval_ms: int = 0  # the next ping comes within this while no items of the receiver are here; 0: not told
+    slots: int  # the number of items that the proxy may run concurrently
+    free: int  # slots that are not in use
+    jobs: list[str] = field(default_factory=list)  # jobs of which the proxy has items, queued or running
+    incarnation: int = 0  # random, per start of the process; a new incarnation has no items
+    interval_ms: int = 0  # announced ping interval while the proxy has no items of the receiver; 0: not announced
 
 
 @message(0)
 @dataclass(slots=True)
 class WorkItem:
-    """One item to be run, with its reward call."""
+    """An item to run, with the call to its scorer."""
 
     item: str
     path: str
@@ -119,15 +119,16 @@
     scorer_host: str
     scorer_path: str
     scorer_body: bytes
-    failures: int = 0  # how often servers have answered it by a 500, as far as is known
+    failures: int = 0  # the number of responses with status 500 to it that are known of
 
 
 @message(68)
 @dataclass(slots=True)
 class AssignItems:
-    """A job store node to a proxy, one way: run these items.
+    """Sent one-way by a job store node to a proxy to assign items of a job.
 
-    `left_ms`: until the results are due; `wait_ms`: until an item may be given up. Both count from now.
+    `left_ms` is the time until the results are due, `wait_ms` the time until an item may be listed as errored. Both
+    count from the sending.
     """
 
     partition: int
@@ -144,15 +145,15 @@
 @message(69)
 @dataclass(slots=True)
 class ItemFinished(Request[Done]):
-    """A proxy to the primary, repeated until it is taken: what came of an item.
+    """Sent by a proxy to the primary to report the outcome of an item; retried until it is accepted.
 
-    JOB_ENDED and UNKNOWN_ITEM (listed already) are final.
+    JOB_ENDED and UNKNOWN_ITEM (it is listed already) are final.
     """
 
     job: str
     item: str
     state: str  # done or errored
-    reason: str  # of errored: one of results.ERRORS
+    reason: str  # for errored: one of result_check.ERRORS
     text: str
     versions: list[int]
     score: str
@@ -161,7 +162,7 @@
 @message(70)
 @dataclass(slots=True)
 class RunningItems(Request[Done]):
-    """A proxy to a new primary: these items of a partition run here."""
+    """Sent by a proxy to a new primary to report the items of a partition that run at the proxy."""
 
     partition: int
     node: str
@@ -171,18 +172,18 @@
 @message(71)
 @dataclass(slots=True)
 class ReturnItems:
-    """A proxy to the primary, one way: these items will not be run here any more."""
+    """Sent one-way by a proxy to the primary to return items that it will not run."""
 
     job: str
     items: list[str]
-    out_of_reach: bool = False  # the proxy reached no server for them: others may
-    failures: list[int] = field(default_factory=list)  # of each item: how often servers answered it by a 500
+    out_of_reach: bool = False  # the proxy reached no server for them; another proxy may
+    failures: list[int] = field(default_factory=list)  # for each item: the number of responses with status 500 to it
 
 
 @message(72)
 @dataclass(slots=True)
 class CancelJob:
-    """A job store node to a proxy, one way: nothing of this batch job may be sent any more."""
+    """Sent one-way by a job store node to a proxy: no further items of this batch job may be sent to servers."""
 
     job: str
 
@@ -193,7 +194,7 @@
 @message(0)
 @dataclass(slots=True)
 class Entry:
-    """A record of a partition's log."""
+    """An entry of a partition's log."""
 
     kind: int
     body: bytes
@@ -202,25 +203,26 @@
 @message(78)
 @dataclass(slots=True)
 class ReplicaPosition:
-    """How far a replica's log is on its disk; an index of -1: it has no complete replica."""
+    """The position of a replica's log on its disk. An index of -1 means that there is no complete replica."""
 
     epoch: int
-    index: int  # the count of records
+    index: int  # the number of entries
     chain: int  # a hash over all of them
 
 
 @message(73)
 @dataclass(slots=True)
 class AppendEntries(Request[ReplicaPosition]):
-    """The primary to a backup: records behind the position (index, chain). Answered once they are on disk.
+    """Sent by the primary to a backup to append entries after the position (index, chain).
 
-    Where the replica is at another position nothing is appended, and its position is the answer. Without records it is
-    a question, which also opens `session`: messages of an earlier session get NOT_SYNCED from then on.
+    The reply is sent once they are on disk. If the replica is at another position, nothing is appended and the reply is
+    its position. Without records the message is a query for the position. It also opens `session`: messages of an
+    earlier session are answered with NOT_SYNCED from then on.
     """
 
     partition: int
     epoch: int
-    member: str  # who is meant: nobody else at that address
+    member: str  # the addressee; any other member at that address rejects the message
     session: int
     index: int
     chain: int
@@ -230,16 +232,16 @@
 @message(74)
 @dataclass(slots=True)
 class PartitionInstall(Request[ReplicaPosition]):
-    """The primary to a replica that lacks something: a chunk of the complete partition as it is at (index, chain).
+    """Sent by the primary to a replica that lacks entries: a chunk of the complete replica at (index, chain).
 
-    What was there stays in force until the last chunk. After a Failure the installation starts anew.
+    The current replica stays in use until the last chunk. After a Failure the installation starts again.
     """
 
     partition: int
     epoch: int
     member: str
     session: int
-    install: int  # drawn for each installation
+    install: int  # random, per installation
     chunk: int  # counted from 0
     last: bool
     index: int
@@ -250,7 +252,7 @@
 @message(79)
 @dataclass(slots=True)
 class PartitionEpochs:
-    """The epochs that a member is in, in the order of the question."""
+    """The epochs that a member is in, in the order of the request."""
 
     epochs: list[int]
 
@@ -258,7 +260,7 @@
 @message(75)
 @dataclass(slots=True)
 class PartitionPing(Request[PartitionEpochs]):
-    """The primary to a backup: are you still in these epochs? NOT_MEMBER if another disk is there."""
+    """Sent by the primary to a backup to query its epochs. NOT_MEMBER if the receiver has another disk."""
 
     member: str
     partitions: list[int]
@@ -268,9 +270,9 @@
 @message(77)
 @dataclass(slots=True)
 class PartitionDigests(Request[Done]):
-    """The primary to a backup: digests over ranges of jobs at (index, chain), to find a replica that differs.
+    """Sent by the primary to a backup to detect a differing replica: digests over ranges of jobs at (index, chain).
 
-    Done if it is the same, or at another position; NOT_SYNCED if it differs.
+    The reply is Done if they are equal or the replica is at another position, and NOT_SYNCED if they differ.
     """
 
     partition: int
@@ -287,9 +289,9 @@
 @message(76)
 @dataclass(slots=True)
 class ReplicaInSync(Request[Done]):
-    """A partition's primary: this member has all of the partition now, and every write waits for it.
+    """Sent by a partition's primary: this member has the complete partition now, and every write waits for it.
 
-    Counts only while the record's epoch is this one.
+    The report is valid only while the record's epoch is the same.
     """
 
     partition: int
@@ -300,7 +302,7 @@
 @message(80)
 @dataclass(slots=True)
 class ReplicaLost:
-    """A partition's primary, one way: this backup has not answered for `silent_ms`."""
+    """Sent one-way by a partition's primary: this backup has not answered for `silent_ms`."""
 
     partition: int
     epoch: int
@@ -311,7 +313,7 @@
 @message(81)
 @dataclass(slots=True)
 class DiskStalled:
-    """A job store node, one way, repeated while it lasts: its disk takes no writes."""
+    """Sent one-way by a job store node while its disk takes no writes, periodically."""
 
     node: str
     disk: str
@@ -321,9 +323,9 @@
 @message(82)
 @dataclass(slots=True)
 class StoreDraining(Request[Done]):
-    """A job store node, repeated while it lasts: it is about to end, others are to get its replicas first.
+    """Sent periodically by a job store node that is shutting down, so that its replicas are moved to other nodes first.
 
-    TOO_FEW_LEFT: nobody else could take them.
+    TOO_FEW_LEFT means that too few other nodes are left to take them.
     """
 
     node: str
--- a/otterreach/jobstore/node.py
+++ b/otterreach/jobstore/node.py
@@ -1,4 +1,4 @@
-"""A job store node put together: replicas, the dispatching of items, and what proxies ask."""
+"""The job store node: assembles replication, the dispatcher, the request handlers and the periodic work."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 TICK_S = 0.1
 RECONCILE_INTERVAL_S = 1.0
-SHUTDOWN_WRITE_TIMEOUT_S = 0.3  # for writes in progress at a shutdown
-FAILED_STAY_S = 5.0  # with a disk that failed it ends once it is replaced, and after so long in any case
+SHUTDOWN_WRITE_TIMEOUT_S = 0.3  # for writes in flight at a shutdown
+FAILED_STAY_S = 5.0  # after a disk failure the process ends once its replicas have moved, at the latest after this time
 REWRITE_LIMITS = Limits(8 * 1024 * 1024, 4.0)
 
 
 def restore(node: Node, replication: Replication, records: Iterable[Record]) -> None:
-    """Load the state as the journal has it; a first start draws the id of the disk."""
+    """Replay the journal. At the first start there is none, and the disk is given a random id."""
     disk = ""
     for kind, payload in records:
         if kind == RecordKind.DISK:
@@ -50,7 +50,7 @@
 
 
 class JobStoreNode:
-    """One process of the role. Notified by the replication, and the host of the dispatcher."""
+    """A job store node. It is the listener of the replication and the host of the dispatcher."""
 
     def __init__(self, node: Node, journal: JobJournal, random: Random, records: Iterable[Record]) -> None:
         self.node = node
@@ -68,7 +68,7 @@
         restore(node, self.replication, records)
 
     async def start(self) -> None:
-        """Take part, once the id of the disk is on it: that also shows that the disk takes writes."""
+        """Start to take part once the disk's id is synced to it, which shows that the disk takes writes."""
         self.journal.append(RecordKind.DISK, self.node.disk.encode())
         if not await self.replication.context.disk.sync():
             self.node.stopping.set()
@@ -83,7 +83,7 @@
             self.node.endpoint.spawn(work)
 
     async def stop(self) -> None:
-        """Assign nothing more; what has been accepted goes to all replicas and to disk."""
+        """Stop assigning items, and wait until accepted writes are replicated and synced."""
         self.stopping = True
         self.dispatcher.stopped = True
         self.job_requests.stopping = True
@@ -93,7 +93,7 @@
     # Listener of the replication -----------------------------------------------------------------
 
     def committed(self, replica: PartitionReplica, change: JobChange) -> None:
-        """An entry is at all replicas: readers may see it, and items may run."""
+        """Handle a committed entry: readers may see it, and items may run."""
         job = change.job
         if change.kind is EntryKind.SUBMIT and job.state is JobState.OPEN:
             self.dispatcher.job_opened(job)
@@ -103,32 +103,32 @@
             self.job_requests.wake_readers(job.id)
 
     def became_leader(self, replica: PartitionReplica) -> None:
-        """This machine serves the partition from now on."""
+        """Handle that this machine serves the partition from now on."""
         self.dispatcher.became_leader(replica)
         self.job_requests.wake_readers_of(replica.partition)
 
     def stepped_down(self, replica: PartitionReplica) -> None:
-        """This machine no longer serves the partition."""
+        """Handle that this machine no longer serves the partition."""
         self.dispatcher.stepped_down(replica)
         self.job_requests.wake_readers_of(replica.partition)
 
     # Host of the dispatcher ----------------------------------------------------------------------
 
     def may_run(self, partition: int) -> bool:
-        """Whether this machine is surely the primary of the partition now."""
+        """Return True if this machine is known to be the partition's primary at present."""
         leader = self.replication.leaders.get(partition)
         return leader is not None and leader.is_confirmed and not self.stopping
 
     def epoch(self, partition: int) -> int:
-        """The epoch that the partition is in here."""
+        """Return the epoch of this machine's replica of the partition."""
         return self.replication.replicas[partition].epoch
 
     def deadlines(self, job: Job) -> JobDeadlines:
-        """When results of a batch job are due."""
+        """Return when the results of a batch job are due."""
         return self.routes.deadlines(job)
 
     def item_slots(self) -> int:
-        """The slots of all servers that items may run at."""
+        """Return the total slots of the servers that items may run on."""
         return self.routes.item_slots()
 
     # Periodic work -------------------------------------------------------------------------------
@@ -140,7 +140,10 @@
             self._end_if_disk_failed()
 
     def _end_if_disk_failed(self) -> None:
-        """Others take over its replicas first; then the process ends, and starts anew on what the disk has."""
+        """End the process after a disk failure, once other nodes have taken over its replicas.
+
+        The next start replays what the disk has.
+        """
         if self.journal.failed is None:
             return
         now = self.loop.time()
@@ -161,7 +164,7 @@
         return sum(replica.jobs.size for replica in self.replication.replicas)
 
     def live_slices(self) -> Iterator[Slice]:
-        """All that the journal has to hold, a replica at a time."""
+        """Yield the records that the journal has to hold, one replica at a time."""
         yield [(RecordKind.DISK, self.node.disk.encode())]
         for replica in self.replication.replicas:
             yield replica.live_records()
--- a/otterreach/jobstore/result_check.py
+++ b/otterreach/jobstore/result_check.py
@@ -1,4 +1,4 @@
-"""Whether what a proxy reports of an item can be its result."""
+"""Validation of the results that proxies report for items."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from otterreach.jobstore.job_routes import JobRoutes
 from otterreach.jobstore.messages import ItemFinished
 
-# States of a finished item, and the reasons of an errored one.
+# States of a finished item, and reasons of an errored one.
 DONE = "done"
 ERRORED = "errored"
-WAITED = "waited"  # longer than the route's maxWaitS
+WAITED = "waited"  # for longer than the route's maxWaitS
 ROUTE_GONE = "route_gone"
 ERRORS = ("unprocessable", "failed", "reward_failed", WAITED, ROUTE_GONE)
 
 
 def rejection_reason(routes: JobRoutes, job: Job, item: JobItem, finished: ItemFinished, now: float) -> str:
-    """Why this can't be the result of the item; empty if it can.
+    """Return why this can't be the result of the item; empty if it can.
 
-    :param now: on the monotonic clock
+    :param now: the time on the monotonic clock
     """
     if finished.state == DONE:
         return _why_not_done(routes, job, item, finished)
