--- a/otterreach/jobstore/__main__.py
+++ b/otterreach/jobstore/__main__.py
@@ -28,7 +28,7 @@
 STOP_TIMEOUT_S = 0.8  # for writes in flight to reach the disk
 
 
-async def first_of(*events: asyncio.Event) -> None:
+async def wait_for_any(*events: asyncio.Event) -> None:
     """Wait until one of the events is set."""
     waiting = [asyncio.ensure_future(event.wait()) for event in events]
     await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
@@ -61,7 +61,7 @@
         await node.start(MemberRole.JOB_STORE)
         endpoint.spawn(node.watch_settings())
         await MetricsListener(partial(figure_sources, node, journal, store_node)).listen(settings.ip)
-    await first_of(terminate, node.stopping)
+    await wait_for_any(terminate, node.stopping)
     if terminate.is_set() and not node.stopping.is_set():
         await transfer_replicas(node)
     try:
--- a/otterreach/jobstore/disk_probe.py
+++ b/otterreach/jobstore/disk_probe.py
@@ -14,7 +14,7 @@
 MAX_WAIT_S = 30.0  # the start then continues, and fails if the disk still takes no writes
 
 
-def takes_writes(folder: Path) -> bool:
+def is_writable(folder: Path) -> bool:
     """Write, sync and remove a small file. Return False if that fails."""
     path = folder / PROBE_FILE
     try:
@@ -36,7 +36,7 @@
     loop = asyncio.get_running_loop()
     began = loop.time()
     logged = False
-    while not await loop.run_in_executor(None, takes_writes, folder):
+    while not await loop.run_in_executor(None, is_writable, folder):
         if not logged:
             log("disk_unwritable", level="ERROR", folder=folder)
         logged = True
--- a/otterreach/jobstore/dispatcher.py
+++ b/otterreach/jobstore/dispatcher.py
@@ -25,7 +25,7 @@
 from otterreach.runtime.repeated_work import RepeatedWork
 from otterreach.runtime.rpc import Link
 
-FORGOTTEN_S = 2.0  # a proxy whose pings don't name a job this long after it was sent items of it has lost them
+ITEMS_LOST_AFTER_S = 2.0  # a proxy whose pings don't name a job this long after it was sent items of it has lost them
 RUNNING_REPORT_WAIT_S = 0.4  # a new primary waits this long for the proxies to report which items they run
 SURPLUS_DELAY_S = 60.0  # added to the due time of items that no trainer waits for
 NO_SURPLUS = 1 << 60  # greater than any order
@@ -166,15 +166,15 @@
         if reconnected:
             self._send(session, list(session.items.values()))  # some may have been lost with the previous connection
         self.sessions.become(session, SessionState.LIVE)
-        self._find_forgotten(session, set(ping.jobs))
+        self._requeue_lost_items(session, set(ping.jobs))
         self.schedule()
 
-    def _find_forgotten(self, session: ProxySession, named: set[str]) -> None:
+    def _requeue_lost_items(self, session: ProxySession, named: set[str]) -> None:
         """Queue the items again that the proxy has lost: by now its pings should have named their jobs."""
-        late = self.now() - FORGOTTEN_S
+        late = self.now() - ITEMS_LOST_AFTER_S
         session.assigned_at = {job: at for job, at in session.assigned_at.items() if job in self.open_jobs}
-        forgotten = {job for job, at in session.assigned_at.items() if at < late and job not in named}
-        for key in [key for key in session.items if key[0] in forgotten]:
+        lost = {job for job, at in session.assigned_at.items() if at < late and job not in named}
+        for key in [key for key in session.items if key[0] in lost]:
             assigned = session.items.pop(key)
             self._return_item(assigned.job, assigned.item)
 
@@ -196,9 +196,9 @@
         # A proxy of an earlier version sends no failure counts.
         failures = dict(zip(message.items, message.failures, strict=False))
         for item_id in message.items:
-            self._take_back(session, (message.job, item_id), failures.get(item_id, 0))
+            self._reclaim_item(session, (message.job, item_id), failures.get(item_id, 0))
 
-    def _take_back(self, session: ProxySession, key: ItemKey, failures: int) -> None:
+    def _reclaim_item(self, session: ProxySession, key: ItemKey, failures: int) -> None:
         assigned = session.items.pop(key, None)
         if assigned:
             assigned.item.failures = max(assigned.item.failures, failures)
--- a/otterreach/jobstore/free_proxies.py
+++ b/otterreach/jobstore/free_proxies.py
@@ -36,15 +36,15 @@
     def take(self, model: str) -> ProxySession | None:
         """Remove and return the proxy for the next item of a model; `put_back` adds it again."""
         blocked = self._blocked_for(model)
-        passed_over = []
+        skipped = []
         found: ProxySession | None = None
         while self._heap and found is None:
             entry = heapq.heappop(self._heap)
             if entry[2].node in blocked:
-                passed_over.append(entry)
+                skipped.append(entry)
             else:
                 found = entry[2]
-        for entry in passed_over:
+        for entry in skipped:
             heapq.heappush(self._heap, entry)
         return found
 
--- a/otterreach/jobstore/graceful_shutdown.py
+++ b/otterreach/jobstore/graceful_shutdown.py
@@ -11,11 +11,11 @@
 from otterreach.runtime.records import PartitionRecord
 
 CALL_TIMEOUT_S = 0.8
-REPEAT_S = 0.2  # interval between requests, which are repeated until the replicas have moved
+REQUEST_INTERVAL_S = 0.2  # interval between requests, which are repeated until the replicas have moved
 GRACE_SHARE = 0.6  # of the time between SIGTERM and the end of the process; the rest is for stopping
 
 
-def is_named(node: Node) -> bool:
+def has_assigned_replicas(node: Node) -> bool:
     """Return True if any partition record known here names this member."""
     records = node.store.records(PartitionRecord)
     return any(node.member in record.replicas for record in records.values())
@@ -30,12 +30,12 @@
     began = loop.time()
     deadline = began + GRACE_SHARE * node.settings.bounds.grace_s
     request = StoreDraining(node.settings.node, node.disk)
-    while is_named(node) and loop.time() < deadline:
+    while has_assigned_replicas(node) and loop.time() < deadline:
         reply = await node.call_primary(request, CALL_TIMEOUT_S)
         if isinstance(reply, Failure) and reply.code is Code.TOO_FEW_LEFT:
             break
-        await asyncio.sleep(REPEAT_S)
-    done = not is_named(node)
+        await asyncio.sleep(REQUEST_INTERVAL_S)
+    done = not has_assigned_replicas(node)
     log(
         "replicas_transferred",
         level="INFO" if done else "WARNING",
--- a/otterreach/jobstore/item_requests.py
+++ b/otterreach/jobstore/item_requests.py
@@ -76,7 +76,7 @@
             if isinstance(confirmed, Failure):
                 return confirmed
             return Failure(Code.UNKNOWN_ITEM if job else Code.UNKNOWN_JOB, finished.item)
-        closed = await self._why_closed(leader.replica, job, item)
+        closed = await self._closed_failure(leader.replica, job, item)
         if closed is not None:
             return closed
         rejection = self._rejection(job, item, finished)
@@ -84,13 +84,13 @@
             return rejection
         return await self._list(leader, job, item, finished)
 
-    async def _why_closed(self, replica: PartitionReplica, job: Job, item: JobItem) -> Failure | None:
+    async def _closed_failure(self, replica: PartitionReplica, job: Job, item: JobItem) -> Failure | None:
         """Return why no result may be listed for the item any more, once that is committed; None if one may be."""
         listed = item.state is ItemState.LISTED
         if not listed and job.state is JobState.OPEN:
             return None
         index = item.index if listed else job.end_index
-        if not await self.replication.committed(replica, index, WRITE_TIMEOUT_S):
+        if not await self.replication.wait_until_committed(replica, index, WRITE_TIMEOUT_S):
             return Failure(Code.TIMED_OUT, "not at all replicas in time")
         return Failure(Code.UNKNOWN_ITEM, "listed") if listed else Failure(Code.JOB_ENDED, job.id)
 
--- a/otterreach/jobstore/job_expiry.py
+++ b/otterreach/jobstore/job_expiry.py
@@ -12,7 +12,7 @@
 from otterreach.jobstore.replication import Replication
 from otterreach.jobstore.result_check import ERRORED, ROUTE_GONE, WAITED
 
-KEEP_MARGIN_S = 3.0  # results are kept for longer than statusS promises
+RETENTION_MARGIN_S = 3.0  # results are kept for longer than statusS promises
 WAIT_MARGIN_S = 1.0  # after maxWaitS
 
 
@@ -27,17 +27,17 @@
     def run(self) -> None:
         """Check all jobs once."""
         now = self.replication.context.now()
-        keep_s = self.replication.node.settings.bounds.status_s + KEEP_MARGIN_S
+        retention_s = self.replication.node.settings.bounds.status_s + RETENTION_MARGIN_S
         for leader in list(self.replication.leaders.values()):
             if not leader.is_confirmed:
                 continue
             for job in list(leader.replica.jobs.jobs.values()):
-                if job.ended and now - job.received_at > keep_s:
+                if job.ended and now - job.received_at > retention_s:
                     leader.append(drop_entry(job.id))
                 elif job.state is JobState.OPEN and job.committed:
-                    self._give_up_items(leader, job, now)
+                    self._expire_items(leader, job, now)
 
-    def _give_up_items(self, leader: PartitionLeader, job: Job, now: float) -> None:
+    def _expire_items(self, leader: PartitionLeader, job: Job, now: float) -> None:
         waited = now - job.received_at > self.routes.deadlines(job).max_wait_s + WAIT_MARGIN_S
         if not waited and not self.routes.is_gone(job):
             return
--- a/otterreach/jobstore/job_requests.py
+++ b/otterreach/jobstore/job_requests.py
@@ -7,7 +7,7 @@
 from otterreach.jobstore.job import ItemState, Job, JobState
 from otterreach.jobstore.job_entries import end_entry, submit_entry
 from otterreach.jobstore.job_json import check_numbers, read_job
-from otterreach.jobstore.leadership import PartitionLeader, finish
+from otterreach.jobstore.leadership import PartitionLeader, resolve
 from otterreach.jobstore.messages import EndJob, ItemBody, JobResults, ReadItem, ReadJob, SubmitJob
 from otterreach.jobstore.partition_replica import PartitionReplica
 from otterreach.jobstore.placement import partition_of
@@ -67,7 +67,7 @@
 
     async def done_when_committed(self, replica: PartitionReplica, index: int) -> Done | Failure:
         """Return Done once the entry before `index` is committed. TIMED_OUT means that it may be or not."""
-        if await self.replication.committed(replica, index, WRITE_TIMEOUT_S):
+        if await self.replication.wait_until_committed(replica, index, WRITE_TIMEOUT_S):
             return Done()
         return Failure(Code.TIMED_OUT, "not at all replicas in time")
 
@@ -106,7 +106,7 @@
     async def _wait_for_results(self, job: str, timeout_s: float) -> None:
         future: asyncio.Future[None] = self.loop.create_future()
         self._readers.setdefault(job, []).append(future)
-        timer = self.loop.call_later(timeout_s, finish, future)
+        timer = self.loop.call_later(timeout_s, resolve, future)
         try:
             await future
         finally:
@@ -123,7 +123,7 @@
     def wake_readers(self, job: str) -> None:
         """Wake the reads that wait for results of this job."""
         for future in self._readers.pop(job, ()):
-            finish(future)
+            resolve(future)
 
     def wake_readers_of(self, partition: int) -> None:
         """Wake the reads that wait for jobs of this partition, since its leadership has changed."""
--- a/otterreach/jobstore/job_routes.py
+++ b/otterreach/jobstore/job_routes.py
@@ -9,7 +9,7 @@
 from otterreach.runtime.node import Node
 from otterreach.runtime.records import ServerRecord, key_of
 
-GONE_AFTER_S = 1.0  # a configuration shows that a job's route is gone only if it is newer than the job by this time
+ROUTE_GONE_MARGIN_S = 1.0  # a route counts as gone only by a configuration that is this much newer than the batch job
 CONFIGURATION_KEY = key_of(ConfigurationRecord)
 
 
@@ -53,7 +53,7 @@
         """Return True if the route is known to be gone: the configuration here is newer than the batch job."""
         if self._current() is None or self.route_of(job) is not None:
             return False
-        return self.node.follower.fresh_at > job.received_at + GONE_AFTER_S
+        return self.node.follower.fresh_at > job.received_at + ROUTE_GONE_MARGIN_S
 
     def deadlines(self, job: Job) -> JobDeadlines:
         """Return when the results of a batch job are due."""
--- a/otterreach/jobstore/leadership.py
+++ b/otterreach/jobstore/leadership.py
@@ -38,14 +38,14 @@
 class LeadershipOwner(Protocol):
     """Starts and ends leaderships."""
 
-    def sync_soon(self, replica: PartitionReplica) -> None:
+    def schedule_sync(self, replica: PartitionReplica) -> None:
         """Schedule a sync of this replica's entries."""
 
     def step_down(self, replica: PartitionReplica, reason: str) -> None:
         """End this machine's leadership of the replica's partition."""
 
 
-def finish(future: asyncio.Future[None]) -> None:
+def resolve(future: asyncio.Future[None]) -> None:
     """Resolve a future unless it is done already."""
     if not future.done():
         future.set_result(None)
@@ -108,7 +108,7 @@
         waiters = self._waiters
         self._waiters = []
         for _, future in waiters:
-            finish(future)
+            resolve(future)
 
     def superseded(self, reason: str) -> None:
         """Step down because a member is in a higher epoch."""
@@ -154,7 +154,7 @@
     def append(self, entry: Entry, parsed: Job | None = None) -> int:
         """Append an entry to the log and replicate it. Return the index to wait for."""
         index = self.replica.append(entry, parsed)
-        self.owner.sync_soon(self.replica)
+        self.owner.schedule_sync(self.replica)
         for stream in self.streams.values():
             stream.wake.set()
         return index
--- a/otterreach/jobstore/member_pings.py
+++ b/otterreach/jobstore/member_pings.py
@@ -16,7 +16,7 @@
 
 PING_INTERVAL_S = 0.15
 PING_TIMEOUT_S = 0.4
-LOST_S = 0.6  # a member that has not answered for this time is reported to the controller
+LOST_TIMEOUT_S = 0.6  # a member that has not answered for this time is reported to the controller
 REPORT_INTERVAL_S = 0.3
 MAX_REPORTED_S = 1e6
 
@@ -75,7 +75,7 @@
             return
         now = self.context.now()
         since_contact_s = now - max(stream.confirmed_at, leader.began_at)
-        if since_contact_s < LOST_S or now - stream.reported_lost_at < REPORT_INTERVAL_S:
+        if since_contact_s < LOST_TIMEOUT_S or now - stream.reported_lost_at < REPORT_INTERVAL_S:
             return
         silent_ms = int(min(since_contact_s, MAX_REPORTED_S) * 1000)
         report = ReplicaLost(leader.replica.partition, leader.epoch, member, silent_ms)
--- a/otterreach/jobstore/node.py
+++ b/otterreach/jobstore/node.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from otterreach.jobstore.dispatcher import Dispatcher
-from otterreach.jobstore.graceful_shutdown import is_named
+from otterreach.jobstore.graceful_shutdown import has_assigned_replicas
 from otterreach.jobstore.item_requests import ItemRequests
 from otterreach.jobstore.job import Job, JobState
 from otterreach.jobstore.job_entries import EntryKind
@@ -29,7 +29,7 @@
 TICK_S = 0.1
 RECONCILE_INTERVAL_S = 1.0
 SHUTDOWN_WRITE_TIMEOUT_S = 0.3  # for writes in flight at a shutdown
-FAILED_STAY_S = 5.0  # after a disk failure the process ends once its replicas have moved, at the latest after this time
+DISK_FAILURE_EXIT_S = 5.0  # after a disk failure the process ends once its replicas have moved, at the latest then
 REWRITE_LIMITS = Limits(8 * 1024 * 1024, 4.0)
 
 
@@ -73,7 +73,7 @@
         if not await self.replication.context.disk.sync():
             self.node.stopping.set()
             return
-        self.replication.follow_all()
+        self.replication.apply_all_records()
         for work in (
             self.replication.pings.run(),
             self.replication.context.disk.run(self.node),
@@ -148,7 +148,7 @@
             return
         now = self.loop.time()
         self._failed_at = now if self._failed_at is None else self._failed_at
-        if not is_named(self.node) or now - self._failed_at > FAILED_STAY_S:
+        if not has_assigned_replicas(self.node) or now - self._failed_at > DISK_FAILURE_EXIT_S:
             self.node.stopping.set()
 
     async def _reconcile(self) -> None:
--- a/otterreach/jobstore/partition_replica.py
+++ b/otterreach/jobstore/partition_replica.py
@@ -279,10 +279,10 @@
     def drop(self) -> None:
         """Drop the contents of this replica; other members hold everything."""
         self.journal.append(*boundary_record(RecordKind.DROPPED, self.partition))
-        self._forget()
+        self._clear()
         self.become(ReplicaState.ABSENT, "dropped")
 
-    def _forget(self) -> None:
+    def _clear(self) -> None:
         self._replace(JobTable(), START)
         self.is_complete = False
 
@@ -312,7 +312,7 @@
         elif kind == RecordKind.END and self.staged:
             self._replace(self.staged.jobs, self.staged.position)
         elif kind == RecordKind.DROPPED:
-            self._forget()
+            self._clear()
         elif kind == RecordKind.RECORD:
             self._advance(decode_entry(payload))
         elif kind == RecordKind.LOAD and self.staged:
--- a/otterreach/jobstore/proxy_sessions.py
+++ b/otterreach/jobstore/proxy_sessions.py
@@ -14,9 +14,9 @@
 PING_TIMEOUT_S = 0.9  # a proxy with items is lost after this time without a ping
 IDLE_MARGIN_S = 0.65  # a proxy without items is lost this long after its next ping was announced for
 MAX_INTERVAL_S = 5.0  # upper bound of the announced ping interval, so that a lost proxy is detected in any case
-RECONNECT_S = 0.35  # a disconnected proxy may reconnect within this time
+RECONNECT_TIMEOUT_S = 0.35  # a disconnected proxy may reconnect within this time
 LATE_TICK_S = 0.3  # after a longer pause between ticks this process was stalled, not the proxies
-FORGET_S = 60.0  # the session of a lost proxy is removed after this time
+LOST_SESSION_RETENTION_S = 60.0  # the session of a lost proxy is removed after this time
 
 ItemKey = tuple[str, str]  # the ids of the job and of the item
 
@@ -111,7 +111,7 @@
             self.by_node[ping.node] = session
             self._watch(session, link)
         if session.incarnation != ping.incarnation or session.state is SessionState.LOST:
-            self._take_items(session)
+            self._release_items(session)
             session.incarnation = ping.incarnation
         session.pinged_at = now
         session.slots = ping.slots
@@ -132,7 +132,7 @@
             session.disconnected_at = self.now()
         elif state is SessionState.LOST:
             log("proxy_lost", proxy=session.node, items=len(session.items))
-            self._take_items(session)
+            self._release_items(session)
 
     def _watch(self, session: ProxySession, link: Link) -> None:
         def closed(gone: Link) -> None:
@@ -142,7 +142,7 @@
 
         link.on_close.append(closed)
 
-    def _take_items(self, session: ProxySession) -> None:
+    def _release_items(self, session: ProxySession) -> None:
         items = session.items
         session.items = {}
         self.return_items(items.values())
@@ -167,11 +167,11 @@
                 session.disconnected_at = now
             elif self._has_timed_out(session, now):
                 self.become(session, SessionState.LOST)
-            elif session.state is SessionState.LOST and now - session.pinged_at > FORGET_S:
+            elif session.state is SessionState.LOST and now - session.pinged_at > LOST_SESSION_RETENTION_S:
                 del self.by_node[session.node]
 
     @staticmethod
     def _has_timed_out(session: ProxySession, now: float) -> bool:
         if session.state is SessionState.LIVE:
             return session.has_timed_out(now)
-        return session.state is SessionState.DISCONNECTED and now - session.disconnected_at > RECONNECT_S
+        return session.state is SessionState.DISCONNECTED and now - session.disconnected_at > RECONNECT_TIMEOUT_S
--- a/otterreach/jobstore/recent_entries.py
+++ b/otterreach/jobstore/recent_entries.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Positioned:
+class _PositionedEntry:
     position: LogPosition  # before the entry
     entry: Entry
 
@@ -24,12 +24,12 @@
     """Entries in log order, with the position before each."""
 
     def __init__(self) -> None:
-        self._entries: deque[_Positioned] = deque()
+        self._entries: deque[_PositionedEntry] = deque()
         self._bytes = 0
 
     def append(self, position: LogPosition, entry: Entry) -> None:
         """Append an entry; `position` is the log position before it."""
-        self._entries.append(_Positioned(position, entry))
+        self._entries.append(_PositionedEntry(position, entry))
         self._bytes += len(entry.body)
 
     def trim(self, retained_from: int) -> None:
@@ -59,14 +59,14 @@
         """Return the entries after a contained position: about `limit` bytes, and at least one entry."""
         entries: list[Entry] = []
         size = 0
-        for entry in self._behind(position):
+        for entry in self._entries_from(position):
             size += len(entry.body)
             if entries and size > limit:
                 break
             entries.append(entry)
         return entries
 
-    def _behind(self, position: LogPosition) -> Iterator[Entry]:
+    def _entries_from(self, position: LogPosition) -> Iterator[Entry]:
         if self._entries:
             for positioned in islice(self._entries, self._offset_of(position), None):
                 yield positioned.entry
--- a/otterreach/jobstore/replication.py
+++ b/otterreach/jobstore/replication.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from otterreach.jobstore.backup import BackupHandlers
-from otterreach.jobstore.leadership import LeadershipListener, PartitionLeader, finish
+from otterreach.jobstore.leadership import LeadershipListener, PartitionLeader, resolve
 from otterreach.jobstore.member_pings import MemberPings
 from otterreach.jobstore.messages import PartitionDigests
 from otterreach.jobstore.partition_replica import PartitionReplica, ReplicaState
@@ -39,7 +39,7 @@
         self.pings = MemberPings(self.context, self.leaders)
         self._unsynced: dict[int, PartitionReplica] = {}
         self._syncing = False
-        self._digested_at = 0.0
+        self._digests_compared_at = 0.0
         node.store.watch(PartitionRecord, self._record_changed)
 
     @property
@@ -51,14 +51,14 @@
 
     def _record_changed(self, item: Item) -> None:
         if item.name.isdigit() and int(item.name) < PARTITIONS:
-            self.follow(self.replicas[int(item.name)])
+            self.apply_record(self.replicas[int(item.name)])
 
-    def follow_all(self) -> None:
+    def apply_all_records(self) -> None:
         """Apply the records of all partitions; called once at start-up."""
         for replica in self.replicas:
-            self.follow(replica)
+            self.apply_record(replica)
 
-    def follow(self, replica: PartitionReplica) -> None:
+    def apply_record(self, replica: PartitionReplica) -> None:
         """Take the role that the newest record assigns to this member."""
         record = self.node.store.record(PartitionRecord, str(replica.partition))
         if record is None or record.epoch < replica.epoch or record == replica.placement:
@@ -141,7 +141,7 @@
 
     # Commits -------------------------------------------------------------------------------------
 
-    async def committed(self, replica: PartitionReplica, index: int, timeout_s: float) -> bool:
+    async def wait_until_committed(self, replica: PartitionReplica, index: int, timeout_s: float) -> bool:
         """Wait until the entry before `index` is committed. Return False if that remains unknown."""
         generation = replica.history_generation
         deadline = self.context.now() + timeout_s
@@ -157,13 +157,13 @@
             await self._wait(leader.waiter(index), left_s)
 
     async def _wait(self, future: asyncio.Future[None], timeout_s: float) -> None:
-        timer = self.context.loop.call_later(timeout_s, finish, future)
+        timer = self.context.loop.call_later(timeout_s, resolve, future)
         try:
             await future
         finally:
             timer.cancel()
 
-    def sync_soon(self, replica: PartitionReplica) -> None:
+    def schedule_sync(self, replica: PartitionReplica) -> None:
         """Schedule a sync of this replica's entries. All entries appended during a sync share the next one."""
         self._unsynced[replica.partition] = replica
         if not self._syncing:
@@ -189,7 +189,7 @@
         deadline = self.context.now() + timeout_s
         for leader in list(self.leaders.values()):
             if leader.is_serving:
-                await self.committed(leader.replica, leader.replica.index, deadline - self.context.now())
+                await self.wait_until_committed(leader.replica, leader.replica.index, deadline - self.context.now())
 
     # Anti-entropy --------------------------------------------------------------------------------
 
@@ -199,8 +199,8 @@
         for replica in self.replicas:
             if self._is_surplus(replica, now):
                 replica.drop()
-        if now - self._digested_at > DIGEST_INTERVAL_S:
-            self._digested_at = now
+        if now - self._digests_compared_at > DIGEST_INTERVAL_S:
+            self._digests_compared_at = now
             for leader in list(self.leaders.values()):
                 if leader.is_serving and leader.replica.jobs.jobs:
                     await self._compare_digests(leader)
--- a/otterreach/jobstore/result_check.py
+++ b/otterreach/jobstore/result_check.py
@@ -20,11 +20,11 @@
     :param now: the time on the monotonic clock
     """
     if finished.state == DONE:
-        return _why_not_done(routes, job, item, finished)
-    return _why_not_errored(routes, job, finished, now)
+        return _done_rejection(routes, job, item, finished)
+    return _errored_rejection(routes, job, finished, now)
 
 
-def _why_not_done(routes: JobRoutes, job: Job, item: JobItem, finished: ItemFinished) -> str:
+def _done_rejection(routes: JobRoutes, job: Job, item: JobItem, finished: ItemFinished) -> str:
     if item.scorer_id and not finished.score:
         return "no score"
     if job.has_versions and not finished.versions:
@@ -37,7 +37,7 @@
     return ""
 
 
-def _why_not_errored(routes: JobRoutes, job: Job, finished: ItemFinished, now: float) -> str:
+def _errored_rejection(routes: JobRoutes, job: Job, finished: ItemFinished, now: float) -> str:
     if finished.state != ERRORED or finished.reason not in ERRORS:
         return f"state {finished.state} {finished.reason}"
     if finished.reason == WAITED and now - job.received_at < routes.deadlines(job).max_wait_s:
--- a/otterreach/simulation/planted_jobs.py
+++ b/otterreach/simulation/planted_jobs.py
@@ -167,7 +167,7 @@
         "an item that is listed already is listed once more",
         (
             Change("otterreach.jobstore.job_table:JobTable._list_result", " or item.state is ItemState.LISTED", ""),
-            Change(f"{ITEM_REQUESTS}._why_closed", "listed = item.state is ItemState.LISTED", "listed = False"),
+            Change(f"{ITEM_REQUESTS}._closed_failure", "listed = item.state is ItemState.LISTED", "listed = False"),
         ),
         "jobs",
     ),
--- a/tests/jobstore/test_disk_probe.py
+++ b/tests/jobstore/test_disk_probe.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from unittest import mock
 
-from otterreach.jobstore.disk_probe import MAX_WAIT_S, RETRY_S, takes_writes, wait_until_writable
+from otterreach.jobstore.disk_probe import MAX_WAIT_S, RETRY_S, is_writable, wait_until_writable
 from tests.virtual import VirtualLoop
 
 
@@ -36,12 +36,12 @@
             return loop.run_until_complete(scene())
 
     def test_a_disk_that_takes_writes_is_left_as_it_was(self) -> None:
-        self.assertTrue(takes_writes(self.folder))
+        self.assertTrue(is_writable(self.folder))
         self.assertEqual([], list(self.folder.iterdir()))
 
     def test_a_full_disk(self) -> None:
         with mock.patch.object(os, "write", side_effect=OSError(errno.ENOSPC, "no space left on device")):
-            self.assertFalse(takes_writes(self.folder))
+            self.assertFalse(is_writable(self.folder))
         self.assertEqual([], list(self.folder.iterdir()))
 
     def test_the_start_waits_for_room_but_not_for_ever(self) -> None:
--- a/tests/jobstore/test_disks.py
+++ b/tests/jobstore/test_disks.py
@@ -9,7 +9,7 @@
 
 from otterreach.jobstore.disk_monitor import STALLED_S, DiskMonitor
 from otterreach.jobstore.messages import AppendEntries, JobResults, PartitionEpochs, PartitionPing, ProxyPing, ProxyPong
-from otterreach.jobstore.node import FAILED_STAY_S
+from otterreach.jobstore.node import DISK_FAILURE_EXIT_S
 from otterreach.jobstore.placement import partition_of
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done
@@ -182,7 +182,7 @@
             old = world.primary_of("a")
             old.journal.disk.full = True
             await client.submit("a33", old)
-            await asyncio.sleep(FAILED_STAY_S - 1.0)
+            await asyncio.sleep(DISK_FAILURE_EXIT_S - 1.0)
             self.assertFalse(old.node.stopping.is_set())
             await asyncio.sleep(2.0)
             self.assertTrue(old.node.stopping.is_set())
--- a/tests/jobstore/test_shutdown.py
+++ b/tests/jobstore/test_shutdown.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, cast
 
-from otterreach.jobstore.graceful_shutdown import GRACE_SHARE, is_named, transfer_replicas
+from otterreach.jobstore.graceful_shutdown import GRACE_SHARE, has_assigned_replicas, transfer_replicas
 from otterreach.jobstore.messages import JobResults
 from otterreach.runtime.codes import Code
 from otterreach.runtime.node import Node
@@ -75,7 +75,7 @@
                 slowest = max(slowest, loop.time() - began)
             self.assertTrue(await given)
             self.assertLess(slowest, 0.2)
-            self.assertFalse(is_named(cast(Node, leaving.node)))
+            self.assertFalse(has_assigned_replicas(cast(Node, leaving.node)))
 
         play(scene)
 
