--- a/tests/jobstore/jobstore_net.py
+++ b/tests/jobstore/jobstore_net.py
@@ -1,6 +1,7 @@
-"""A network and disks inside one process: stand-ins for Endpoint and Journal of otterreach.runtime.
+"""A simulated network and simulated disks in one process: fakes of Endpoint and Journal of otterreach.runtime.
 
-Links with delays, cuts and machines that stand still; journals that lose what was not synced when the power goes.
+The network has links with delays, network partitions and frozen machines. On a power failure a journal loses what was
+not synced.
 """
 
 from __future__ import annotations
@@ -21,22 +22,22 @@
 
 
 class Net:
-    """All machines, by address. `cut` pairs hear nothing of each other; a `still` machine does nothing."""
+    """All machines, by address. Disconnected pairs can't reach each other; a frozen machine can reach nobody."""
 
     def __init__(self, random: Random | None = None) -> None:
         self.random = random or Random(1)
         self.endpoints: dict[str, VirtualEndpoint] = {}
         self.cuts: set[frozenset[str]] = set()
         self.still: set[str] = set()
-        self.thin: dict[str, float] = {}  # bytes per second of a machine's link, if they matter
-        self.sent: dict[str, int] = {}  # bytes to each machine
+        self.thin: dict[str, float] = {}  # by address: bytes per second of a machine's link, if limited
+        self.sent: dict[str, int] = {}  # by address: bytes sent to the machine
         self._held: list[tuple[VirtualLink, Callable[[], None]]] = []
 
     def blocked(self, one: str, other: str) -> bool:
         return frozenset((one, other)) in self.cuts or one in self.still or other in self.still
 
     def later(self, link: VirtualLink, act: Callable[[], None], size: int = 0) -> None:
-        """Let it happen at the other end of the link, in order, once nothing is between."""
+        """Run `act` at the other end of the link after its delay, in order, once the two ends are connected."""
         loop = asyncio.get_running_loop()
         due = max(loop.time() + DELAY_S * self.random.uniform(0.5, 1.5), link.busy_until)
         due += max((size / self.thin[end] for end in (link.endpoint.address, link.to) if end in self.thin), default=0.0)
@@ -52,7 +53,7 @@
             act()
 
     def heal(self) -> None:
-        """Deliver what may pass again."""
+        """Deliver the held messages whose ends are connected again."""
         held, self._held = self._held, []
         for link, act in held:
             if self.blocked(link.endpoint.address, link.to):
@@ -68,7 +69,7 @@
         self.heal()
 
     def freeze(self, address: str) -> None:
-        """What it sends and what is sent to it waits until `thaw`."""
+        """Hold all messages from and to this address until `thaw`."""
         self.still.add(address)
 
     def thaw(self, address: str) -> None:
@@ -143,7 +144,7 @@
             future.set_result(Failure(Code.TIMED_OUT, "no answer in time"))
 
     def abort(self) -> None:
-        """Close this end now, the other once it hears of it."""
+        """Close this end now, and the other end after the link's delay."""
         if self.closed:
             return
         if self.other:
@@ -164,7 +165,7 @@
 
 
 class VirtualEndpoint:
-    """As otterreach.runtime.rpc.Endpoint."""
+    """A fake of otterreach.runtime.rpc.Endpoint."""
 
     def __init__(self, net: Net, address: str) -> None:
         self.net, self.address = net, address
@@ -226,7 +227,7 @@
         return reply
 
     def kill(self, silent: bool = False) -> None:
-        """The process ends; with `silent` (the power went) nobody is told."""
+        """End the process. With `silent`, as on a power failure, the peers' connections are not closed."""
         self.down = True
         for task in list(self._tasks):
             task.cancel()
@@ -238,22 +239,22 @@
 
 
 class VirtualDisk:
-    """What a journal's file holds: `synced` bytes are there whatever happens."""
+    """The file of a journal. Its first `synced` bytes survive a power failure."""
 
     def __init__(self) -> None:
         self.data = b""
         self.synced = 0
-        self.stalled = False  # answers nothing until it is False again
-        self.full = False  # takes no more bytes
+        self.stalled = False  # syncs don't complete while it is True
+        self.full = False  # writes fail while it is True
 
     def lose_power(self, random: Random) -> None:
-        """What was not synced is there in part, torn, or not at all."""
+        """Lose a random part of what was not synced; the last record that remains may be torn."""
         self.data = self.data[: random.randint(self.synced, len(self.data))]
         self.synced = len(self.data)
 
 
 class VirtualJournal:
-    """As otterreach.runtime.journal.Journal, on a VirtualDisk."""
+    """A fake of otterreach.runtime.journal.Journal on a VirtualDisk."""
 
     def __init__(self, disk: VirtualDisk, sync_s: float = 0.002) -> None:
         self.disk, self.sync_s = disk, sync_s
@@ -262,8 +263,8 @@
         self._pending: list[bytes] = []
         self._waiting: list[asyncio.Future[bool]] = []
         self._flushing: asyncio.Task[None] | None = None
-        self._copied: list[bytes] | None = None  # of a rewrite that is under way
-        self.slice_s = 0.0  # how long each slice of a rewrite takes
+        self._copied: list[bytes] | None = None  # records of the rewrite in progress
+        self.slice_s = 0.0  # duration of each slice of a rewrite
 
     def read(self) -> list[tuple[int, bytes]]:
         records, end = scan(self.disk.data)
@@ -309,7 +310,7 @@
                 future.set_result(self.failed is None)
 
     async def rewrite(self, live: LiveSlices) -> bool:
-        """The slices, each in a turn of its own, and between them what is appended meanwhile; then the new in place."""
+        """Write the slices, with the records that are appended in between, then replace the file."""
         self._copied = []
         for part in live():
             self._copied += [pack(kind, payload, 0) for kind, payload in part]
@@ -323,7 +324,7 @@
         return True
 
     def kill(self) -> None:
-        """Nothing more reaches the disk."""
+        """End the process: no further write reaches the disk."""
         if self._flushing:
             self._flushing.cancel()
         self.disk = VirtualDisk()
--- a/tests/jobstore/jobstore_world.py
+++ b/tests/jobstore/jobstore_world.py
@@ -1,4 +1,4 @@
-"""JobStoreNodes on a virtual network, with a control state that the real planner keeps, proxies and clients."""
+"""Job store nodes on a simulated network, with proxies, clients, and a control state kept by the real planner."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 }
 ROUTE = {"name": "r-lot", "host": "h", "prefix": "/p/", "kind": "rollout", "dueMs": 5000, "maxWaitS": 30}
 REGISTRAR = "core:7000"
-STALL_HOLDS_S = 0.9  # a disk that was told to stall counts as usable again so much later
+STALL_HOLDS_S = 0.9  # a disk counts as usable again this long after the last report of a stall
 TWO = SurviveLimits(1)
 
 
@@ -61,7 +61,7 @@
 
 
 def lot(job: str, items: int = 4, group: int = 2, **head: Any) -> bytes:
-    """The JSON of a batch job."""
+    """Return the JSON of a batch job."""
     rows = [
         {
             "id": f"{job}-{n}",
@@ -77,7 +77,7 @@
 
 
 class StoreNode:
-    """What an JobStoreNode needs of otterreach.runtime.node.Node."""
+    """The part of otterreach.runtime.node.Node that a JobStoreNode uses."""
 
     def __init__(self, name: str, endpoint: VirtualEndpoint, random: Random) -> None:
         self.settings = settings_module.read({**SETTINGS, "node": name, "ip": name})
@@ -95,7 +95,7 @@
 
 
 class Store:
-    """A store machine: its disk outlives its processes."""
+    """The machine of a job store node. Its disk outlives its processes."""
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name, self.address = world, name, f"{name}:7000"
@@ -117,7 +117,7 @@
         self.world.tell(self)
 
     def stop(self, power: bool = False) -> None:
-        """The process is killed; with `power` what it had not synced may be gone, and its connections are silent."""
+        """Kill the process. With `power`, unsynced data may be lost and the peers' connections are not closed."""
         if not self.running:
             return
         self.running = False
@@ -142,7 +142,7 @@
 
 
 class World:
-    """Everything. `alive` is what the controller believes."""
+    """The machines, the network and the controller. `alive`: the members that the controller holds to be alive."""
 
     def __init__(
         self, stores: int = 3, seed: int = 1, limits: SurviveLimits = TWO, zones: dict[str, str] | None = None
@@ -151,7 +151,7 @@
         self.net = Net(self.random)
         self.control = ReplicatedStore()
         self.limits, self.revision = limits, 0
-        self.zones = zones or {}  # by name; else each store is a zone of its own
+        self.zones = zones or {}  # zone by store name; by default each store is a zone of its own
         self.failures: list[BaseException] = []
         self.stores: dict[str, Store] = {}
         self.alive: set[str] = set()
@@ -162,7 +162,7 @@
         self.controller.on(ReplicaLost, self._lost)
         self.controller.on(DiskStalled, self._disk_stalled)
         self.controller.on(StoreDraining, self._leaving)
-        self.stalled: dict[str, float] = {}  # members whose disks take nothing, and when they last said so
+        self.stalled: dict[str, float] = {}  # by member with a stalled disk: the time of its last report
         self.leaving: set[str] = set()
         self.put("config", {"gen": 1, "routes": [ROUTE], "backends": []})
         self.founding = stores
@@ -175,12 +175,12 @@
         return store
 
     def settle(self) -> None:
-        """Forget the network's troubles."""
+        """Remove all faults of the network."""
         self.net.still.clear()
         self.net.join()
 
     def put(self, key: str, value: Any) -> None:
-        """Change an item of the control state; each store hears of it a little later, in order."""
+        """Change an item of the control state. Each store receives the change after a delay, in order."""
         self.revision += 1
         item = Item(key, self.revision, json.dumps(value).encode())
         self.control.apply([item])
@@ -205,11 +205,11 @@
         asyncio.get_running_loop().call_later(self.lag(), take, store.endpoint, store.node)
 
     def tell(self, store: Store) -> None:
-        """A process that starts gets all of the control state."""
+        """Send the complete control state to a store that starts."""
         self._publish(store, list(self.control.items.values()))
 
     def believe(self, store: Store, lives: bool = True) -> None:
-        """The controller hears of a member, or holds it to be dead; the planner does the rest."""
+        """Have the controller hold a store to be alive or dead, and plan."""
         name = store.node.member
         self.alive = {m for m in self.alive if not m.startswith(store.name + "#")}
         if lives:
@@ -282,7 +282,7 @@
         return self.stores[self.parts()[partition_of(job)].backups[0].partition("#")[0]]
 
     async def serving(self, job: str, within_s: float = 5.0) -> Store:
-        """The store that answers for this batch job now."""
+        """Wait until a store serves this batch job, and return it."""
         loop = asyncio.get_running_loop()
         end = loop.time() + within_s
         while loop.time() < end:
@@ -294,14 +294,14 @@
         raise AssertionError(f"nobody serves {job}")
 
     def check(self) -> None:
-        """No handler or task of an store_node failed."""
+        """Raise the first failure of a handler or task of any store."""
         failures = [*self.failures, *(f for s in self.stores.values() for f in s.endpoint.failures)]
         if failures:
             raise failures[0]
 
 
 class Client:
-    """Calls store_nodes as a proxy does for its clients."""
+    """Calls job store nodes as a proxy does on behalf of its clients."""
 
     def __init__(self, world: World, name: str = "client") -> None:
         self.world = world
@@ -310,7 +310,7 @@
     async def ask(self, store: Store, value: Any, timeout_s: float = 1.0) -> Any:
         reply = await self.endpoint.call(store.address, value, timeout_s)
         if isinstance(reply, Failure) and reply.code is Code.TIMED_OUT and reply.reason == "no answer in time":
-            again = await self.endpoint.call(store.address, value, timeout_s)  # the link was dead, perhaps
+            again = await self.endpoint.call(store.address, value, timeout_s)  # the connection may have been dead
             return again if not isinstance(again, Failure) or again.maybe_done else reply
         return reply
 
@@ -339,7 +339,7 @@
 
 
 class Runner:
-    """A proxy: pings, takes items, finishes them after a while (`run_s` None: never by itself)."""
+    """A proxy that pings, accepts items, and finishes each after about `run_s` (None: it finishes none by itself)."""
 
     def __init__(self, world: World, name: str, slots: int = 4, run_s: float | None = 0.05) -> None:
         self.world, self.name, self.slots, self.run_s = world, name, slots, run_s
--- a/tests/jobstore/test_disk_probe.py
+++ b/tests/jobstore/test_disk_probe.py
@@ -1,4 +1,4 @@
-"""A start on a full disk (otterreach/jobstore/disk_room.py)."""
+"""The start on a full disk (otterreach/jobstore/disk_probe.py)."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         self.folder = Path(folder.name) / "data"
 
     def waits(self, answers: list[bool]) -> float:
-        """How long a start waits if the disk answers so."""
+        """Return how long a start waits if the probes of the disk have these results."""
         loop = VirtualLoop()
         self.addCleanup(loop.close)
 
--- a/tests/jobstore/test_disks.py
+++ b/tests/jobstore/test_disks.py
@@ -1,4 +1,4 @@
-"""Disks of job store nodes that stall or fill up: others take over, as if the machine were lost."""
+"""Stalled and full disks of job store nodes: other nodes take over, as if the machine were lost."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.jobstore.jobstore_world import Client, Store, World
 from tests.virtual import VirtualLoop, run
 
-TAKEOVER_S = 1.1  # as long as a dead one would take
+TAKEOVER_S = 1.1  # the time of a takeover from a dead machine
 LONG_S = 5.0
 Scene = Callable[[World, Client], Coroutine[Any, Any, None]]
 
@@ -34,7 +34,7 @@
 
 
 async def write(world: World, client: Client, job: str) -> float:
-    """Submit until it is taken, by whoever is primary. Returns how long it took."""
+    """Submit to the current primary until it accepts. Return how long it took."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     while await client.submit(job, timeout_s=0.3) != Done():
@@ -134,7 +134,7 @@
             await asyncio.sleep(0.05)
             watch._check(node)
             loop.stand_still(3.0)
-            watch._check(node)  # would report if it blamed the disk
+            watch._check(node)  # would report to the node, which is None, if the disk counted as stalled
             self.assertTrue(watch.usable)
             self.assertTrue(await sync)
 
@@ -205,13 +205,13 @@
 
 
 async def world_moves_on(world: World, old: Store) -> None:
-    """Until another than the old primary serves the batch job `a`."""
+    """Wait until another store than the old primary serves the batch job `a`."""
     while await world.serving("a") is old:
         await asyncio.sleep(0.05)
 
 
 def play_pair(one: str, other: str, scene: Scene) -> None:
-    """Play with two batch jobs of the same partition."""
+    """Run a scenario with two batch jobs of the same partition."""
     assert partition_of(one) == partition_of(other), "not of one partition"
     play(scene)
 
--- a/tests/jobstore/test_dispatch.py
+++ b/tests/jobstore/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Items go out to few proxies: in order, what is due first, no more than fits, and back when a proxy is lost."""
+"""Dispatching: items are assigned to few proxies, by due time and within capacity, and again if a proxy is lost."""
 
 from __future__ import annotations
 
@@ -122,11 +122,11 @@
 
 
 class OutOfReachTest(unittest.TestCase):
-    """Items that a proxy could reach no server for: another one gets them."""
+    """Items that a proxy reached no server for are assigned to another proxy."""
 
     @staticmethod
     async def give_back(runner: Runner, world: World, job: str) -> list[str]:
-        """All that the proxy has of the job goes back."""
+        """Return all items of the job that the proxy has, and give their names."""
         items = [item for name, item in runner.works if name == job]
         for item in items:
             del runner.works[job, item]
@@ -144,12 +144,12 @@
             items = await self.give_back(first, world, "a")
             self.assertEqual(4, len(items))
             self.assertEqual(8, len(second.works))
-            self.assertEqual(4, len(first.assigned))  # nothing came back to it
+            self.assertEqual(4, len(first.assigned))  # no item was assigned to it again
 
         play(scene)
 
     def test_the_count_of_failures_goes_along(self) -> None:
-        """However many proxies have an item in turn, servers get it no more often than its route allows."""
+        """Servers get an item no more often than its route allows, however many proxies it is assigned to in turn."""
 
         async def scene(world: World, client: Client) -> None:
             first, second = await proxies(world, 2, slots=6, run_s=None)
@@ -159,7 +159,7 @@
             del first.works[job, item]
             link = await first.endpoint.link(world.primary_of("a").address)
             assert not isinstance(link, Failure)
-            link.send(ReturnItems(job, [item], True, [2, 7]))  # one count too many
+            link.send(ReturnItems(job, [item], True, [2, 7]))  # more counts than items
             await asyncio.sleep(0.1)
             self.assertEqual(2, second.works[job, item].failures)
 
@@ -177,7 +177,7 @@
         play(scene)
 
     def test_a_stored_number_beyond_64_bits_stops_nobody(self) -> None:
-        """An earlier version accepted it, and its journal still holds it."""
+        """An earlier version accepted such numbers, and a journal may still hold them."""
 
         async def scene(world: World, client: Client) -> None:
             (runner,) = await proxies(world, 1, slots=8, run_s=None)
@@ -185,7 +185,7 @@
             other = next(f"b{n}" for n in range(99) if partition_of(f"b{n}") == partition_of("a"))
             job = world.primary_of("a").store_node.dispatcher.open_jobs["a"]
             runner.pinging = False
-            await asyncio.sleep(1.5)  # lost: all items are pending again
+            await asyncio.sleep(1.5)  # the proxy is lost: all items are pending again
             runner.works.clear()
             job.head["minVersion"] = 2**70
             job.items["a-1"].tokens = -(2**70)
@@ -317,7 +317,7 @@
         play(scene)
 
     def test_nothing_of_an_ended_one_is_sent_again_over_another_connection(self) -> None:
-        """Its end is settled and its bodies are gone, and the dispatch has not heard of it yet."""
+        """The job's end is committed and the bodies are dropped, but the dispatcher is not yet notified."""
 
         async def scene(world: World, client: Client) -> None:
             (runner,) = await proxies(world, 1, slots=4, run_s=None)
@@ -350,7 +350,7 @@
 
 
 class JudgeTest(unittest.TestCase):
-    """What may be a result; else the item runs again."""
+    """Validation of results. The item of a rejected result runs again."""
 
     def test_conformance(self) -> None:
         scored = json.loads(lot("a", 1, step=1, model="m", minVersion=5))
--- a/tests/jobstore/test_free_proxies.py
+++ b/tests/jobstore/test_free_proxies.py
@@ -1,4 +1,4 @@
-"""Who gets the next item: the least loaded, nobody who is blocked for its model, and others in their place."""
+"""The choice of the proxy for the next item: the least loaded; other proxies replace those blocked for its model."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from otterreach.jobstore.free_proxies import FreeProxies
 from otterreach.jobstore.proxy_sessions import ProxySession
 
-SERVER_SLOTS = 8  # two proxies of four slots, and with the margin for two and a half
+SERVER_SLOTS = 8  # two proxies of four slots; with RUNNER_SLOTS_SHARE three proxies are needed
 NOW = 50.0
 
 
--- a/tests/jobstore/test_installation.py
+++ b/tests/jobstore/test_installation.py
@@ -1,4 +1,4 @@
-"""Whole copies on their way: they make progress over thin links and broken connections, and hold nothing else up."""
+"""Installation of replicas: it progresses over slow links and broken connections, and does not delay other work."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.virtual import run
 
 BIG = "big"
-THIN = 200_000.0  # bytes per second: a piece takes longer than a call does elsewhere
+THIN = 200_000.0  # bytes per second: the transfer of a chunk takes longer than the time-out of other calls
 MBIT_30 = 30e6 / 8
 Scene = Callable[[World, Client], Coroutine[Any, Any, None]]
 
@@ -30,12 +30,12 @@
 
 
 def names_of(part: int, count: int) -> list[str]:
-    """Batch jobs of one partition."""
+    """Return the names of batch jobs of one partition."""
     return [name for name in (f"job{n}" for n in range(PARTITIONS * count * 8)) if partition_of(name) == part][:count]
 
 
 def play(scene: Scene, jobs: int = 16, size: int = 40_000) -> None:
-    """A partition of `jobs` batch jobs, each of about ten times `size` bytes as records."""
+    """Run a scenario with `jobs` batch jobs in one partition, each of about ten times `size` bytes as entries."""
 
     async def whole() -> None:
         world = World(3)
@@ -50,7 +50,7 @@
 
 
 def third(world: World) -> Store:
-    """The store that has no copy of the partition."""
+    """Return the store that has no replica of the partition."""
     members = (world.primary_of(BIG), world.backup_of(BIG))
     return next(store for store in world.stores.values() if store not in members)
 
@@ -62,7 +62,7 @@
 
 
 async def joined(world: World, store: Store, within_s: float) -> float:
-    """Until the store is a member. Returns how long it took."""
+    """Wait until the store is a member. Return how long it took."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     while store.node.member not in world.parts()[partition_of(BIG)].members:
--- a/tests/jobstore/test_job_ends.py
+++ b/tests/jobstore/test_job_ends.py
@@ -1,4 +1,4 @@
-"""Batch jobs with numbers at the ends: refused, or of use to the assignment of their items."""
+"""Batch jobs with extreme numbers: either rejected, or encodable in the messages that assign their items."""
 
 from __future__ import annotations
 
--- a/tests/jobstore/test_jobs.py
+++ b/tests/jobstore/test_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs as a state machine: what can be read, what records do, what readers get."""
+"""Batch jobs as a state machine: parsing of submissions, effects of log entries, and results as readers get them."""
 
 from __future__ import annotations
 
--- a/tests/jobstore/test_proxy_sessions.py
+++ b/tests/jobstore/test_proxy_sessions.py
@@ -1,4 +1,4 @@
-"""When a job store node takes a proxy to be lost: by the interval that it told, and sooner while it has items."""
+"""Detection of lost proxies: by the announced ping interval, and sooner while the proxy has items."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class FakeKey:
-    """Stands for a job or an item: only its id counts here."""
+    """A fake of a job or an item, with an id only."""
 
     def __init__(self, ident: str) -> None:
         self.id = ident
@@ -65,7 +65,7 @@
         return item
 
     def lost_after(self, session: ProxySession, within_s: float = 20.0) -> float:
-        """Seconds until the silent proxy is taken to be lost."""
+        """Return the seconds until a proxy that sends no pings is detected as lost."""
         began = self.time
         while session.state is SessionState.LIVE and self.time < began + within_s:
             self.time += TICK_S
--- a/tests/jobstore/test_repair.py
+++ b/tests/jobstore/test_repair.py
@@ -1,6 +1,7 @@
-"""After a loss each partition is at full strength again within syncS: `python3 -m tests.jobstore.test_repair` measures.
+"""Repair after the loss of a store: every partition has all its replicas again within syncS.
 
-Time is the virtual network's: delays, the links' bandwidth and the disks' syncs, without that of the processors.
+`python3 -m tests.jobstore.test_repair` prints the durations. They are virtual time: network delays, bandwidth and disk
+syncs, without processor time.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
 
 
 async def at_full_strength(world: World, within_s: float) -> float:
-    """Plan as the controller does until each partition has all its copies on stores that live."""
+    """Plan as the controller does until each partition has all its replicas on stores that are alive."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     while loop.time() - began < within_s:
@@ -63,14 +64,14 @@
 
 
 async def lose(world: World, store: Store) -> None:
-    """Its power and its disk go; the controller notices by its silence."""
+    """Lose a store with its disk. The controller detects it by the missing heartbeats."""
     store.wipe()
     await asyncio.sleep(HEARTBEAT_TIMEOUT_S + PLAN_INTERVAL_S)
     world.believe(store, lives=False)
 
 
 def repair_s(size: Size, link: float, how: str) -> float:
-    """From the loss of a store to full strength."""
+    """Return the time from the loss of a store until each partition has all its replicas."""
 
     async def whole() -> float:
         world = await filled(size, link)
--- a/tests/jobstore/test_replicas.py
+++ b/tests/jobstore/test_replicas.py
@@ -1,4 +1,4 @@
-"""Copies of a partition: what is acknowledged is at all of them, whoever is primary, whatever becomes of disks."""
+"""Partition replicas: an acknowledged write is at all of them and survives changes of primary and losses of disks."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
         async def scene(world: World, client: Client) -> None:
             await client.submit("a")
             old = world.primary_of("a")
-            world.net.cut(old.address, "core:7000")  # it does not hear of the new record
+            world.net.cut(old.address, "core:7000")  # it does not receive the new record
             world.believe(old, lives=False)
             new = await world.serving("a", 3.0)
             while new is old:
@@ -241,7 +241,7 @@
     def test_writes_wait_for_a_joiner_before_it_may_become_primary(self) -> None:
         async def scene(world: World, client: Client) -> None:
             await client.submit("a")
-            world.controller.handlers.clear()  # PartSynced is heard by nobody
+            world.controller.handlers.clear()  # no ReplicaInSync is received
             primary, backup = world.primary_of("a"), world.backup_of("a")
             learner = next(s for s in world.stores.values() if s not in (primary, backup))
             part = primary.copy("a").partition
@@ -318,7 +318,7 @@
 
 
 class ZonesTest(unittest.TestCase):
-    """With `survive.zones` any zone may go, before and right after a repair."""
+    """With `survive.zones`, data survive the loss of any zone, before and right after a repair."""
 
     def test_what_was_acknowledged_outlasts_any_zone(self) -> None:
         zones = {"store-0": "a", "store-1": "a", "store-2": "b", "store-3": "b"}
@@ -347,7 +347,7 @@
         world.check()
 
     async def _read(self, world: World, client: Client, job: str) -> Any:
-        """As a proxy does: again while whoever is asked doesn't serve."""
+        """Read as a proxy does: retry while the store that is asked does not serve the partition."""
         while True:
             reply = await client.read(job, store=await world.serving(job))
             if getattr(reply, "code", None) not in (Code.NOT_PRIMARY, Code.NOT_SYNCED):
@@ -364,7 +364,7 @@
 
 
 class FenceTest(unittest.TestCase):
-    """The backup's side, by messages."""
+    """Messages to a backup: those of a lower epoch, another member or another session are rejected."""
 
     def test_conformance(self) -> None:
         async def scene(world: World, client: Client) -> None:
@@ -441,7 +441,7 @@
         play(scene)
 
     def test_rewritten_while_records_come_it_gives_the_same(self) -> None:
-        """Records of a partition stand before its slice, between slices and after it."""
+        """Appended records of a partition are written before its slice, between slices and after it."""
 
         async def scene(world: World, client: Client) -> None:
             for name in ("a", "b", "c"):
--- a/tests/jobstore/test_shutdown.py
+++ b/tests/jobstore/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A job store node that is told to end gives its copies on first, if there is time and somebody to take them."""
+"""Graceful shutdown: a job store node's replicas are moved first, if other nodes are left and the time suffices."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 async def leave(world: World, store: Store) -> bool:
-    """As on SIGTERM: give the copies on, then end; its disk is never seen again."""
+    """Shut a store down as on SIGTERM: move its replicas, then end it for good together with its disk."""
     done = await transfer_replicas(cast(Node, store.node))
     store.wipe()
     world.believe(store, lives=False)
@@ -42,7 +42,7 @@
 
 
 async def readable(world: World, client: Client, job: str) -> bool:
-    """Whether the batch job is there with its result, whoever serves it."""
+    """Return True if the batch job and its result can be read from the store that serves it."""
     while True:
         reply = await client.read(job, store=await world.serving(job))
         if getattr(reply, "code", None) not in (Code.NOT_PRIMARY, Code.NOT_SYNCED):
--- a/tests/jobstore/test_troubles.py
+++ b/tests/jobstore/test_troubles.py
@@ -1,4 +1,4 @@
-"""JobStoreNodes under drawn troubles, one at a time: nothing acknowledged is lost, no position ever changes."""
+"""Job store nodes under random faults, one at a time: no acknowledged write is lost, and no listed result changes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Play:
-    """One day: clients and proxies at work while troubles come and go."""
+    """One run: clients and proxies work while random faults occur."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
@@ -37,7 +37,7 @@
         self.count = 0
         self.wrong: list[str] = []
         self.now = asyncio.get_running_loop().time
-        self.away: dict[str, float] = {}  # since when the controller hears nothing of a store
+        self.away: dict[str, float] = {}  # by store: since when the controller has received no heartbeat from it
         self.over = False
         self.added = 0
         self.tasks: set[asyncio.Task[Any]] = set()
@@ -66,7 +66,7 @@
     # Clients -------------------------------------------------------------------------------------
 
     async def until(self, job: str, ask: Any) -> Any:
-        """Ask whoever is primary until the answer is final."""
+        """Call the current primary until the reply is final."""
         while True:
             reply = await self.client.endpoint.call(self.world.primary_of(job).address, ask, 1.0)
             unclear = (Code.NOT_PRIMARY, Code.NOT_SYNCED, Code.UNREACHABLE, Code.STALE_EPOCH, Code.NO_HANDLER)
@@ -125,7 +125,7 @@
             elif n == len(seen):
                 seen.append(row)
 
-    # Troubles ------------------------------------------------------------------------------------
+    # Faults --------------------------------------------------------------------------------------
 
     async def troubles(self, count: int) -> None:
         for _ in range(count):
@@ -181,7 +181,7 @@
         self.world.net.join()
 
     async def replace(self, store: Store, for_s: float) -> None:
-        """An empty machine at another address takes its place."""
+        """Replace the store by an empty machine at another address."""
         store.wipe()
         await asyncio.sleep(for_s)
         self.add_store()
@@ -196,7 +196,7 @@
         self.world.add(f"added-{self.added}")
 
     async def power_all(self, store: Store, for_s: float) -> None:
-        """All lose power; one of them its disk too."""
+        """Cut the power of all stores; one of them may lose its disk as well."""
         running = [s for s in self.world.stores.values() if s.running]
         for one in running:
             one.stop(power=True)
@@ -207,7 +207,7 @@
             one.start()
 
     async def flicker(self, store: Store, for_s: float) -> None:
-        """Ends and starts again and again before anyone can judge."""
+        """Stop and start the store repeatedly, at intervals below the heartbeat time-out."""
         for _ in range(4):
             store.stop(power=self.random.random() < 0.5)
             await asyncio.sleep(self.random.uniform(0.05, 0.4))
@@ -215,7 +215,7 @@
             await asyncio.sleep(self.random.uniform(0.05, 0.4))
 
     async def whole(self) -> None:
-        """Until every partition has its copies again."""
+        """Wait until every partition has all its replicas again."""
         end = self.now() + 15.0
         while self.now() < end:
             await asyncio.sleep(0.1)
@@ -236,7 +236,7 @@
         leader = members[0].store_node.replication.leaders.get(n)
         return bool(leader and leader.is_confirmed and leader.epoch == part.epoch)
 
-    # The day -------------------------------------------------------------------------------------
+    # The run -------------------------------------------------------------------------------------
 
     async def day(self, troubles: int) -> None:
         await self.world.serving("a")
@@ -265,7 +265,7 @@
         await self.bodies()
 
     async def bodies(self) -> None:
-        """An item of an open batch job that can't finish gives its body."""
+        """Check that the body of an unfinished item of an open batch job can be read."""
         for runner in self.runners:
             runner.slots = 0
         self.sizes["last"] = 2
