--- a/tests/jobstore/jobstore_net.py
+++ b/tests/jobstore/jobstore_net.py
@@ -27,20 +27,23 @@
     def __init__(self, random: Random | None = None) -> None:
         self.random = random or Random(1)
         self.endpoints: dict[str, VirtualEndpoint] = {}
-        self.cuts: set[frozenset[str]] = set()
-        self.still: set[str] = set()
-        self.thin: dict[str, float] = {}  # by address: bytes per second of a machine's link, if limited
+        self.disconnected: set[frozenset[str]] = set()
+        self.frozen: set[str] = set()
+        self.bandwidth: dict[str, float] = {}  # by address: bytes per second of a machine's link, if limited
         self.sent: dict[str, int] = {}  # by address: bytes sent to the machine
         self._held: list[tuple[VirtualLink, Callable[[], None]]] = []
 
     def blocked(self, one: str, other: str) -> bool:
-        return frozenset((one, other)) in self.cuts or one in self.still or other in self.still
+        return frozenset((one, other)) in self.disconnected or one in self.frozen or other in self.frozen
 
     def later(self, link: VirtualLink, act: Callable[[], None], size: int = 0) -> None:
         """Run `act` at the other end of the link after its delay, in order, once the two ends are connected."""
         loop = asyncio.get_running_loop()
         due = max(loop.time() + DELAY_S * self.random.uniform(0.5, 1.5), link.busy_until)
-        due += max((size / self.thin[end] for end in (link.endpoint.address, link.to) if end in self.thin), default=0.0)
+        due += max(
+            (size / self.bandwidth[end] for end in (link.endpoint.address, link.to) if end in self.bandwidth),
+            default=0.0,
+        )
         self.sent[link.to] = self.sent.get(link.to, 0) + size
         link.busy_until = due + 1e-6
         loop.call_at(due, self._arrive, link, act)
@@ -52,7 +55,7 @@
         else:
             act()
 
-    def heal(self) -> None:
+    def release_held(self) -> None:
         """Deliver the held messages whose ends are connected again."""
         held, self._held = self._held, []
         for link, act in held:
@@ -61,20 +64,20 @@
             else:
                 self.later(link, act)
 
-    def cut(self, one: str, other: str) -> None:
-        self.cuts.add(frozenset((one, other)))
+    def disconnect(self, one: str, other: str) -> None:
+        self.disconnected.add(frozenset((one, other)))
 
-    def join(self) -> None:
-        self.cuts.clear()
-        self.heal()
+    def reconnect(self) -> None:
+        self.disconnected.clear()
+        self.release_held()
 
     def freeze(self, address: str) -> None:
         """Hold all messages from and to this address until `thaw`."""
-        self.still.add(address)
+        self.frozen.add(address)
 
     def thaw(self, address: str) -> None:
-        self.still.discard(address)
-        self.heal()
+        self.frozen.discard(address)
+        self.release_held()
 
 
 class VirtualLink:
@@ -295,16 +298,16 @@
             if disk.full and self._pending:
                 self.failed = Failure(Code.DISK_FAILED, "no space left on device")
             if self.failed is not None:
-                self._settle(waiting)
+                self._resolve(waiting)
                 continue
             disk.data += b"".join(self._pending)
             self._pending.clear()
             end = len(disk.data)
             await asyncio.sleep(self.sync_s)
             disk.synced = end
-            self._settle(waiting)
+            self._resolve(waiting)
 
-    def _settle(self, waiting: list[asyncio.Future[bool]]) -> None:
+    def _resolve(self, waiting: list[asyncio.Future[bool]]) -> None:
         for future in waiting:
             if not future.done():
                 future.set_result(self.failed is None)
--- a/tests/jobstore/jobstore_world.py
+++ b/tests/jobstore/jobstore_world.py
@@ -52,7 +52,7 @@
 }
 ROUTE = {"name": "r-lot", "host": "h", "prefix": "/p/", "kind": "rollout", "dueMs": 5000, "maxWaitS": 30}
 REGISTRAR = "core:7000"
-STALL_HOLDS_S = 0.9  # a disk counts as usable again this long after the last report of a stall
+STALL_REPORT_VALID_S = 0.9  # a disk counts as usable again this long after the last report of a stall
 TWO = SurviveLimits(1)
 
 
@@ -60,7 +60,7 @@
     return f"body of {job} {item}".encode()
 
 
-def lot(job: str, items: int = 4, group: int = 2, **head: Any) -> bytes:
+def job_json(job: str, items: int = 4, group: int = 2, **head: Any) -> bytes:
     """Return the JSON of a batch job."""
     rows = [
         {
@@ -86,8 +86,8 @@
         self.follower = SimpleNamespace(primary=REGISTRAR, controllers=[REGISTRAR], fresh_at=0.0)
         self.stopping = asyncio.Event()
 
-    async def call_primary(self, ask: Any, timeout_s: float = 0.8) -> Any:
-        return await self.endpoint.call(REGISTRAR, ask, timeout_s)
+    async def call_primary(self, request: Any, timeout_s: float = 0.8) -> Any:
+        return await self.endpoint.call(REGISTRAR, request, timeout_s)
 
     @property
     def member(self) -> str:
@@ -114,7 +114,7 @@
         ):
             self.store_node = JobStoreNode(cast(Node, self.node), self.journal, self.world.random, records)
         self.endpoint.spawn(self.store_node.start())
-        self.world.tell(self)
+        self.world.send_control_state(self)
 
     def stop(self, power: bool = False) -> None:
         """Kill the process. With `power`, unsynced data may be lost and the peers' connections are not closed."""
@@ -134,7 +134,7 @@
         self.stop(power=True)
         self.disk = VirtualDisk()
 
-    def copy(self, job: str) -> PartitionReplica:
+    def replica(self, job: str) -> PartitionReplica:
         return self.store_node.replication.replicas[partition_of(job)]
 
     def leader(self, job: str) -> PartitionLeader | None:
@@ -165,19 +165,19 @@
         self.stalled: dict[str, float] = {}  # by member with a stalled disk: the time of its last report
         self.leaving: set[str] = set()
         self.put("config", {"gen": 1, "routes": [ROUTE], "backends": []})
-        self.founding = stores
+        self.initial_stores = stores
         for n in range(stores):
             self.add(f"store-{n}")
 
     def add(self, name: str) -> Store:
         store = self.stores[name] = Store(self, name)
-        self.believe(store)
+        self.set_alive(store)
         return store
 
-    def settle(self) -> None:
+    def heal_network(self) -> None:
         """Remove all faults of the network."""
-        self.net.still.clear()
-        self.net.join()
+        self.net.frozen.clear()
+        self.net.reconnect()
 
     def put(self, key: str, value: Any) -> None:
         """Change an item of the control state. Each store receives the change after a delay, in order."""
@@ -204,15 +204,15 @@
 
         asyncio.get_running_loop().call_later(self.lag(), take, store.endpoint, store.node)
 
-    def tell(self, store: Store) -> None:
+    def send_control_state(self, store: Store) -> None:
         """Send the complete control state to a store that starts."""
         self._publish(store, list(self.control.items.values()))
 
-    def believe(self, store: Store, lives: bool = True) -> None:
+    def set_alive(self, store: Store, alive: bool = True) -> None:
         """Have the controller hold a store to be alive or dead, and plan."""
         name = store.node.member
         self.alive = {m for m in self.alive if not m.startswith(store.name + "#")}
-        if lives:
+        if alive:
             self.alive.add(name)
             self.put(
                 f"member/{store.name}",
@@ -226,60 +226,60 @@
             )
         self.plan()
 
-    def known(self) -> planner.StoreMembers:
+    def store_members(self) -> planner.StoreMembers:
         now = asyncio.get_running_loop().time()
-        stalled = {m for m, at in self.stalled.items() if now - at < STALL_HOLDS_S}
-        places = {m: FailureDomain(self.zone(m.partition("#")[0]), "r") for m in sorted(self.alive - stalled)}
-        return planner.StoreMembers(places, frozenset(self.leaving & set(places)))
+        stalled = {m for m, at in self.stalled.items() if now - at < STALL_REPORT_VALID_S}
+        domains = {m: FailureDomain(self.zone(m.partition("#")[0]), "r") for m in sorted(self.alive - stalled)}
+        return planner.StoreMembers(domains, frozenset(self.leaving & set(domains)))
 
     def zone(self, name: str) -> str:
         return self.zones.get(name, name)
 
-    def parts(self) -> dict[int, PartitionRecord]:
+    def partition_records(self) -> dict[int, PartitionRecord]:
         return {int(number): record for number, record in self.control.records(PartitionRecord).items()}
 
     def plan(self) -> None:
-        records, known = self.parts(), self.known()
-        if not records and len(self.stores) < self.founding:
+        records, members = self.partition_records(), self.store_members()
+        if not records and len(self.stores) < self.initial_stores:
             return
         plan = (
-            planner.plan(records, self.limits, known)
+            planner.plan(records, self.limits, members)
             if records
-            else planner.initial_records(PARTITIONS, self.limits, known)
+            else planner.initial_records(PARTITIONS, self.limits, members)
         )
         for n, part in plan.items():
             self.put_record(part, str(n))
 
-    async def _synced(self, link: Any, told: ReplicaInSync) -> Done | Failure:
-        record = self.parts()[told.partition]
-        if record.epoch != told.epoch:
+    async def _synced(self, link: Any, report: ReplicaInSync) -> Done | Failure:
+        record = self.partition_records()[report.partition]
+        if record.epoch != report.epoch:
             return Failure(Code.STALE_EPOCH, "another epoch")
-        if told.member in record.learners:
+        if report.member in record.learners:
             self.put_record(
-                planner.promote_learner(record, told.member, self.limits, self.known()), str(told.partition)
+                planner.promote_learner(record, report.member, self.limits, self.store_members()), str(report.partition)
             )
         return Done()
 
-    async def _lost(self, link: Any, told: ReplicaLost) -> None:
-        self.lost.append(told)
+    async def _lost(self, link: Any, report: ReplicaLost) -> None:
+        self.lost.append(report)
 
-    async def _disk_stalled(self, link: Any, told: DiskStalled) -> None:
-        self.stalled[member_id(told.node, told.disk)] = asyncio.get_running_loop().time()
+    async def _disk_stalled(self, link: Any, report: DiskStalled) -> None:
+        self.stalled[member_id(report.node, report.disk)] = asyncio.get_running_loop().time()
         self.plan()
 
-    async def _leaving(self, link: Any, told: StoreDraining) -> Done | Failure:
-        name, known = member_id(told.node, told.disk), self.known()
-        if len([m for m in known.usable if m != name]) <= self.limits.nodes:
+    async def _leaving(self, link: Any, report: StoreDraining) -> Done | Failure:
+        name, members = member_id(report.node, report.disk), self.store_members()
+        if len([m for m in members.usable if m != name]) <= self.limits.nodes:
             return Failure(Code.TOO_FEW_LEFT, "too few others")
         self.leaving.add(name)
         self.plan()
         return Done()
 
     def primary_of(self, job: str) -> Store:
-        return self.stores[self.parts()[partition_of(job)].primary.partition("#")[0]]
+        return self.stores[self.partition_records()[partition_of(job)].primary.partition("#")[0]]
 
     def backup_of(self, job: str) -> Store:
-        return self.stores[self.parts()[partition_of(job)].backups[0].partition("#")[0]]
+        return self.stores[self.partition_records()[partition_of(job)].backups[0].partition("#")[0]]
 
     async def serving(self, job: str, within_s: float = 5.0) -> Store:
         """Wait until a store serves this batch job, and return it."""
@@ -307,35 +307,35 @@
         self.world = world
         self.endpoint = VirtualEndpoint(world.net, f"{name}:7000")
 
-    async def ask(self, store: Store, value: Any, timeout_s: float = 1.0) -> Any:
+    async def call(self, store: Store, value: Any, timeout_s: float = 1.0) -> Any:
         reply = await self.endpoint.call(store.address, value, timeout_s)
         if isinstance(reply, Failure) and reply.code is Code.TIMED_OUT and reply.reason == "no answer in time":
-            again = await self.endpoint.call(store.address, value, timeout_s)  # the connection may have been dead
-            return again if not isinstance(again, Failure) or again.maybe_done else reply
+            retry = await self.endpoint.call(store.address, value, timeout_s)  # the connection may have been dead
+            return retry if not isinstance(retry, Failure) or retry.maybe_done else reply
         return reply
 
     async def submit(
         self, job: str, store: Store | None = None, body: bytes | None = None, timeout_s: float = 1.0
     ) -> Any:
-        ask = SubmitJob(job, "h", "r-lot", body or lot(job))
-        return await self.ask(store or self.world.primary_of(job), ask, timeout_s)
+        request = SubmitJob(job, "h", "r-lot", body or job_json(job))
+        return await self.call(store or self.world.primary_of(job), request, timeout_s)
 
     async def read(self, job: str, past: int = 0, wait_ms: int = 0, store: Store | None = None) -> Any:
-        ask = ReadJob(job, past, wait_ms)
-        return await self.ask(store or self.world.primary_of(job), ask, 1.0 + wait_ms / 1000)
+        request = ReadJob(job, past, wait_ms)
+        return await self.call(store or self.world.primary_of(job), request, 1.0 + wait_ms / 1000)
 
     async def item(self, job: str, n: int) -> Any:
-        return await self.ask(self.world.primary_of(job), ReadItem(job, f"{job}-{n}"))
+        return await self.call(self.world.primary_of(job), ReadItem(job, f"{job}-{n}"))
 
     async def end(self, job: str) -> Any:
-        return await self.ask(self.world.primary_of(job), EndJob(job))
+        return await self.call(self.world.primary_of(job), EndJob(job))
 
     async def finish(
         self, job: str, n: int, text: str = "", store: Store | None = None, timeout_s: float = 1.0, **changes: Any
     ) -> Any:
         values: dict[str, Any] = {"state": "done", "reason": "", "versions": [1], "score": "", **changes}
-        ask = ItemFinished(job, f"{job}-{n}", text=text or f"text {n}", **values)
-        return await self.ask(store or self.world.primary_of(job), ask, timeout_s)
+        request = ItemFinished(job, f"{job}-{n}", text=text or f"text {n}", **values)
+        return await self.call(store or self.world.primary_of(job), request, timeout_s)
 
 
 class Runner:
@@ -344,7 +344,7 @@
     def __init__(self, world: World, name: str, slots: int = 4, run_s: float | None = 0.05) -> None:
         self.world, self.name, self.slots, self.run_s = world, name, slots, run_s
         self.endpoint = VirtualEndpoint(world.net, f"{name}:7000")
-        self.works: dict[tuple[str, str], WorkItem] = {}
+        self.running_items: dict[tuple[str, str], WorkItem] = {}
         self.assigned: list[tuple[str, str]] = []
         self.cancelled: list[str] = []
         self.pongs: dict[str, ProxyPong] = {}
@@ -362,8 +362,8 @@
 
     async def _ping(self, store: Store) -> None:
         now = int(asyncio.get_running_loop().time() * 1000)
-        free = max(0, self.slots - len(self.works))
-        jobs = sorted({job for job, _ in self.works})
+        free = max(0, self.slots - len(self.running_items))
+        jobs = sorted({job for job, _ in self.running_items})
         ping = ProxyPing(self.name, self.endpoint.address, now, self.slots, free, jobs, 1)
         pong = await self.endpoint.call(store.address, ping, 0.6)
         if isinstance(pong, ProxyPong):
@@ -371,32 +371,32 @@
             for job in pong.ended:
                 await self._cancel(None, CancelJob(job))
 
-    async def _assign(self, link: Any, ask: AssignItems) -> None:
-        for work in ask.items:
-            key = (ask.job, work.item)
+    async def _assign(self, link: Any, request: AssignItems) -> None:
+        for work in request.items:
+            key = (request.job, work.item)
             self.assigned.append(key)
-            if key not in self.works:
-                self.works[key] = work
+            if key not in self.running_items:
+                self.running_items[key] = work
                 if self.run_s is not None:
-                    self.endpoint.spawn(self._run(ask.job, work))
+                    self.endpoint.spawn(self._run(request.job, work))
 
     async def _run(self, job: str, work: WorkItem) -> None:
         await asyncio.sleep((self.run_s or 0.0) * self.world.random.uniform(0.5, 1.5))
         text = f"{work.item} by {self.name} {self.world.random.random()}"
-        while (job, work.item) in self.works:
-            ask = ItemFinished(job, work.item, "done", "", text, [1], "")
+        while (job, work.item) in self.running_items:
+            request = ItemFinished(job, work.item, "done", "", text, [1], "")
             store = self.world.primary_of(job)
-            reply = await self.endpoint.call(store.address, ask, 1.0)
+            reply = await self.endpoint.call(store.address, request, 1.0)
             final = (Code.UNKNOWN_ITEM, Code.JOB_ENDED, Code.BAD_MESSAGE)
             if isinstance(reply, Done) or isinstance(reply, Failure) and reply.code in final:
-                self.works.pop((job, work.item), None)
+                self.running_items.pop((job, work.item), None)
                 return
             await asyncio.sleep(0.1)
 
-    async def _cancel(self, link: Any, ask: CancelJob) -> None:
-        self.cancelled.append(ask.job)
-        for key in [k for k in self.works if k[0] == ask.job]:
-            del self.works[key]
+    async def _cancel(self, link: Any, request: CancelJob) -> None:
+        self.cancelled.append(request.job)
+        for key in [k for k in self.running_items if k[0] == request.job]:
+            del self.running_items[key]
 
 
-__all__ = ["Client", "ItemBody", "Runner", "Store", "World", "body_of", "lot"]
+__all__ = ["Client", "ItemBody", "Runner", "Store", "World", "body_of", "job_json"]
--- a/tests/jobstore/test_disk_probe.py
+++ b/tests/jobstore/test_disk_probe.py
@@ -24,7 +24,7 @@
         loop = VirtualLoop()
         self.addCleanup(loop.close)
 
-        async def scene() -> float:
+        async def scenario() -> float:
             began = loop.time()
             await wait_until_writable(self.folder)
             return loop.time() - began
@@ -33,7 +33,7 @@
             return answers.pop(0) if answers else False
 
         with mock.patch.object(loop, "run_in_executor", at_once):
-            return loop.run_until_complete(scene())
+            return loop.run_until_complete(scenario())
 
     def test_a_disk_that_takes_writes_is_left_as_it_was(self) -> None:
         self.assertTrue(is_writable(self.folder))
--- a/tests/jobstore/test_disks.py
+++ b/tests/jobstore/test_disks.py
@@ -18,19 +18,19 @@
 
 TAKEOVER_S = 1.1  # the time of a takeover from a dead machine
 LONG_S = 5.0
-Scene = Callable[[World, Client], Coroutine[Any, Any, None]]
+Scenario = Callable[[World, Client], Coroutine[Any, Any, None]]
 
 
-def play(scene: Scene, stores: int = 3) -> None:
-    async def whole() -> None:
+def run_scenario(scenario: Scenario, stores: int = 3) -> None:
+    async def main() -> None:
         world = World(stores)
         client = Client(world)
         await world.serving("a")
         assert await client.submit("a") == Done()
-        await scene(world, client)
+        await scenario(world, client)
         world.check()
 
-    run(whole)
+    run(main)
 
 
 async def write(world: World, client: Client, job: str) -> float:
@@ -45,51 +45,51 @@
 
 class StalledDiskTest(unittest.TestCase):
     def test_a_primary_gives_its_place_within_the_time_of_a_dead_one(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             old = world.primary_of("a")
             old.journal.disk.stalled = True
             self.assertLess(await write(world, client, "a33"), TAKEOVER_S)
             self.assertIsNot(old, world.primary_of("a33"))
             old.journal.disk.stalled = False
 
-        play_pair("a", "a33", scene)
+        run_scenario_on_one_partition("a", "a33", scenario)
 
     def test_a_backup_is_replaced_within_the_time_of_a_dead_one(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             old = world.backup_of("a")
             old.journal.disk.stalled = True
             self.assertLess(await write(world, client, "a33"), TAKEOVER_S)
-            self.assertNotIn(old.node.member, world.parts()[old.copy("a").partition].members)
+            self.assertNotIn(old.node.member, world.partition_records()[old.replica("a").partition].members)
             old.journal.disk.stalled = False
 
-        play_pair("a", "a33", scene)
+        run_scenario_on_one_partition("a", "a33", scenario)
 
     def test_pings_are_answered_and_reads_go_on_while_it_stalls(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             old = world.primary_of("a")
             old.journal.disk.stalled = True
             stuck = asyncio.ensure_future(client.submit("a33", old, timeout_s=3.0))
             await asyncio.sleep(STALLED_S / 2)
-            copy = old.copy("a")
+            replica = old.replica("a")
             self.assertIsInstance(await client.read("a", store=old), JobResults)
-            pong = await client.ask(old, ProxyPing("client", "client:7000", 0, 0, 0))
+            pong = await client.call(old, ProxyPing("client", "client:7000", 0, 0, 0))
             self.assertIsInstance(pong, ProxyPong)
-            self.assertIn(copy.partition, [served.partition for served in pong.served])
-            epochs = await client.ask(old, PartitionPing(old.node.member, [copy.partition], [copy.epoch]))
+            self.assertIn(replica.partition, [served.partition for served in pong.served])
+            epochs = await client.call(old, PartitionPing(old.node.member, [replica.partition], [replica.epoch]))
             self.assertIsInstance(epochs, PartitionEpochs)
             await stuck
             old.journal.disk.stalled = False
 
-        play_pair("a", "a33", scene)
+        run_scenario_on_one_partition("a", "a33", scenario)
 
     def test_what_was_under_way_is_listed_once_and_the_old_primary_does_no_harm_afterwards(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             old = world.primary_of("a")
             self.assertEqual(Done(), await client.finish("a", 0))
             old.journal.disk.stalled = True
             stuck = asyncio.ensure_future(client.finish("a", 1, store=old))
             self.assertIsInstance(await stuck, Failure)
-            await world_moves_on(world, old)
+            await wait_for_new_primary(world, old)
             await client.finish("a", 1)
             self.assertEqual(Done(), await client.finish("a", 2))
             before = (await client.read("a")).body
@@ -101,10 +101,10 @@
             self.assertEqual(before, (await client.read("a")).body)
             self.assertIsInstance(await client.read("a", store=old), Failure)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_slow_disk_is_none_that_stalls(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             old = world.primary_of("a")
             old.journal.sync_s = 0.3
             writes = []
@@ -114,7 +114,7 @@
             await asyncio.gather(*writes)
             self.assertEqual({}, world.stalled)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_process_that_stood_still_does_not_blame_its_disk(self) -> None:
         loop = VirtualLoop()
@@ -127,23 +127,23 @@
                 await asyncio.sleep(0.1)
                 return True
 
-        async def scene() -> None:
-            watch = DiskMonitor(Waiting(), loop.time)
+        async def scenario() -> None:
+            monitor = DiskMonitor(Waiting(), loop.time)
             node: Any = None
-            sync = asyncio.ensure_future(watch.sync())
+            sync = asyncio.ensure_future(monitor.sync())
             await asyncio.sleep(0.05)
-            watch._check(node)
+            monitor._check(node)
             loop.stand_still(3.0)
-            watch._check(node)  # would report to the node, which is None, if the disk counted as stalled
-            self.assertTrue(watch.usable)
+            monitor._check(node)  # would report to the node, which is None, if the disk counted as stalled
+            self.assertTrue(monitor.usable)
             self.assertTrue(await sync)
 
-        loop.run_until_complete(scene())
+        loop.run_until_complete(scenario())
 
 
 class FullDiskTest(unittest.TestCase):
     def test_a_primary_with_a_full_disk_serves_nothing_and_another_takes_over(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             old = world.primary_of("a")
             old.journal.disk.full = True
             reply = await client.submit("a33", old)
@@ -156,29 +156,29 @@
             await asyncio.sleep(1.0)
             self.assertFalse(old.store_node.replication.leaders)
 
-        play_pair("a", "a33", scene)
+        run_scenario_on_one_partition("a", "a33", scenario)
 
     def test_a_backup_with_a_full_disk_is_replaced(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             world.backup_of("a").journal.disk.full = True
             self.assertLess(await write(world, client, "a33"), TAKEOVER_S)
             self.assertEqual(Done(), await client.finish("a", 0))
 
-        play_pair("a", "a33", scene)
+        run_scenario_on_one_partition("a", "a33", scenario)
 
     def test_the_process_ends_only_after_others_have_its_places(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             old = world.primary_of("a")
             old.journal.disk.full = True
             await client.submit("a33", old)
             await old.node.stopping.wait()
-            for record in world.parts().values():
+            for record in world.partition_records().values():
                 self.assertNotIn(old.node.member, (*record.members, *record.learners))
 
-        play_pair("a", "a33", scene)
+        run_scenario_on_one_partition("a", "a33", scenario)
 
     def test_with_nobody_to_take_its_places_it_ends_after_a_while(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             old = world.primary_of("a")
             old.journal.disk.full = True
             await client.submit("a33", old)
@@ -187,33 +187,35 @@
             await asyncio.sleep(2.0)
             self.assertTrue(old.node.stopping.is_set())
 
-        play(scene, 2)
+        run_scenario(scenario, 2)
 
     def test_one_that_starts_on_a_full_disk_takes_no_part(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             backup = world.backup_of("a")
             backup.stop()
             backup.disk.full = True
             backup.start()
             await asyncio.sleep(0.5)
             self.assertTrue(backup.node.stopping.is_set())
-            copy = backup.copy("a")
-            question = AppendEntries(copy.partition, copy.epoch, backup.node.member, 5, copy.index, copy.chain, [])
-            self.assertIs(Code.DISK_FAILED, getattr(await client.ask(backup, question), "code", None))
+            replica = backup.replica("a")
+            request = AppendEntries(
+                replica.partition, replica.epoch, backup.node.member, 5, replica.index, replica.chain, []
+            )
+            self.assertIs(Code.DISK_FAILED, getattr(await client.call(backup, request), "code", None))
 
-        play(scene)
+        run_scenario(scenario)
 
 
-async def world_moves_on(world: World, old: Store) -> None:
+async def wait_for_new_primary(world: World, old: Store) -> None:
     """Wait until another store than the old primary serves the batch job `a`."""
     while await world.serving("a") is old:
         await asyncio.sleep(0.05)
 
 
-def play_pair(one: str, other: str, scene: Scene) -> None:
+def run_scenario_on_one_partition(one: str, other: str, scenario: Scenario) -> None:
     """Run a scenario with two batch jobs of the same partition."""
     assert partition_of(one) == partition_of(other), "not of one partition"
-    play(scene)
+    run_scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/jobstore/test_dispatch.py
+++ b/tests/jobstore/test_dispatch.py
@@ -17,23 +17,23 @@
 from otterreach.jobstore.placement import partition_of
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done
-from tests.jobstore.jobstore_world import ROUTE, Client, Runner, World, lot
+from tests.jobstore.jobstore_world import ROUTE, Client, Runner, World, job_json
 from tests.virtual import run
 
 MAX_WAIT_S = 30.0  # of ROUTE
-Scene = Callable[[World, Client], Coroutine[Any, Any, None]]
+Scenario = Callable[[World, Client], Coroutine[Any, Any, None]]
 
 
-def play(scene: Scene, stores: int = 3) -> None:
-    async def whole() -> None:
+def run_scenario(scenario: Scenario, stores: int = 3) -> None:
+    async def main() -> None:
         world = World(stores)
         client = Client(world)
         await world.serving("a")
         await asyncio.sleep(RUNNING_REPORT_WAIT_S)
-        await scene(world, client)
+        await scenario(world, client)
         world.check()
 
-    run(whole)
+    run(main)
 
 
 def states(reply: Any) -> list[tuple[str, str]]:
@@ -51,85 +51,85 @@
     def test_items_go_evenly_to_as_many_carriers_as_fill_the_servers(self) -> None:
         for cap, shares in ((24, [0, 0, 12, 12]), (48, [6, 6, 6, 6])):
             with self.subTest(cap):
-                self.spread(cap, shares)
+                self.check_spread(cap, shares)
 
-    def spread(self, cap: int, shares: list[int]) -> None:
-        async def scene(world: World, client: Client) -> None:
+    def check_spread(self, cap: int, shares: list[int]) -> None:
+        async def scenario(world: World, client: Client) -> None:
             server = {"backend": "lm", "addr": "127.0.0.1:1", "az": "z", "cap": cap, "state": "up", "models": []}
             world.put("config", {"routes": [{**ROUTE, "backend": "lm", "kind": "rollout"}]})
             world.put("server/s", server)
             runners = await proxies(world, 4, slots=16, run_s=None)
-            await client.submit("a", body=lot("a", 24, 4))
+            await client.submit("a", body=job_json("a", 24, 4))
             await asyncio.sleep(0.1)
-            self.assertEqual(shares, sorted(len(r.works) for r in runners))
-            given = Counter(item for r in runners for _, item in r.assigned)
-            self.assertEqual({1}, set(given.values()))
+            self.assertEqual(shares, sorted(len(r.running_items) for r in runners))
+            assigned = Counter(item for r in runners for _, item in r.assigned)
+            self.assertEqual({1}, set(assigned.values()))
             for runner in runners:
                 order = [int(item.partition("-")[2]) for _, item in runner.assigned]
                 self.assertEqual(sorted(order), order)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_no_more_than_fits_and_in_order(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             (runner,) = await proxies(world, 1, slots=3, run_s=None)
-            await client.submit("a", body=lot("a", 40, 1))
+            await client.submit("a", body=job_json("a", 40, 1))
             await asyncio.sleep(0.5)
             self.assertEqual([f"a-{n}" for n in range(ceil(3 * MAX_LOAD))], [item for _, item in runner.assigned])
             await client.finish("a", 0)
-            del runner.works["a", "a-0"]
+            del runner.running_items["a", "a-0"]
             await asyncio.sleep(0.1)
             self.assertEqual("a-5", runner.assigned[-1][1])
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_what_is_due_first_goes_first(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             late, soon = "late", next(f"soon{n}" for n in range(99) if partition_of(f"soon{n}") == partition_of("late"))
             world.put("config", {"routes": [{**ROUTE, "dueMs": 90000}, {**ROUTE, "name": "r-soon", "dueMs": 1000}]})
             await asyncio.sleep(0.1)
-            await client.submit(late, body=lot(late, 4, 1))
+            await client.submit(late, body=job_json(late, 4, 1))
             store = world.primary_of(late)
             job = store.store_node.dispatcher.open_jobs[late]
-            await client.submit(soon, body=lot(soon, 4, 1))
+            await client.submit(soon, body=job_json(soon, 4, 1))
             store.store_node.dispatcher.open_jobs[soon].route = "r-soon"
             (runner,) = await proxies(world, 1, slots=2, run_s=None)
             self.assertEqual(90.0, store.store_node.deadlines(job).due_s)
             self.assertEqual([soon] * ceil(2 * MAX_LOAD), [name for name, _ in runner.assigned])
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_groups_that_no_trainer_waits_for_come_last(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             other = next(f"b{n}" for n in range(99) if partition_of(f"b{n}") == partition_of("a"))
-            await client.submit("a", body=lot("a", 12, 2, step=1, desired=2))
-            await client.submit(other, body=lot(other, 4, 2, step=1, desired=2))
+            await client.submit("a", body=job_json("a", 12, 2, step=1, desired=2))
+            await client.submit(other, body=job_json(other, 4, 2, step=1, desired=2))
             (runner,) = await proxies(world, 1, slots=6, run_s=None)
-            given = [(job, int(item.partition("-")[2])) for job, item in runner.assigned]
+            assigned = [(job, int(item.partition("-")[2])) for job, item in runner.assigned]
             wanted = {("a", n) for n in range(4)} | {(other, n) for n in range(4)}
-            self.assertEqual(sorted([*wanted, ("a", 4)]), sorted(given))  # 9 fit, and just one of them is spare
+            self.assertEqual(sorted([*wanted, ("a", 4)]), sorted(assigned))  # 9 fit, and just one of them is spare
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_nothing_goes_out_before_it_is_at_all_copies(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             (runner,) = await proxies(world, 1)
-            world.net.cut(world.primary_of("a").address, world.backup_of("a").address)
+            world.net.disconnect(world.primary_of("a").address, world.backup_of("a").address)
             await client.submit("a", timeout_s=0.6)
             self.assertEqual([], runner.assigned)
 
-        play(scene)
+        run_scenario(scenario)
 
 
 class OutOfReachTest(unittest.TestCase):
     """Items that a proxy reached no server for are assigned to another proxy."""
 
     @staticmethod
-    async def give_back(runner: Runner, world: World, job: str) -> list[str]:
+    async def return_items(runner: Runner, world: World, job: str) -> list[str]:
         """Return all items of the job that the proxy has, and give their names."""
-        items = [item for name, item in runner.works if name == job]
+        items = [item for name, item in runner.running_items if name == job]
         for item in items:
-            del runner.works[job, item]
+            del runner.running_items[job, item]
         link = await runner.endpoint.link(world.primary_of(job).address)
         assert not isinstance(link, Failure)
         link.send(ReturnItems(job, items, True))
@@ -137,71 +137,71 @@
         return items
 
     def test_another_proxy_runs_them(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             first, second = await proxies(world, 2, slots=6, run_s=None)
-            await client.submit("a", body=lot("a", 8, 1))
+            await client.submit("a", body=job_json("a", 8, 1))
             await asyncio.sleep(0.1)
-            items = await self.give_back(first, world, "a")
+            items = await self.return_items(first, world, "a")
             self.assertEqual(4, len(items))
-            self.assertEqual(8, len(second.works))
+            self.assertEqual(8, len(second.running_items))
             self.assertEqual(4, len(first.assigned))  # no item was assigned to it again
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_the_count_of_failures_goes_along(self) -> None:
         """Servers get an item no more often than its route allows, however many proxies it is assigned to in turn."""
 
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             first, second = await proxies(world, 2, slots=6, run_s=None)
-            await client.submit("a", body=lot("a", 2, 1))
+            await client.submit("a", body=job_json("a", 2, 1))
             await asyncio.sleep(0.1)
-            ((job, item),) = first.works
-            del first.works[job, item]
+            ((job, item),) = first.running_items
+            del first.running_items[job, item]
             link = await first.endpoint.link(world.primary_of("a").address)
             assert not isinstance(link, Failure)
             link.send(ReturnItems(job, [item], True, [2, 7]))  # more counts than items
             await asyncio.sleep(0.1)
-            self.assertEqual(2, second.works[job, item].failures)
+            self.assertEqual(2, second.running_items[job, item].failures)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_return_of_an_earlier_version_tells_no_count(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             first, second = await proxies(world, 2, slots=6, run_s=None)
-            await client.submit("a", body=lot("a", 2, 1))
+            await client.submit("a", body=job_json("a", 2, 1))
             await asyncio.sleep(0.1)
-            ((job, item),) = first.works
-            await self.give_back(first, world, "a")
-            self.assertEqual(0, second.works[job, item].failures)
+            ((job, item),) = first.running_items
+            await self.return_items(first, world, "a")
+            self.assertEqual(0, second.running_items[job, item].failures)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_stored_number_beyond_64_bits_stops_nobody(self) -> None:
         """An earlier version accepted such numbers, and a journal may still hold them."""
 
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             (runner,) = await proxies(world, 1, slots=8, run_s=None)
-            await client.submit("a", body=lot("a", 3, 1))
+            await client.submit("a", body=job_json("a", 3, 1))
             other = next(f"b{n}" for n in range(99) if partition_of(f"b{n}") == partition_of("a"))
             job = world.primary_of("a").store_node.dispatcher.open_jobs["a"]
             runner.pinging = False
             await asyncio.sleep(1.5)  # the proxy is lost: all items are pending again
-            runner.works.clear()
+            runner.running_items.clear()
             job.head["minVersion"] = 2**70
             job.items["a-1"].tokens = -(2**70)
-            await client.submit(other, body=lot(other, 2, 1))
+            await client.submit(other, body=job_json(other, 2, 1))
             runner.pinging = True
             await asyncio.sleep(1.0)
-            self.assertEqual({"a", other}, {name for name, _ in runner.works})
-            self.assertEqual(5, len(runner.works))
-            self.assertEqual(-(2**63 - 1), runner.works["a", "a-1"].tokens)
+            self.assertEqual({"a", other}, {name for name, _ in runner.running_items})
+            self.assertEqual(5, len(runner.running_items))
+            self.assertEqual(-(2**63 - 1), runner.running_items["a", "a-1"].tokens)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_job_that_has_moved_or_ended_is_not_touched(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             first, second = await proxies(world, 2, slots=6, run_s=None)
-            await client.submit("a", body=lot("a", 4, 1))
+            await client.submit("a", body=job_json("a", 4, 1))
             await asyncio.sleep(0.1)
             await client.end("a")
             await asyncio.sleep(0.1)
@@ -209,117 +209,119 @@
             assert not isinstance(link, Failure)
             link.send(ReturnItems("a", ["a-0"], True))
             await asyncio.sleep(0.5)
-            self.assertEqual({}, second.works)
+            self.assertEqual({}, second.running_items)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_where_no_proxy_reaches_a_server_each_is_tried_in_turn(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             both = await proxies(world, 2, slots=6, run_s=None)
-            await client.submit("a", body=lot("a", 1, 1))
+            await client.submit("a", body=job_json("a", 1, 1))
             for _ in range(4):
                 await asyncio.sleep(0.1)
-                holders = [runner for runner in both if runner.works]
+                holders = [runner for runner in both if runner.running_items]
                 self.assertEqual(1, len(holders))
-                await self.give_back(holders[0], world, "a")
+                await self.return_items(holders[0], world, "a")
             self.assertTrue(all(runner.assigned for runner in both))
 
-        play(scene)
+        run_scenario(scenario)
 
 
 class LossTest(unittest.TestCase):
     def test_a_silent_carrier_loses_its_items(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             first, second = await proxies(world, 2, slots=6, run_s=None)
-            await client.submit("a", body=lot("a", 8, 1))
+            await client.submit("a", body=job_json("a", 8, 1))
             await asyncio.sleep(0.1)
             first.pinging = False
             await asyncio.sleep(1.3)
-            self.assertEqual({f"a-{n}" for n in range(8)}, {item for _, item in second.works})
+            self.assertEqual({f"a-{n}" for n in range(8)}, {item for _, item in second.running_items})
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_carrier_that_ends_loses_them_at_once(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             first, second = await proxies(world, 2, slots=6, run_s=None)
-            await client.submit("a", body=lot("a", 8, 1))
+            await client.submit("a", body=job_json("a", 8, 1))
             await asyncio.sleep(0.1)
             first.endpoint.kill()
             await asyncio.sleep(0.6)
-            self.assertEqual(8, len(second.works))
+            self.assertEqual(8, len(second.running_items))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_given_back_they_go_elsewhere(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             first, second = await proxies(world, 2, slots=6, run_s=None)
-            await client.submit("a", body=lot("a", 8, 1))
+            await client.submit("a", body=job_json("a", 8, 1))
             await asyncio.sleep(0.1)
             first.slots = 0
             link = first.endpoint.linked(world.primary_of("a").address)
             assert link is not None
-            link.send(ReturnItems("a", [item for _, item in first.works]))
-            first.works.clear()
+            link.send(ReturnItems("a", [item for _, item in first.running_items]))
+            first.running_items.clear()
             await asyncio.sleep(0.1)
-            self.assertEqual(8, len(second.works))
-            self.assertEqual({}, first.works)
+            self.assertEqual(8, len(second.running_items))
+            self.assertEqual({}, first.running_items)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_after_a_takeover_what_runs_is_left_where_it_runs(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             first, second = await proxies(world, 2, slots=4, run_s=None)
-            await client.submit("a", body=lot("a", 8, 1))
+            await client.submit("a", body=job_json("a", 8, 1))
             await asyncio.sleep(0.1)
-            mine = sorted(item for _, item in first.works)
+            mine = sorted(item for _, item in first.running_items)
             old = world.primary_of("a")
             old.stop()
-            world.believe(old, lives=False)
+            world.set_alive(old, alive=False)
             new = await world.serving("a")
             for runner in (first, second):
-                told = RunningItems(partition_of("a"), runner.name, [f"{job} {item}" for job, item in runner.works])
-                reply = await runner.endpoint.call(new.address, told, 1.0)
+                report = RunningItems(
+                    partition_of("a"), runner.name, [f"{job} {item}" for job, item in runner.running_items]
+                )
+                reply = await runner.endpoint.call(new.address, report, 1.0)
                 self.assertEqual(Done(), reply)
                 runner.assigned.clear()
             await asyncio.sleep(1.0)
             self.assertEqual([], first.assigned + second.assigned)
-            self.assertEqual(mine, sorted(item for _, item in first.works))
+            self.assertEqual(mine, sorted(item for _, item in first.running_items))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_one_that_pings_over_another_connection_is_told_again(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             (runner,) = await proxies(world, 1, slots=4, run_s=None)
             await client.submit("a")
             await asyncio.sleep(0.1)
-            runner.works.clear()
+            runner.running_items.clear()
             link = runner.endpoint.linked(world.primary_of("a").address)
             assert link is not None
             link.abort()
             await asyncio.sleep(0.4)
-            self.assertEqual(4, len(runner.works))
+            self.assertEqual(4, len(runner.running_items))
 
-        play(scene)
+        run_scenario(scenario)
 
 
 class EndTest(unittest.TestCase):
     def test_carriers_are_told_of_the_end(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             runners = await proxies(world, 2, slots=4, run_s=None)
-            await client.submit("a", body=lot("a", 8, 1))
+            await client.submit("a", body=job_json("a", 8, 1))
             await asyncio.sleep(0.1)
             self.assertEqual(Done(), await client.end("a"))
             await asyncio.sleep(0.05)
-            self.assertEqual([{}, {}], [r.works for r in runners])
+            self.assertEqual([{}, {}], [r.running_items for r in runners])
             await asyncio.sleep(2.0)
             self.assertEqual(8, sum(len(r.assigned) for r in runners))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_nothing_of_an_ended_one_is_sent_again_over_another_connection(self) -> None:
         """The job's end is committed and the bodies are dropped, but the dispatcher is not yet notified."""
 
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             (runner,) = await proxies(world, 1, slots=4, run_s=None)
             await client.submit("a")
             await asyncio.sleep(0.1)
@@ -332,30 +334,30 @@
             await asyncio.sleep(0.4)
             self.assertEqual([], runner.assigned)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_one_that_missed_it_hears_of_it_with_its_next_ping(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             (runner,) = await proxies(world, 1, slots=8, run_s=None)
             await client.submit("a")
             await asyncio.sleep(0.1)
-            kept = dict(runner.works)
+            kept = dict(runner.running_items)
             await client.end("a")
             await asyncio.sleep(0.05)
-            runner.works.update(kept)
+            runner.running_items.update(kept)
             await asyncio.sleep(0.4)
-            self.assertEqual({}, runner.works)
+            self.assertEqual({}, runner.running_items)
 
-        play(scene)
+        run_scenario(scenario)
 
 
 class JudgeTest(unittest.TestCase):
     """Validation of results. The item of a rejected result runs again."""
 
     def test_conformance(self) -> None:
-        scored = json.loads(lot("a", 1, step=1, model="m", minVersion=5))
+        scored = json.loads(job_json("a", 1, step=1, model="m", minVersion=5))
         scored["reqs"][0]["scorer"] = {"id": "s", "host": "h", "path": "/s", "body": ""}
-        plain, sample = lot("a", 1), lot("a", 1, step=1, model="m", minVersion=5)
+        plain, sample = job_json("a", 1), job_json("a", 1, step=1, model="m", minVersion=5)
         table: list[tuple[str, bytes, dict[str, Any], Code | None]] = [
             ("plain", plain, {"versions": []}, None),
             ("a sample", sample, {"versions": [5, 6]}, None),
@@ -371,10 +373,10 @@
         ]
         for name, body, changes, code in table:
             with self.subTest(name):
-                self.judge(body, changes, code)
+                self.check_result(body, changes, code)
 
-    def judge(self, body: bytes, changes: dict[str, Any], code: Code | None) -> None:
-        async def scene(world: World, client: Client) -> None:
+    def check_result(self, body: bytes, changes: dict[str, Any], code: Code | None) -> None:
+        async def scenario(world: World, client: Client) -> None:
             (runner,) = await proxies(world, 1, run_s=None)
             await client.submit("a", body=body)
             await asyncio.sleep(0.1)
@@ -383,10 +385,10 @@
             await asyncio.sleep(0.1)
             self.assertEqual(2 if code else 1, len(runner.assigned))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_one_version_on_a_single_route(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             world.put("config", {"routes": [{**ROUTE, "single": True}]})
             await asyncio.sleep(0.1)
             await client.submit("a")
@@ -395,43 +397,43 @@
             self.assertIs(Code.BAD_MESSAGE, refused.code)
             self.assertEqual(Done(), await client.finish("a", 0, versions=[2]))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_listed_and_unknown(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             self.assertEqual(Done(), await client.finish("a", 0))
             self.assertIs(Code.UNKNOWN_ITEM, (await client.finish("a", 0, "other")).code)
             self.assertIs(Code.UNKNOWN_ITEM, (await client.finish("a", 77)).code)
             self.assertIs(Code.UNKNOWN_JOB, (await client.finish("zz", 0)).code)
 
-        play(scene)
+        run_scenario(scenario)
 
 
 class GivingUpTest(unittest.TestCase):
     def test_what_waited_too_long_is_listed_as_errored_and_not_before(self) -> None:
-        async def scene(world: World, client: Client) -> None:
-            await client.submit("a", body=lot("a", 2))
+        async def scenario(world: World, client: Client) -> None:
+            await client.submit("a", body=job_json("a", 2))
             await asyncio.sleep(MAX_WAIT_S)
             self.assertEqual([], states(await client.read("a")))
             await asyncio.sleep(3.5)
             self.assertEqual([("a-0", "errored"), ("a-1", "errored")], states(await client.read("a")))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_route_that_is_gone(self) -> None:
-        async def scene(world: World, client: Client) -> None:
-            await client.submit("a", body=lot("a", 2))
+        async def scenario(world: World, client: Client) -> None:
+            await client.submit("a", body=job_json("a", 2))
             await asyncio.sleep(3.0)
             self.assertEqual([], states(await client.read("a")))
             world.put("config", {"routes": []})
             await asyncio.sleep(3.0)
             self.assertEqual([("a-0", "errored"), ("a-1", "errored")], states(await client.read("a")))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_reader_that_waits_gets_the_result_as_it_comes(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             start = asyncio.get_running_loop().time()
             reader = asyncio.ensure_future(client.read("a", wait_ms=1000))
@@ -442,7 +444,7 @@
             empty = await client.read("a", 1, wait_ms=500)
             self.assertEqual((4, 1, b""), (empty.total, empty.next_cursor, empty.body))
 
-        play(scene)
+        run_scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/jobstore/test_installation.py
+++ b/tests/jobstore/test_installation.py
@@ -18,9 +18,9 @@
 from tests.virtual import run
 
 BIG = "big"
-THIN = 200_000.0  # bytes per second: the transfer of a chunk takes longer than the time-out of other calls
+SLOW_LINK = 200_000.0  # bytes per second: the transfer of a chunk takes longer than the time-out of other calls
 MBIT_30 = 30e6 / 8
-Scene = Callable[[World, Client], Coroutine[Any, Any, None]]
+Scenario = Callable[[World, Client], Coroutine[Any, Any, None]]
 
 
 def big_job(job: str, items: int, size: int) -> bytes:
@@ -29,43 +29,45 @@
     return json.dumps({"reqs": rows}).encode()
 
 
-def names_of(part: int, count: int) -> list[str]:
+def jobs_of_partition(partition: int, count: int) -> list[str]:
     """Return the names of batch jobs of one partition."""
-    return [name for name in (f"job{n}" for n in range(PARTITIONS * count * 8)) if partition_of(name) == part][:count]
+    return [name for name in (f"job{n}" for n in range(PARTITIONS * count * 8)) if partition_of(name) == partition][
+        :count
+    ]
 
 
-def play(scene: Scene, jobs: int = 16, size: int = 40_000) -> None:
+def run_scenario(scenario: Scenario, jobs: int = 16, size: int = 40_000) -> None:
     """Run a scenario with `jobs` batch jobs in one partition, each of about ten times `size` bytes as entries."""
 
-    async def whole() -> None:
+    async def main() -> None:
         world = World(3)
         client = Client(world)
         await world.serving(BIG)
-        for job in names_of(partition_of(BIG), jobs):
+        for job in jobs_of_partition(partition_of(BIG), jobs):
             assert await client.submit(job, body=big_job(job, 10, size), timeout_s=10.0) == Done()
-        await scene(world, client)
+        await scenario(world, client)
         world.check()
 
-    run(whole)
+    run(main)
 
 
-def third(world: World) -> Store:
+def store_without_replica(world: World) -> Store:
     """Return the store that has no replica of the partition."""
     members = (world.primary_of(BIG), world.backup_of(BIG))
     return next(store for store in world.stores.values() if store not in members)
 
 
-def ask_to_join(world: World, store: Store) -> None:
-    record = world.parts()[partition_of(BIG)]
+def add_learner(world: World, store: Store) -> None:
+    record = world.partition_records()[partition_of(BIG)]
     json_record = {**json.loads(record.encode()), "epoch": record.epoch + 1, "joining": [store.node.member]}
     world.put(f"part/{partition_of(BIG)}", json_record)
 
 
-async def joined(world: World, store: Store, within_s: float) -> float:
+async def wait_until_member(world: World, store: Store, within_s: float) -> float:
     """Wait until the store is a member. Return how long it took."""
     loop = asyncio.get_running_loop()
     began = loop.time()
-    while store.node.member not in world.parts()[partition_of(BIG)].members:
+    while store.node.member not in world.partition_records()[partition_of(BIG)].members:
         assert loop.time() - began < within_s, "never a member"
         await asyncio.sleep(0.05)
     return loop.time() - began
@@ -73,37 +75,37 @@
 
 class InstallTest(unittest.TestCase):
     def test_a_link_on_which_a_piece_takes_longer_than_a_call_is_enough(self) -> None:
-        async def scene(world: World, client: Client) -> None:
-            learner = third(world)
-            world.net.thin[learner.address] = THIN
-            ask_to_join(world, learner)
-            await joined(world, learner, 120.0)
-            self.assertEqual(world.primary_of(BIG).copy(BIG).jobs.digests(), learner.copy(BIG).jobs.digests())
+        async def scenario(world: World, client: Client) -> None:
+            learner = store_without_replica(world)
+            world.net.bandwidth[learner.address] = SLOW_LINK
+            add_learner(world, learner)
+            await wait_until_member(world, learner, 120.0)
+            self.assertEqual(world.primary_of(BIG).replica(BIG).jobs.digests(), learner.replica(BIG).jobs.digests())
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_after_a_broken_connection_it_goes_on_where_it_stopped(self) -> None:
-        async def scene(world: World, client: Client) -> None:
-            learner = third(world)
-            world.net.thin[learner.address] = 4 * THIN
-            ask_to_join(world, learner)
+        async def scenario(world: World, client: Client) -> None:
+            learner = store_without_replica(world)
+            world.net.bandwidth[learner.address] = 4 * SLOW_LINK
+            add_learner(world, learner)
             before = world.net.sent.get(learner.address, 0)
             for _ in range(5):
                 await asyncio.sleep(1.4)
                 for link in list(learner.endpoint.links):
                     link.abort()
-            await joined(world, learner, 60.0)
-            whole = sum(len(entry.body) for entry in learner.copy(BIG).jobs.snapshot(0.0))
+            await wait_until_member(world, learner, 60.0)
+            total = sum(len(entry.body) for entry in learner.replica(BIG).jobs.snapshot(0.0))
             sent = world.net.sent[learner.address] - before
-            self.assertLess(sent, whole + 7 * 2 * CHUNK_BYTES)
+            self.assertLess(sent, total + 7 * 2 * CHUNK_BYTES)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_pings_and_other_writes_go_on_beside_it(self) -> None:
-        async def scene(world: World, client: Client) -> None:
-            learner, primary = third(world), world.primary_of(BIG)
+        async def scenario(world: World, client: Client) -> None:
+            learner, primary = store_without_replica(world), world.primary_of(BIG)
             for store in world.stores.values():
-                world.net.thin[store.address] = MBIT_30
+                world.net.bandwidth[store.address] = MBIT_30
             others = [
                 name
                 for name in (f"small{n}" for n in range(400))
@@ -111,9 +113,9 @@
                 and world.primary_of(name) is primary
                 and world.backup_of(name) is learner
             ]
-            ask_to_join(world, learner)
+            add_learner(world, learner)
             slowest, count, loop = 0.0, 0, asyncio.get_running_loop()
-            while learner.node.member not in world.parts()[partition_of(BIG)].members:
+            while learner.node.member not in world.partition_records()[partition_of(BIG)].members:
                 began = loop.time()
                 name = others[count]
                 self.assertEqual(Done(), await client.submit(name, primary))
@@ -124,46 +126,46 @@
             self.assertLess(slowest, 0.3)
             self.assertEqual([], world.lost)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_writes_meanwhile_are_there_afterwards(self) -> None:
-        async def scene(world: World, client: Client) -> None:
-            learner = third(world)
-            world.net.thin[learner.address] = MBIT_30
-            ask_to_join(world, learner)
-            job = names_of(partition_of(BIG), 1)[0]
+        async def scenario(world: World, client: Client) -> None:
+            learner = store_without_replica(world)
+            world.net.bandwidth[learner.address] = MBIT_30
+            add_learner(world, learner)
+            job = jobs_of_partition(partition_of(BIG), 1)[0]
             await asyncio.sleep(0.1)
             await world.serving(BIG)
             for n in range(10):
                 self.assertEqual(Done(), await client.finish(job, n, timeout_s=5.0))
             self.assertEqual(Done(), await client.end(job))
-            await joined(world, learner, 60.0)
+            await wait_until_member(world, learner, 60.0)
             await asyncio.sleep(1.0)
-            primary = world.primary_of(BIG).copy(BIG)
-            self.assertEqual(primary.position, learner.copy(BIG).position)
-            self.assertEqual(primary.jobs.digests(), learner.copy(BIG).jobs.digests())
+            primary = world.primary_of(BIG).replica(BIG)
+            self.assertEqual(primary.position, learner.replica(BIG).position)
+            self.assertEqual(primary.jobs.digests(), learner.replica(BIG).jobs.digests())
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_learner_that_lost_power_midway_knows_that_its_copy_is_not_whole(self) -> None:
-        async def scene(world: World, client: Client) -> None:
-            learner = third(world)
-            world.net.thin[learner.address] = THIN
-            ask_to_join(world, learner)
+        async def scenario(world: World, client: Client) -> None:
+            learner = store_without_replica(world)
+            world.net.bandwidth[learner.address] = SLOW_LINK
+            add_learner(world, learner)
             await asyncio.sleep(8.0)
-            staged = learner.copy(BIG).staged
+            staged = learner.replica(BIG).staged
             assert staged is not None
             self.assertGreater(staged.next_chunk, 1)
             learner.stop(power=True)
             learner.start()
-            self.assertFalse(learner.copy(BIG).is_complete)
+            self.assertFalse(learner.replica(BIG).is_complete)
             await asyncio.sleep(0.5)
-            self.assertIs(ReplicaState.LEARNER, learner.copy(BIG).state)
-            world.net.thin.clear()
-            await joined(world, learner, 20.0)
-            self.assertTrue(learner.copy(BIG).is_complete)
+            self.assertIs(ReplicaState.LEARNER, learner.replica(BIG).state)
+            world.net.bandwidth.clear()
+            await wait_until_member(world, learner, 20.0)
+            self.assertTrue(learner.replica(BIG).is_complete)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_pieces(self) -> None:
         for sizes, counts in (
@@ -174,8 +176,8 @@
             ([CHUNK_BYTES // 2, CHUNK_BYTES // 2, 1], [2, 1]),
         ):
             with self.subTest(sizes):
-                pieces = list(chunks_of(Entry(1, bytes(size)) for size in sizes))
-                self.assertEqual(counts, [len(piece) for piece in pieces])
+                chunks = list(chunks_of(Entry(1, bytes(size)) for size in sizes))
+                self.assertEqual(counts, [len(chunk) for chunk in chunks])
 
 
 if __name__ == "__main__":
--- a/tests/jobstore/test_jobs.py
+++ b/tests/jobstore/test_jobs.py
@@ -13,7 +13,7 @@
 from otterreach.jobstore.job_table import JobTable
 from otterreach.jobstore.messages import ItemFinished
 from otterreach.runtime.codes import Code, Failure
-from tests.jobstore.jobstore_world import body_of, lot
+from tests.jobstore.jobstore_world import body_of, job_json
 
 
 def job_of(body: bytes, job: str = "a") -> Job:
@@ -74,7 +74,7 @@
 class RecordsTest(unittest.TestCase):
     def test_positions_are_given_once(self) -> None:
         jobs = jobs_with(
-            submit_entry("a", "h", "r", lot("a")),
+            submit_entry("a", "h", "r", job_json("a")),
             result("a", 1, b'"x"'),
             result("a", 1, b'"y"'),
             result("a", 9, b'"z"'),
@@ -86,7 +86,7 @@
         self.assertEqual((2, b""), job.read(2))
 
     def test_not_seen_before_it_is_settled(self) -> None:
-        jobs = jobs_with(submit_entry("a", "h", "r", lot("a")))
+        jobs = jobs_with(submit_entry("a", "h", "r", job_json("a")))
         change = jobs.apply(result("a", 2), 2, 0.0)
         assert change is not None
         job = jobs.jobs["a"]
@@ -98,13 +98,15 @@
 
     def test_an_answer_is_bounded_and_holds_one_at_least(self) -> None:
         big = b'"' + b"x" * (MAX_READ_BYTES + 10) + b'"'
-        jobs = jobs_with(submit_entry("a", "h", "r", lot("a")), result("a", 0, big), result("a", 1), result("a", 2))
+        jobs = jobs_with(
+            submit_entry("a", "h", "r", job_json("a")), result("a", 0, big), result("a", 1), result("a", 2)
+        )
         job = jobs.jobs["a"]
         self.assertEqual((1, big), job.read(0))
         self.assertEqual((3, b"{},{}"), job.read(1))
 
     def test_end_and_drop(self) -> None:
-        jobs = jobs_with(submit_entry("a", "h", "r", lot("a")), result("a", 0), end_entry("a"), end_entry("a"))
+        jobs = jobs_with(submit_entry("a", "h", "r", job_json("a")), result("a", 0), end_entry("a"), end_entry("a"))
         job = jobs.jobs["a"]
         self.assertIs(JobState.ENDED, job.state)
         self.assertEqual(b"", job.items["a-1"].body)
@@ -113,7 +115,7 @@
         self.assertEqual(({}, 0), (jobs.jobs, jobs.size))
 
     def test_a_snapshot_gives_the_same(self) -> None:
-        entries = [submit_entry(name, "h", "r", lot(name, 6, step=2, model="m", minVersion=3)) for name in "abc"]
+        entries = [submit_entry(name, "h", "r", job_json(name, 6, step=2, model="m", minVersion=3)) for name in "abc"]
         jobs = jobs_with(*entries, result("a", 5, b"5"), result("a", 0, b"0"), result("b", 1, b"1"), end_entry("b"))
         again = jobs_with(*jobs.snapshot(7.0))
         self.assertEqual(jobs.digests(), again.digests())
@@ -129,9 +131,9 @@
         self.assertEqual(list(jobs.snapshot(7.0)), list(again.snapshot(7.0 - 7.0)))
 
     def test_digests_tell_copies_apart(self) -> None:
-        one = jobs_with(submit_entry("a", "h", "r", lot("a")), result("a", 0, b"1"))
+        one = jobs_with(submit_entry("a", "h", "r", job_json("a")), result("a", 0, b"1"))
         for other in (result("a", 0, b"2"), result("a", 1, b"1"), end_entry("a")):
-            changed = jobs_with(submit_entry("a", "h", "r", lot("a")), other)
+            changed = jobs_with(submit_entry("a", "h", "r", job_json("a")), other)
             self.assertNotEqual(one.digests(), changed.digests())
 
 
@@ -148,7 +150,7 @@
         return ItemFinished("a", "a-0", **values)
 
     def test_what_readers_get(self) -> None:
-        plain, sample = job_of(lot("a")), job_of(lot("a", step=0, model="m", minVersion=6))
+        plain, sample = job_of(job_json("a")), job_of(job_json("a", step=0, model="m", minVersion=6))
         table: list[tuple[str, Job, dict[str, Any], dict[str, Any]]] = [
             ("plain", plain, {"score": ""}, {"id": "a-0", "state": "done", "text": 'é\n"x'}),
             (
--- a/tests/jobstore/test_repair.py
+++ b/tests/jobstore/test_repair.py
@@ -31,14 +31,14 @@
         return self.jobs * self.items * self.body * 4 / 3 / 1e6
 
 
-TODAY = Size(50, 200, 200)
+CURRENT = Size(50, 200, 200)
 LARGE = Size(50, 200, 1500)
 
 
-async def filled(size: Size, link: float, stores: int = 4) -> World:
+async def filled_world(size: Size, link: float, stores: int = 4) -> World:
     world = World(stores)
     for store in world.stores.values():
-        world.net.thin[store.address] = link
+        world.net.bandwidth[store.address] = link
     client = Client(world)
     await asyncio.sleep(1.0)
     for n in range(size.jobs):
@@ -48,67 +48,68 @@
     return world
 
 
-async def at_full_strength(world: World, within_s: float) -> float:
+async def wait_until_repaired(world: World, within_s: float) -> float:
     """Plan as the controller does until each partition has all its replicas on stores that are alive."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     while loop.time() - began < within_s:
         world.plan()
-        known = world.known()
+        members = world.store_members()
         if all(
-            known.survive(r.members, world.limits) and set(r.members) <= world.alive for r in world.parts().values()
+            members.survive(r.members, world.limits) and set(r.members) <= world.alive
+            for r in world.partition_records().values()
         ):
             return loop.time() - began
         await asyncio.sleep(PLAN_INTERVAL_S)
     raise AssertionError("never at full strength")
 
 
-async def lose(world: World, store: Store) -> None:
+async def lose_store(world: World, store: Store) -> None:
     """Lose a store with its disk. The controller detects it by the missing heartbeats."""
     store.wipe()
     await asyncio.sleep(HEARTBEAT_TIMEOUT_S + PLAN_INTERVAL_S)
-    world.believe(store, lives=False)
+    world.set_alive(store, alive=False)
 
 
 def repair_s(size: Size, link: float, how: str) -> float:
     """Return the time from the loss of a store until each partition has all its replicas."""
 
-    async def whole() -> float:
-        world = await filled(size, link)
+    async def main() -> float:
+        world = await filled_world(size, link)
         loop = asyncio.get_running_loop()
         began = loop.time()
         lost = world.stores["store-0"]
         if how == "same address":
             lost.wipe()
             lost.start()
-            world.believe(lost)
+            world.set_alive(lost)
         else:
-            await lose(world, lost)
+            await lose_store(world, lost)
         if how == "replaced":
             world.add("store-9")
-        await at_full_strength(world, 60.0)
+        await wait_until_repaired(world, 60.0)
         took = loop.time() - began
         world.check()
         return took
 
-    return run(whole)
+    return run(main)
 
 
 class RepairTest(unittest.TestCase):
     def test_within_sync_s_at_todays_size_and_a_large_one(self) -> None:
-        for size in (TODAY, LARGE):
+        for size in (CURRENT, LARGE):
             for how in ("lost", "replaced", "same address"):
                 with self.subTest(f"{size} {how}"):
                     self.assertLess(repair_s(size, MBIT_600, how), 4.4)
 
     def test_two_in_a_row(self) -> None:
-        async def whole() -> None:
-            world = await filled(Size(20, 50, 200), MBIT_600, 4)
+        async def main() -> None:
+            world = await filled_world(Size(20, 50, 200), MBIT_600, 4)
             client = Client(world)
             for name in ("store-0", "store-1"):
-                await lose(world, world.stores[name])
+                await lose_store(world, world.stores[name])
                 world.add(f"new-{name}")
-                await at_full_strength(world, 4.4)
+                await wait_until_repaired(world, 4.4)
             for n in range(20):
                 store = await world.serving(f"job{n}")
                 await asyncio.sleep(0.0)
@@ -116,11 +117,11 @@
                 self.assertEqual(50, getattr(reply, "total", reply))
             world.check()
 
-        run(whole)
+        run(main)
 
 
 if __name__ == "__main__":
-    for size in (TODAY, LARGE):
+    for size in (CURRENT, LARGE):
         for link, name in ((MBIT_600, "600 Mbit/s"), (MBIT_30, "30 Mbit/s")):
             for how in ("lost", "replaced", "same address"):
                 took = repair_s(size, link, how)
--- a/tests/jobstore/test_replicas.py
+++ b/tests/jobstore/test_replicas.py
@@ -14,32 +14,32 @@
 from otterreach.jobstore.replication_context import MAX_CONFIRMATION_AGE_S
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done
-from tests.jobstore.jobstore_world import Client, Store, World, lot
+from tests.jobstore.jobstore_world import Client, Store, World, job_json
 from tests.virtual import run
 
-Scene = Callable[[World, Client], Coroutine[Any, Any, None]]
+Scenario = Callable[[World, Client], Coroutine[Any, Any, None]]
 
 
-def play(scene: Scene, stores: int = 3) -> None:
-    async def whole() -> None:
+def run_scenario(scenario: Scenario, stores: int = 3) -> None:
+    async def main() -> None:
         world = World(stores)
         client = Client(world)
         await world.serving("a")
-        await scene(world, client)
+        await scenario(world, client)
         world.check()
 
-    run(whole)
+    run(main)
 
 
 def results_of(reply: Any) -> list[dict[str, Any]]:
     assert isinstance(reply, JobResults), reply
-    found: list[dict[str, Any]] = json.loads(b"[" + reply.body + b"]")
-    return found
+    results: list[dict[str, Any]] = json.loads(b"[" + reply.body + b"]")
+    return results
 
 
 class CopiesTest(unittest.TestCase):
     def test_done_only_once_all_copies_have_it_on_disk(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             primary, backup = world.primary_of("a"), world.backup_of("a")
             backup.journal.sync_s = 0.5
             reply = asyncio.ensure_future(client.submit("a"))
@@ -50,28 +50,28 @@
             self.assertIn(b'"reqs"', backup.disk.data[: backup.disk.synced])
             self.assertIn(b'"reqs"', primary.disk.data[: primary.disk.synced])
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_twice_is_once(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             replies = await asyncio.gather(*(client.submit("a") for _ in range(5)))
             self.assertEqual([Done()] * 5, replies)
-            self.assertEqual(1, world.primary_of("a").copy("a").index)
+            self.assertEqual(1, world.primary_of("a").replica("a").index)
             await client.end("a")
             self.assertEqual(Done(), await client.submit("a"))
-            self.assertEqual(2, world.primary_of("a").copy("a").index)
+            self.assertEqual(2, world.primary_of("a").replica("a").index)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_positions_and_bytes_hold_over_a_takeover(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             for n in (2, 0):
                 self.assertEqual(Done(), await client.finish("a", n))
             before = results_of(await client.read("a"))
             old = world.primary_of("a")
             old.stop()
-            world.believe(old, lives=False)
+            world.set_alive(old, alive=False)
             new = await world.serving("a")
             self.assertNotEqual(old.name, new.name)
             self.assertEqual(before, results_of(await client.read("a", store=new)))
@@ -80,25 +80,25 @@
             self.assertEqual(before, after[:2])
             self.assertEqual("a-1", after[2]["id"])
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_write_of_which_a_backup_hears_nothing_is_not_answered(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             primary, backup = world.primary_of("a"), world.backup_of("a")
-            world.net.cut(primary.address, backup.address)
+            world.net.disconnect(primary.address, backup.address)
             reply = await client.submit("a", timeout_s=4.0)
             self.assertIsInstance(reply, Failure)
             self.assertTrue(reply.maybe_done)
-            self.assertTrue(any(told.member == backup.node.member for told in world.lost))
+            self.assertTrue(any(report.member == backup.node.member for report in world.lost))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_deposed_primary_answers_nothing(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             old = world.primary_of("a")
-            world.net.cut(old.address, "core:7000")  # it does not receive the new record
-            world.believe(old, lives=False)
+            world.net.disconnect(old.address, "core:7000")  # it does not receive the new record
+            world.set_alive(old, alive=False)
             new = await world.serving("a", 3.0)
             while new is old:
                 await asyncio.sleep(0.05)
@@ -111,36 +111,36 @@
             ):
                 self.assertIsInstance(reply, Failure)
                 self.assertNotIn(reply.code, (Code.UNKNOWN_JOB, Code.JOB_ENDED, Code.UNKNOWN_ITEM))
-            self.assertFalse(old.copy("a").is_primary)
+            self.assertFalse(old.replica("a").is_primary)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_one_cut_off_from_its_backup_stops_reading_soon(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             primary, backup = world.primary_of("a"), world.backup_of("a")
-            world.net.cut(primary.address, backup.address)
+            world.net.disconnect(primary.address, backup.address)
             await asyncio.sleep(MAX_CONFIRMATION_AGE_S + 0.01)
             reply = await client.read("a")
             self.assertIsInstance(reply, Failure)
             self.assertIs(Code.NOT_SYNCED, reply.code)
             unknown = await client.read("never", store=primary)
             self.assertIsNot(Code.UNKNOWN_JOB, getattr(unknown, "code", None))
-            world.net.join()
+            world.net.reconnect()
             await asyncio.sleep(0.5)
             self.assertIsInstance(await client.read("a"), JobResults)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_one_that_stood_still_goes_on_without_harm(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             await client.finish("a", 0)
             old = world.primary_of("a")
             world.net.freeze(old.address)
             stuck = asyncio.ensure_future(client.finish("a", 1, store=old))
             await asyncio.sleep(1.0)
-            world.believe(old, lives=False)
+            world.set_alive(old, alive=False)
             new = await world.serving("a", 5.0)
             while new is old:
                 await asyncio.sleep(0.1)
@@ -151,14 +151,14 @@
             await asyncio.sleep(0.5)
             listed = results_of(await client.read("a"))
             self.assertEqual(["a-0", "a-2"], [r["id"] for r in listed])
-            world.believe(old)
+            world.set_alive(old)
             await asyncio.sleep(2.0)
             self.assertEqual(listed, results_of(await client.read("a")))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_power_lost_everywhere(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             await client.finish("a", 3)
             for store in world.stores.values():
@@ -169,42 +169,42 @@
             await world.serving("a")
             self.assertEqual(["a-3"], [r["id"] for r in results_of(await client.read("a"))])
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_power_lost_everywhere_and_one_disk_while_the_registrar_holds_one_after_the_other_to_be_dead(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             await client.finish("a", 3)
             primary, backup = world.primary_of("a"), world.backup_of("a")
             for store in world.stores.values():
                 store.stop(power=True)
-            world.believe(primary, lives=False)
+            world.set_alive(primary, alive=False)
             backup.wipe()
-            world.believe(backup, lives=False)
+            world.set_alive(backup, alive=False)
             for store in world.stores.values():
                 store.start()
-                world.believe(store)
+                world.set_alive(store)
             await world.serving("a")
             self.assertEqual(["a-3"], [r["id"] for r in results_of(await client.read("a"))])
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_torn_record_at_the_end_is_no_record(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             backup = world.backup_of("a")
-            index = backup.copy("a").index
+            index = backup.replica("a").index
             backup.stop()
             backup.disk.data += b"\x40\x00\x00\x00torn"
             backup.start()
             await world.serving("a")
-            self.assertEqual(index, backup.copy("a").index)
+            self.assertEqual(index, backup.replica("a").index)
             self.assertEqual(Done(), await client.finish("a", 0))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_wiped_backup_is_another_member_and_is_filled(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             await client.finish("a", 1)
             backup = world.backup_of("a")
@@ -212,20 +212,20 @@
             backup.wipe()
             backup.start()
             self.assertNotEqual(before, backup.node.member)
-            self.assertFalse(backup.copy("a").is_complete)
-            world.believe(backup)
+            self.assertFalse(backup.replica("a").is_complete)
+            world.set_alive(backup)
             await asyncio.sleep(2.0)
             primary = world.primary_of("a")
-            self.assertNotIn(before, world.parts()[primary.copy("a").partition].members)
-            copy = world.backup_of("a").copy("a")
-            self.assertEqual(primary.copy("a").position, copy.position)
-            self.assertEqual(primary.copy("a").jobs.digests(), copy.jobs.digests())
+            self.assertNotIn(before, world.partition_records()[primary.replica("a").partition].members)
+            replica = world.backup_of("a").replica("a")
+            self.assertEqual(primary.replica("a").position, replica.position)
+            self.assertEqual(primary.replica("a").jobs.digests(), replica.jobs.digests())
             self.assertEqual(Done(), await client.finish("a", 2))
 
-        play(scene, 2)
+        run_scenario(scenario, 2)
 
     def test_a_backup_that_lost_the_last_moments_is_caught_up(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             backup = world.backup_of("a")
             backup.stop(power=True)
@@ -234,87 +234,87 @@
             backup.start()
             await reply
             await asyncio.sleep(0.5)
-            self.assertEqual(world.primary_of("a").copy("a").position, backup.copy("a").position)
+            self.assertEqual(world.primary_of("a").replica("a").position, backup.replica("a").position)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_writes_wait_for_a_joiner_before_it_may_become_primary(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             world.controller.handlers.clear()  # no ReplicaInSync is received
             primary, backup = world.primary_of("a"), world.backup_of("a")
             learner = next(s for s in world.stores.values() if s not in (primary, backup))
-            part = primary.copy("a").partition
-            record = world.parts()[part]
+            partition = primary.replica("a").partition
+            record = world.partition_records()[partition]
             world.put(
-                f"part/{part}",
+                f"part/{partition}",
                 {**json.loads(record.encode()), "epoch": record.epoch + 1, "joining": [learner.node.member]},
             )
             await asyncio.sleep(0.5)
-            self.assertEqual({learner.node.member}, primary.copy("a").in_sync)
+            self.assertEqual({learner.node.member}, primary.replica("a").in_sync)
             learner.stop()
             self.assertIsInstance(await client.finish("a", 0), Failure)
             primary.stop()
             primary.start()
             await asyncio.sleep(0.5)
-            self.assertEqual({learner.node.member}, primary.copy("a").in_sync)
+            self.assertEqual({learner.node.member}, primary.replica("a").in_sync)
             self.assertIsInstance(await client.finish("a", 0), Failure)
             learner.start()
             await world.serving("a")
             self.assertIsInstance(await client.finish("a", 1), Done)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_copy_that_differs_is_filled_anew(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             await client.finish("a", 0)
-            copy = world.backup_of("a").copy("a")
-            job = copy.jobs.get("a")
+            replica = world.backup_of("a").replica("a")
+            job = replica.jobs.get("a")
             assert job is not None
             job.results[0] = b'{"id":"a-0","state":"done","text":"rotten"}'
             job.crc += 1
             await asyncio.sleep(7.0)
-            self.assertEqual(world.primary_of("a").copy("a").jobs.digests(), copy.jobs.digests())
-            found = copy.jobs.get("a")
-            assert found is not None
-            self.assertIn(b"text 0", found.results[0])
+            self.assertEqual(world.primary_of("a").replica("a").jobs.digests(), replica.jobs.digests())
+            repaired = replica.jobs.get("a")
+            assert repaired is not None
+            self.assertIn(b"text 0", repaired.results[0])
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_the_end_holds_over_a_takeover(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             await client.finish("a", 0)
             self.assertEqual(Done(), await client.end("a"))
             old = world.primary_of("a")
             old.stop(power=True)
-            world.believe(old, lives=False)
+            world.set_alive(old, alive=False)
             await world.serving("a")
             self.assertEqual(Done(), await client.end("a"))
             refused = await client.finish("a", 1)
             self.assertIs(Code.JOB_ENDED, refused.code)
             self.assertEqual(1, len(results_of(await client.read("a"))))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_what_has_been_moved_away_is_dropped(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             old = world.primary_of("a")
             old.stop()
-            world.believe(old, lives=False)
+            world.set_alive(old, alive=False)
             await world.serving("a")
             old.start()
-            world.believe(old)
+            world.set_alive(old)
             await asyncio.sleep(15.0)
-            part = old.copy("a").partition
-            record = world.parts()[part]
+            partition = old.replica("a").partition
+            record = world.partition_records()[partition]
             self.assertNotIn(old.node.member, (*record.members, *record.learners))
-            self.assertIs(ReplicaState.ABSENT, old.copy("a").state)
-            self.assertFalse(old.copy("a").jobs.jobs)
+            self.assertIs(ReplicaState.ABSENT, old.replica("a").state)
+            self.assertFalse(old.replica("a").jobs.jobs)
 
-        play(scene)
+        run_scenario(scenario)
 
 
 class ZonesTest(unittest.TestCase):
@@ -335,13 +335,13 @@
         gone = [store for store in world.stores.values() if world.zone(store.name) == lost]
         for store in gone:
             store.wipe()
-            world.believe(store, lives=False)
+            world.set_alive(store, alive=False)
         for job in jobs:
             self.assertIsInstance(await self._read(world, client, job), JobResults)
         for store in gone:
             store.start()
-            world.believe(store)
-        await self._full_strength(world)
+            world.set_alive(store)
+        await self._wait_until_repaired(world)
         for job in jobs:
             self.assertIsInstance(await self._read(world, client, job), JobResults)
         world.check()
@@ -353,12 +353,14 @@
             if getattr(reply, "code", None) not in (Code.NOT_PRIMARY, Code.NOT_SYNCED):
                 return reply
 
-    async def _full_strength(self, world: World) -> None:
+    async def _wait_until_repaired(self, world: World) -> None:
         for _ in range(200):
             await asyncio.sleep(0.1)
             world.plan()
-            known = world.known()
-            if all(known.survive(r.members, world.limits) and not r.learners for r in world.parts().values()):
+            members = world.store_members()
+            if all(
+                members.survive(r.members, world.limits) and not r.learners for r in world.partition_records().values()
+            ):
                 return
         self.fail("never spread again")
 
@@ -367,49 +369,49 @@
     """Messages to a backup: those of a lower epoch, another member or another session are rejected."""
 
     def test_conformance(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             backup = world.backup_of("a")
-            copy = backup.copy("a")
+            replica = backup.replica("a")
             table: list[tuple[str, dict[str, Any], Code | None]] = [
                 ("another member is meant", {"member": "store-9#0"}, Code.NOT_MEMBER),
-                ("a lower epoch", {"epoch": copy.epoch - 1}, Code.STALE_EPOCH),
+                ("a lower epoch", {"epoch": replica.epoch - 1}, Code.STALE_EPOCH),
                 ("records of another session", {"session": 7, "records": [Entry(1, b"")]}, Code.NOT_SYNCED),
                 ("a question", {}, None),
             ]
             for name, changes, code in table:
                 with self.subTest(name):
-                    reply = await client.ask(backup, ask_of(backup, copy, **changes))
+                    reply = await client.call(backup, append_request(backup, replica, **changes))
                     self.assertIs(code, getattr(reply, "code", None))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_a_higher_epoch_ends_the_lower(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             primary, backup = world.primary_of("a"), world.backup_of("a")
-            copy = backup.copy("a")
-            epoch = copy.epoch + 1
-            await client.ask(backup, ask_of(backup, copy, epoch=epoch))
-            reply = await client.ask(backup, PartitionPing(backup.node.member, [copy.partition], [epoch]))
+            replica = backup.replica("a")
+            epoch = replica.epoch + 1
+            await client.call(backup, append_request(backup, replica, epoch=epoch))
+            reply = await client.call(backup, PartitionPing(backup.node.member, [replica.partition], [epoch]))
             self.assertEqual(PartitionEpochs([epoch]), reply)
             await asyncio.sleep(0.3)
-            self.assertIs(ReplicaState.FENCED, primary.copy("a").state)
+            self.assertIs(ReplicaState.FENCED, primary.replica("a").state)
             backup.stop(power=True)
             backup.start()
-            self.assertEqual(epoch, backup.copy("a").epoch)
+            self.assertEqual(epoch, backup.replica("a").epoch)
 
-        play(scene)
+        run_scenario(scenario)
 
 
-def ask_of(store: Store, copy: PartitionReplica, **changes: Any) -> AppendEntries:
+def append_request(store: Store, replica: PartitionReplica, **changes: Any) -> AppendEntries:
     values: dict[str, Any] = {
-        "partition": copy.partition,
-        "epoch": copy.epoch,
+        "partition": replica.partition,
+        "epoch": replica.epoch,
         "member": store.node.member,
         "session": 5,
-        "index": copy.index,
-        "chain": copy.chain,
+        "index": replica.index,
+        "chain": replica.chain,
         "records": [],
         **changes,
     }
@@ -418,7 +420,7 @@
 
 class JournalTest(unittest.TestCase):
     def test_rewritten_it_gives_the_same(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             for name in ("a", "b", "c"):
                 await client.submit(name)
                 await client.finish(name, 1)
@@ -438,12 +440,12 @@
             await world.serving("a")
             self.assertEqual(results, results_of(await client.read("a")))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_rewritten_while_records_come_it_gives_the_same(self) -> None:
         """Appended records of a partition are written before its slice, between slices and after it."""
 
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             for name in ("a", "b", "c"):
                 await client.submit(name)
             store = world.primary_of("a")
@@ -467,21 +469,21 @@
             }
             self.assertEqual(before, after)
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_ended_jobs_go_after_their_time_and_open_ones_stay(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
-            await client.submit("b", body=lot("b"))
+            await client.submit("b", body=job_json("b"))
             await client.end("a")
             await asyncio.sleep(119)
             self.assertIsInstance(await client.read("a"), JobResults)
             await asyncio.sleep(10)
             self.assertIs(Code.UNKNOWN_JOB, (await client.read("a")).code)
             self.assertIsInstance(await client.read("b"), JobResults)
-            self.assertIsNone(world.backup_of("a").copy("a").jobs.get("a"))
+            self.assertIsNone(world.backup_of("a").replica("a").jobs.get("a"))
 
-        play(scene)
+        run_scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/jobstore/test_shutdown.py
+++ b/tests/jobstore/test_shutdown.py
@@ -16,32 +16,32 @@
 from tests.virtual import run
 
 JOBS = [f"job{n}" for n in range(20)]
-Scene = Callable[[World, Client], Coroutine[Any, Any, None]]
+Scenario = Callable[[World, Client], Coroutine[Any, Any, None]]
 
 
-def play(scene: Scene, stores: int = 3) -> None:
-    async def whole() -> None:
+def run_scenario(scenario: Scenario, stores: int = 3) -> None:
+    async def main() -> None:
         world = World(stores)
         client = Client(world)
         await world.serving("a")
         for job in JOBS:
             assert await client.submit(job) == Done()
             assert await client.finish(job, 0) == Done()
-        await scene(world, client)
+        await scenario(world, client)
         world.check()
 
-    run(whole)
+    run(main)
 
 
-async def leave(world: World, store: Store) -> bool:
+async def shut_down(world: World, store: Store) -> bool:
     """Shut a store down as on SIGTERM: move its replicas, then end it for good together with its disk."""
     done = await transfer_replicas(cast(Node, store.node))
     store.wipe()
-    world.believe(store, lives=False)
+    world.set_alive(store, alive=False)
     return done
 
 
-async def readable(world: World, client: Client, job: str) -> bool:
+async def is_readable(world: World, client: Client, job: str) -> bool:
     """Return True if the batch job and its result can be read from the store that serves it."""
     while True:
         reply = await client.read(job, store=await world.serving(job))
@@ -51,50 +51,50 @@
 
 class LeavingTest(unittest.TestCase):
     def test_its_disk_and_right_afterwards_another_may_go(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             leaving, other = world.primary_of("job1"), world.backup_of("job1")
-            self.assertTrue(await leave(world, leaving))
+            self.assertTrue(await shut_down(world, leaving))
             other.wipe()
-            world.believe(other, lives=False)
+            world.set_alive(other, alive=False)
             world.add("store-9")
             for job in JOBS:
-                self.assertTrue(await readable(world, client, job), job)
+                self.assertTrue(await is_readable(world, client, job), job)
 
-        play(scene, 4)
+        run_scenario(scenario, 4)
 
     def test_it_serves_until_others_have_its_places(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             leaving = world.primary_of("job1")
-            given = asyncio.ensure_future(transfer_replicas(cast(Node, leaving.node)))
+            transfer = asyncio.ensure_future(transfer_replicas(cast(Node, leaving.node)))
             slowest, loop = 0.0, asyncio.get_running_loop()
             n = 0
-            while not given.done():
+            while not transfer.done():
                 n, began = n + 1, loop.time()
                 while await client.submit(f"more{n}") != Done():
                     await asyncio.sleep(0.01)
                 slowest = max(slowest, loop.time() - began)
-            self.assertTrue(await given)
+            self.assertTrue(await transfer)
             self.assertLess(slowest, 0.2)
             self.assertFalse(has_assigned_replicas(cast(Node, leaving.node)))
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_with_nobody_to_take_them_it_ends_at_once(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             loop = asyncio.get_running_loop()
             began = loop.time()
             self.assertFalse(await transfer_replicas(cast(Node, world.primary_of("a").node)))
             self.assertLess(loop.time() - began, 0.5)
 
-        play(scene, 2)
+        run_scenario(scenario, 2)
 
     def test_it_is_never_held_up_beyond_its_time(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             leaving = world.primary_of("a")
             for store in world.stores.values():
                 if store is not leaving:
                     store.journal.disk.stalled = True
-            world.net.cut(leaving.address, "core:7000")
+            world.net.disconnect(leaving.address, "core:7000")
             loop = asyncio.get_running_loop()
             began = loop.time()
             self.assertFalse(await transfer_replicas(cast(Node, leaving.node)))
@@ -103,19 +103,19 @@
             for store in world.stores.values():
                 store.journal.disk.stalled = False
 
-        play(scene)
+        run_scenario(scenario)
 
     def test_two_in_a_row_with_one_that_comes_between(self) -> None:
-        async def scene(world: World, client: Client) -> None:
+        async def scenario(world: World, client: Client) -> None:
             for n in range(2):
                 world.add(f"new-{n}")
-                self.assertTrue(await leave(world, world.stores[f"store-{n}"]))
+                self.assertTrue(await shut_down(world, world.stores[f"store-{n}"]))
                 world.leaving.clear()
                 world.plan()
             for job in JOBS:
-                self.assertTrue(await readable(world, client, job), job)
+                self.assertTrue(await is_readable(world, client, job), job)
 
-        play(scene)
+        run_scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/jobstore/test_troubles.py
+++ b/tests/jobstore/test_troubles.py
@@ -14,7 +14,7 @@
 from otterreach.jobstore.placement import partition_of
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.rpc import Done
-from tests.jobstore.jobstore_world import Client, Runner, Store, World, body_of, lot
+from tests.jobstore.jobstore_world import Client, Runner, Store, World, body_of, job_json
 from tests.virtual import run
 
 HEARTBEAT_TIMEOUT_S = 0.9
@@ -22,7 +22,7 @@
 SEEDS = [int(s) for s in os.environ.get("STACKS_SEEDS", "1 2 503").split()]
 
 
-class Play:
+class FaultRun:
     """One run: clients and proxies work while random faults occur."""
 
     def __init__(self, seed: int) -> None:
@@ -35,10 +35,10 @@
         self.ended: set[str] = set()
         self.seen: dict[str, list[bytes]] = {}
         self.count = 0
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         self.now = asyncio.get_running_loop().time
-        self.away: dict[str, float] = {}  # by store: since when the controller has received no heartbeat from it
-        self.over = False
+        self.silent_since: dict[str, float] = {}  # by store: when the controller began to receive no heartbeats from it
+        self.stopped = False
         self.added = 0
         self.tasks: set[asyncio.Task[Any]] = set()
 
@@ -53,29 +53,31 @@
         while True:
             await asyncio.sleep(0.2)
             for store in self.world.stores.values():
-                heard = store.running and not self.world.net.blocked(store.address, "core:7000")
-                known = store.node.member in self.world.alive
-                if heard:
-                    self.away.pop(store.name, None)
-                    if not known:
-                        self.world.believe(store)
-                elif known and self.now() - self.away.setdefault(store.name, self.now()) > HEARTBEAT_TIMEOUT_S:
-                    self.world.believe(store, lives=False)
+                is_reachable = store.running and not self.world.net.blocked(store.address, "core:7000")
+                is_alive = store.node.member in self.world.alive
+                if is_reachable:
+                    self.silent_since.pop(store.name, None)
+                    if not is_alive:
+                        self.world.set_alive(store)
+                elif (
+                    is_alive and self.now() - self.silent_since.setdefault(store.name, self.now()) > HEARTBEAT_TIMEOUT_S
+                ):
+                    self.world.set_alive(store, alive=False)
             self.world.plan()
 
     # Clients -------------------------------------------------------------------------------------
 
-    async def until(self, job: str, ask: Any) -> Any:
+    async def call_until_final(self, job: str, request: Any) -> Any:
         """Call the current primary until the reply is final."""
         while True:
-            reply = await self.client.endpoint.call(self.world.primary_of(job).address, ask, 1.0)
+            reply = await self.client.endpoint.call(self.world.primary_of(job).address, request, 1.0)
             unclear = (Code.NOT_PRIMARY, Code.NOT_SYNCED, Code.UNREACHABLE, Code.STALE_EPOCH, Code.NO_HANDLER)
             if not isinstance(reply, Failure) or not reply.maybe_done and reply.code not in unclear:
                 return reply
             await asyncio.sleep(0.1)
 
     async def trainer(self) -> None:
-        while not self.over:
+        while not self.stopped:
             await asyncio.sleep(self.random.uniform(0.05, 0.5))
             self.count += 1
             job = f"job{self.count}"
@@ -83,77 +85,79 @@
             self.spawn(self.submit(job, size))
 
     async def submit(self, job: str, size: int) -> None:
-        reply = await self.until(job, SubmitJob(job, "h", "r-lot", lot(job, size, step=1, minVersion=1)))
+        reply = await self.call_until_final(
+            job, SubmitJob(job, "h", "r-lot", job_json(job, size, step=1, minVersion=1))
+        )
         if not isinstance(reply, Done):
-            self.wrong.append(f"{job}: submit gave {reply}")
+            self.violations.append(f"{job}: submit gave {reply}")
             return
         self.sizes[job], self.accepted[job] = size, self.now()
         await asyncio.sleep(self.random.uniform(0.0, 2.0))
         if self.random.random() < 0.3:
-            reply = await self.until(job, EndJob(job))
+            reply = await self.call_until_final(job, EndJob(job))
             if isinstance(reply, Done):
                 self.ended.add(job)
             else:
-                self.wrong.append(f"{job}: end gave {reply}")
+                self.violations.append(f"{job}: end gave {reply}")
 
     async def reader(self) -> None:
-        while not self.over:
+        while not self.stopped:
             await asyncio.sleep(0.05)
             if self.accepted:
                 job = self.random.choice(sorted(self.accepted)[-30:])
                 store = self.random.choice(list(self.world.stores.values()))
-                past = self.random.randint(0, len(self.seen.get(job, [])))
-                self.spawn(self.look(job, past, store))
+                offset = self.random.randint(0, len(self.seen.get(job, [])))
+                self.spawn(self.read(job, offset, store))
 
-    async def look(self, job: str, past: int, store: Store) -> None:
-        due = len(self.seen.get(job, [])) if self.now() - self.accepted[job] > SETTLE_S else 0
-        asked = self.now()
-        reply = await self.client.endpoint.call(store.address, ReadJob(job, past, 300), 1.0)
+    async def read(self, job: str, offset: int, store: Store) -> None:
+        expected = len(self.seen.get(job, [])) if self.now() - self.accepted[job] > SETTLE_S else 0
+        sent_at = self.now()
+        reply = await self.client.endpoint.call(store.address, ReadJob(job, offset, 300), 1.0)
         if isinstance(reply, JobResults):
-            self.take(job, past, reply)
-        elif reply.code is Code.UNKNOWN_JOB and asked - self.accepted[job] > SETTLE_S:
-            self.wrong.append(f"{job}: {store.name} knows nothing of it ({due})")
+            self.check_results(job, offset, reply)
+        elif reply.code is Code.UNKNOWN_JOB and sent_at - self.accepted[job] > SETTLE_S:
+            self.violations.append(f"{job}: {store.name} knows nothing of it ({expected})")
 
-    def take(self, job: str, past: int, reply: JobResults) -> None:
+    def check_results(self, job: str, offset: int, reply: JobResults) -> None:
         rows = [json.dumps(r).encode() for r in json.loads(b"[" + reply.body + b"]")]
         seen = self.seen.setdefault(job, [])
-        if reply.total != self.sizes[job] or reply.next_cursor != past + len(rows):
-            self.wrong.append(f"{job}: total {reply.total}, cursor {reply.next_cursor}")
-        for n, row in enumerate(rows, past):
+        if reply.total != self.sizes[job] or reply.next_cursor != offset + len(rows):
+            self.violations.append(f"{job}: total {reply.total}, cursor {reply.next_cursor}")
+        for n, row in enumerate(rows, offset):
             if n < len(seen) and seen[n] != row:
-                self.wrong.append(f"{job}: position {n} changed")
+                self.violations.append(f"{job}: position {n} changed")
             elif n == len(seen):
                 seen.append(row)
 
     # Faults --------------------------------------------------------------------------------------
 
-    async def troubles(self, count: int) -> None:
+    async def inject_faults(self, count: int) -> None:
         for _ in range(count):
             await asyncio.sleep(self.random.uniform(0.2, 2.0))
             store = self.random.choice([s for s in self.world.stores.values() if s.running])
             kind = self.random.choice(
                 (
                     self.kill,
-                    self.power,
+                    self.lose_power,
                     self.wipe,
                     self.freeze,
-                    self.cut_off,
-                    self.cut_core,
+                    self.isolate,
+                    self.disconnect_from_controller,
                     self.replace,
                     self.add,
-                    self.power_all,
-                    self.flicker,
+                    self.lose_power_everywhere,
+                    self.restart_repeatedly,
                 )
             )
             await kind(store, self.random.choice((0.4, 1.0, 2.0, 3.5)))
-            await self.whole()
+            await self.wait_until_repaired()
 
     async def kill(self, store: Store, for_s: float) -> None:
         store.stop()
         await asyncio.sleep(for_s)
         store.start()
 
-    async def power(self, store: Store, for_s: float) -> None:
+    async def lose_power(self, store: Store, for_s: float) -> None:
         store.stop(power=True)
         await asyncio.sleep(for_s)
         store.start()
@@ -168,17 +172,17 @@
         await asyncio.sleep(for_s)
         self.world.net.thaw(store.address)
 
-    async def cut_off(self, store: Store, for_s: float) -> None:
+    async def isolate(self, store: Store, for_s: float) -> None:
         for other in [*(s.address for s in self.world.stores.values()), "core:7000"]:
             if other != store.address:
-                self.world.net.cut(store.address, other)
+                self.world.net.disconnect(store.address, other)
         await asyncio.sleep(for_s)
-        self.world.net.join()
+        self.world.net.reconnect()
 
-    async def cut_core(self, store: Store, for_s: float) -> None:
-        self.world.net.cut(store.address, "core:7000")
+    async def disconnect_from_controller(self, store: Store, for_s: float) -> None:
+        self.world.net.disconnect(store.address, "core:7000")
         await asyncio.sleep(for_s)
-        self.world.net.join()
+        self.world.net.reconnect()
 
     async def replace(self, store: Store, for_s: float) -> None:
         """Replace the store by an empty machine at another address."""
@@ -195,7 +199,7 @@
         self.added += 1
         self.world.add(f"added-{self.added}")
 
-    async def power_all(self, store: Store, for_s: float) -> None:
+    async def lose_power_everywhere(self, store: Store, for_s: float) -> None:
         """Cut the power of all stores; one of them may lose its disk as well."""
         running = [s for s in self.world.stores.values() if s.running]
         for one in running:
@@ -206,7 +210,7 @@
         for one in running:
             one.start()
 
-    async def flicker(self, store: Store, for_s: float) -> None:
+    async def restart_repeatedly(self, store: Store, for_s: float) -> None:
         """Stop and start the store repeatedly, at intervals below the heartbeat time-out."""
         for _ in range(4):
             store.stop(power=self.random.random() < 0.5)
@@ -214,63 +218,63 @@
             store.start()
             await asyncio.sleep(self.random.uniform(0.05, 0.4))
 
-    async def whole(self) -> None:
+    async def wait_until_repaired(self) -> None:
         """Wait until every partition has all its replicas again."""
         end = self.now() + 15.0
         while self.now() < end:
             await asyncio.sleep(0.1)
-            if all(self.sound(n) for n in range(16)):
+            if all(self.is_healthy(n) for n in range(16)):
                 return
         states = {
             n: (p, [s.store_node.replication.replicas[n].state.value for s in self.world.stores.values()])
-            for n, p in self.world.parts().items()
-            if not self.sound(n)
+            for n, p in self.world.partition_records().items()
+            if not self.is_healthy(n)
         }
         raise AssertionError(f"not whole again: {states}")
 
-    def sound(self, n: int) -> bool:
-        part = self.world.parts()[n]
-        members = [self.world.stores[m.partition("#")[0]] for m in part.members]
-        if len(members) < 2 or any(m not in self.world.alive for m in part.members):
+    def is_healthy(self, n: int) -> bool:
+        record = self.world.partition_records()[n]
+        members = [self.world.stores[m.partition("#")[0]] for m in record.members]
+        if len(members) < 2 or any(m not in self.world.alive for m in record.members):
             return False
         leader = members[0].store_node.replication.leaders.get(n)
-        return bool(leader and leader.is_confirmed and leader.epoch == part.epoch)
+        return bool(leader and leader.is_confirmed and leader.epoch == record.epoch)
 
     # The run -------------------------------------------------------------------------------------
 
-    async def day(self, troubles: int) -> None:
+    async def run(self, count: int) -> None:
         await self.world.serving("a")
         for work in (self.controller(), self.trainer(), self.reader()):
             self.spawn(work)
-        await self.troubles(troubles)
-        self.over = True
+        await self.inject_faults(count)
+        self.stopped = True
         await self.finish()
         self.world.check()
-        assert not self.wrong, self.wrong[:5]
+        assert not self.violations, self.violations[:5]
 
     async def finish(self) -> None:
         await asyncio.sleep(5.0)
         assert len(self.accepted) == self.count, f"{len(self.accepted)} of {self.count} accepted"
         for job, size in self.sizes.items():
             for _ in range(100):
-                reply = await self.until(job, ReadJob(job, 0, 0))
+                reply = await self.call_until_final(job, ReadJob(job, 0, 0))
                 if not isinstance(reply, JobResults) or job in self.ended or reply.next_cursor == size:
                     break
                 await asyncio.sleep(0.1)
             assert isinstance(reply, JobResults), f"{job}: {reply}"
-            self.take(job, 0, reply)
+            self.check_results(job, 0, reply)
             listed = [json.loads(row)["id"] for row in self.seen[job]]
             assert len(listed) == len(set(listed)), f"{job}: an item twice"
             assert job in self.ended or len(listed) == size, f"{job}: {len(listed)} of {size} listed"
-        await self.bodies()
+        await self.check_bodies()
 
-    async def bodies(self) -> None:
+    async def check_bodies(self) -> None:
         """Check that the body of an unfinished item of an open batch job can be read."""
         for runner in self.runners:
             runner.slots = 0
         self.sizes["last"] = 2
-        await self.until("last", SubmitJob("last", "h", "r-lot", lot("last", 2)))
-        reply = await self.until("last", ReadItem("last", "last-1"))
+        await self.call_until_final("last", SubmitJob("last", "h", "r-lot", job_json("last", 2)))
+        reply = await self.call_until_final("last", ReadItem("last", "last-1"))
         assert reply.body == body_of("last", 1), reply
 
 
@@ -281,7 +285,7 @@
                 run(lambda seed=seed: self.one(seed))  # type: ignore[misc]
 
     async def one(self, seed: int) -> None:
-        await Play(seed).day(8)
+        await FaultRun(seed).run(8)
 
     def test_parts_are_spread(self) -> None:
         self.assertGreater(len({partition_of(f"job{n}") for n in range(100)}), 12)
