--- a/tests/jobstore/jobstore_world.py
+++ b/tests/jobstore/jobstore_world.py
@@ -51,7 +51,7 @@
     "datadir": "/none",
 }
 ROUTE = {"name": "r-lot", "host": "h", "prefix": "/p/", "kind": "rollout", "dueMs": 5000, "maxWaitS": 30}
-REGISTRAR = "core:7000"
+CONTROLLER = "core:7000"
 STALL_REPORT_VALID_S = 0.9  # a disk counts as usable again this long after the last report of a stall
 TWO = SurviveLimits(1)
 
@@ -83,11 +83,11 @@
         self.settings = settings_module.read({**SETTINGS, "node": name, "ip": name})
         self.endpoint, self.random, self.disk = endpoint, random, ""
         self.store = ReplicatedStore()
-        self.follower = SimpleNamespace(primary=REGISTRAR, controllers=[REGISTRAR], fresh_at=0.0)
+        self.follower = SimpleNamespace(primary=CONTROLLER, controllers=[CONTROLLER], fresh_at=0.0)
         self.stopping = asyncio.Event()
 
     async def call_primary(self, request: Any, timeout_s: float = 0.8) -> Any:
-        return await self.endpoint.call(REGISTRAR, request, timeout_s)
+        return await self.endpoint.call(CONTROLLER, request, timeout_s)
 
     @property
     def member(self) -> str:
@@ -157,7 +157,7 @@
         self.alive: set[str] = set()
         self.lag: Callable[[], float] = lambda: 0.02
         self.lost: list[ReplicaLost] = []
-        self.controller = VirtualEndpoint(self.net, REGISTRAR)
+        self.controller = VirtualEndpoint(self.net, CONTROLLER)
         self.controller.on(ReplicaInSync, self._synced)
         self.controller.on(ReplicaLost, self._lost)
         self.controller.on(DiskStalled, self._disk_stalled)
@@ -196,7 +196,7 @@
         def take(endpoint: VirtualEndpoint, node: StoreNode) -> None:
             if endpoint.down:
                 return
-            if self.net.blocked(store.address, REGISTRAR):
+            if self.net.blocked(store.address, CONTROLLER):
                 asyncio.get_running_loop().call_later(0.05, take, endpoint, node)
                 return
             node.store.apply(items)
@@ -291,7 +291,7 @@
                 if leader and leader.is_confirmed:
                     return store
             await asyncio.sleep(0.02)
-        raise AssertionError(f"nobody serves {job}")
+        raise AssertionError(f"no store serves {job}")
 
     def check(self) -> None:
         """Raise the first failure of a handler or task of any store."""
@@ -320,8 +320,8 @@
         request = SubmitJob(job, "h", "r-lot", body or job_json(job))
         return await self.call(store or self.world.primary_of(job), request, timeout_s)
 
-    async def read(self, job: str, past: int = 0, wait_ms: int = 0, store: Store | None = None) -> Any:
-        request = ReadJob(job, past, wait_ms)
+    async def read(self, job: str, offset: int = 0, wait_ms: int = 0, store: Store | None = None) -> Any:
+        request = ReadJob(job, offset, wait_ms)
         return await self.call(store or self.world.primary_of(job), request, 1.0 + wait_ms / 1000)
 
     async def item(self, job: str, n: int) -> Any:
--- a/tests/jobstore/test_disk_probe.py
+++ b/tests/jobstore/test_disk_probe.py
@@ -13,7 +13,7 @@
 from tests.virtual import VirtualLoop
 
 
-class DiskRoomTest(unittest.TestCase):
+class DiskProbeTest(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -44,7 +44,7 @@
             self.assertFalse(is_writable(self.folder))
         self.assertEqual([], list(self.folder.iterdir()))
 
-    def test_the_start_waits_for_room_but_not_for_ever(self) -> None:
+    def test_the_start_waits_for_free_space_for_a_limited_time(self) -> None:
         self.assertEqual(0.0, self.waits([True]))
         self.assertAlmostEqual(2 * RETRY_S, self.waits([False, False, True]))
         self.assertLess(self.waits([]), MAX_WAIT_S + 2 * RETRY_S)
--- a/tests/jobstore/test_disks.py
+++ b/tests/jobstore/test_disks.py
@@ -38,13 +38,13 @@
     loop = asyncio.get_running_loop()
     began = loop.time()
     while await client.submit(job, timeout_s=0.3) != Done():
-        assert loop.time() - began < 30.0, "never taken"
+        assert loop.time() - began < 30.0, "job not accepted within 30 s"
         await asyncio.sleep(0.05)
     return loop.time() - began
 
 
 class StalledDiskTest(unittest.TestCase):
-    def test_a_primary_gives_its_place_within_the_time_of_a_dead_one(self) -> None:
+    def test_a_primary_is_replaced_within_the_time_of_a_dead_one(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             old = world.primary_of("a")
             old.journal.disk.stalled = True
@@ -82,7 +82,7 @@
 
         run_scenario_on_one_partition("a", "a33", scenario)
 
-    def test_what_was_under_way_is_listed_once_and_the_old_primary_does_no_harm_afterwards(self) -> None:
+    def test_a_result_in_flight_is_listed_once_and_the_old_primary_does_no_harm_afterwards(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             old = world.primary_of("a")
             self.assertEqual(Done(), await client.finish("a", 0))
@@ -103,7 +103,7 @@
 
         run_scenario(scenario)
 
-    def test_a_slow_disk_is_none_that_stalls(self) -> None:
+    def test_a_slow_disk_is_not_reported_as_stalled(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             old = world.primary_of("a")
             old.journal.sync_s = 0.3
@@ -116,7 +116,7 @@
 
         run_scenario(scenario)
 
-    def test_a_process_that_stood_still_does_not_blame_its_disk(self) -> None:
+    def test_a_process_that_was_frozen_does_not_report_its_disk(self) -> None:
         loop = VirtualLoop()
         self.addCleanup(loop.close)
 
@@ -166,7 +166,7 @@
 
         run_scenario_on_one_partition("a", "a33", scenario)
 
-    def test_the_process_ends_only_after_others_have_its_places(self) -> None:
+    def test_the_process_ends_only_after_its_replicas_are_moved(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             old = world.primary_of("a")
             old.journal.disk.full = True
@@ -177,7 +177,7 @@
 
         run_scenario_on_one_partition("a", "a33", scenario)
 
-    def test_with_nobody_to_take_its_places_it_ends_after_a_while(self) -> None:
+    def test_without_other_nodes_the_process_ends_after_a_while(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             old = world.primary_of("a")
             old.journal.disk.full = True
@@ -189,7 +189,7 @@
 
         run_scenario(scenario, 2)
 
-    def test_one_that_starts_on_a_full_disk_takes_no_part(self) -> None:
+    def test_a_node_that_starts_on_a_full_disk_takes_no_part(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             backup = world.backup_of("a")
             backup.stop()
@@ -214,7 +214,7 @@
 
 def run_scenario_on_one_partition(one: str, other: str, scenario: Scenario) -> None:
     """Run a scenario with two batch jobs of the same partition."""
-    assert partition_of(one) == partition_of(other), "not of one partition"
+    assert partition_of(one) == partition_of(other), "the two jobs are in different partitions"
     run_scenario(scenario)
 
 
--- a/tests/jobstore/test_dispatch.py
+++ b/tests/jobstore/test_dispatch.py
@@ -48,7 +48,7 @@
 
 
 class AssignTest(unittest.TestCase):
-    def test_items_go_evenly_to_as_many_carriers_as_fill_the_servers(self) -> None:
+    def test_items_go_evenly_to_as_many_proxies_as_fill_the_servers(self) -> None:
         for cap, shares in ((24, [0, 0, 12, 12]), (48, [6, 6, 6, 6])):
             with self.subTest(cap):
                 self.check_spread(cap, shares)
@@ -107,11 +107,12 @@
             (runner,) = await proxies(world, 1, slots=6, run_s=None)
             assigned = [(job, int(item.partition("-")[2])) for job, item in runner.assigned]
             wanted = {("a", n) for n in range(4)} | {(other, n) for n in range(4)}
-            self.assertEqual(sorted([*wanted, ("a", 4)]), sorted(assigned))  # 9 fit, and just one of them is spare
+            # 9 items fit, one of them from a surplus group.
+            self.assertEqual(sorted([*wanted, ("a", 4)]), sorted(assigned))
 
         run_scenario(scenario)
 
-    def test_nothing_goes_out_before_it_is_at_all_copies(self) -> None:
+    def test_no_item_is_assigned_before_the_job_is_at_all_replicas(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             (runner,) = await proxies(world, 1)
             world.net.disconnect(world.primary_of("a").address, world.backup_of("a").address)
@@ -148,7 +149,7 @@
 
         run_scenario(scenario)
 
-    def test_the_count_of_failures_goes_along(self) -> None:
+    def test_failure_counts_are_passed_on(self) -> None:
         """Servers get an item no more often than its route allows, however many proxies it is assigned to in turn."""
 
         async def scenario(world: World, client: Client) -> None:
@@ -165,7 +166,7 @@
 
         run_scenario(scenario)
 
-    def test_a_return_of_an_earlier_version_tells_no_count(self) -> None:
+    def test_a_return_of_an_earlier_version_has_no_failure_counts(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             first, second = await proxies(world, 2, slots=6, run_s=None)
             await client.submit("a", body=job_json("a", 2, 1))
@@ -176,7 +177,7 @@
 
         run_scenario(scenario)
 
-    def test_a_stored_number_beyond_64_bits_stops_nobody(self) -> None:
+    def test_a_stored_number_beyond_64_bits_does_not_stop_dispatching(self) -> None:
         """An earlier version accepted such numbers, and a journal may still hold them."""
 
         async def scenario(world: World, client: Client) -> None:
@@ -228,7 +229,7 @@
 
 
 class LossTest(unittest.TestCase):
-    def test_a_silent_carrier_loses_its_items(self) -> None:
+    def test_a_silent_proxy_loses_its_items(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             first, second = await proxies(world, 2, slots=6, run_s=None)
             await client.submit("a", body=job_json("a", 8, 1))
@@ -239,7 +240,7 @@
 
         run_scenario(scenario)
 
-    def test_a_carrier_that_ends_loses_them_at_once(self) -> None:
+    def test_a_proxy_that_ends_loses_its_items_at_once(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             first, second = await proxies(world, 2, slots=6, run_s=None)
             await client.submit("a", body=job_json("a", 8, 1))
@@ -250,7 +251,7 @@
 
         run_scenario(scenario)
 
-    def test_given_back_they_go_elsewhere(self) -> None:
+    def test_returned_items_go_to_another_proxy(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             first, second = await proxies(world, 2, slots=6, run_s=None)
             await client.submit("a", body=job_json("a", 8, 1))
@@ -289,7 +290,7 @@
 
         run_scenario(scenario)
 
-    def test_one_that_pings_over_another_connection_is_told_again(self) -> None:
+    def test_a_proxy_that_reconnects_is_sent_its_items_again(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             (runner,) = await proxies(world, 1, slots=4, run_s=None)
             await client.submit("a")
@@ -305,7 +306,7 @@
 
 
 class EndTest(unittest.TestCase):
-    def test_carriers_are_told_of_the_end(self) -> None:
+    def test_proxies_are_notified_of_the_end(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             runners = await proxies(world, 2, slots=4, run_s=None)
             await client.submit("a", body=job_json("a", 8, 1))
@@ -318,7 +319,7 @@
 
         run_scenario(scenario)
 
-    def test_nothing_of_an_ended_one_is_sent_again_over_another_connection(self) -> None:
+    def test_items_of_an_ended_job_are_not_sent_again_after_a_reconnect(self) -> None:
         """The job's end is committed and the bodies are dropped, but the dispatcher is not yet notified."""
 
         async def scenario(world: World, client: Client) -> None:
@@ -336,7 +337,7 @@
 
         run_scenario(scenario)
 
-    def test_one_that_missed_it_hears_of_it_with_its_next_ping(self) -> None:
+    def test_a_proxy_that_missed_the_end_is_notified_with_its_next_ping(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             (runner,) = await proxies(world, 1, slots=8, run_s=None)
             await client.submit("a")
@@ -351,7 +352,7 @@
         run_scenario(scenario)
 
 
-class JudgeTest(unittest.TestCase):
+class ResultCheckTest(unittest.TestCase):
     """Validation of results. The item of a rejected result runs again."""
 
     def test_conformance(self) -> None:
@@ -410,7 +411,7 @@
         run_scenario(scenario)
 
 
-class GivingUpTest(unittest.TestCase):
+class ExpiryTest(unittest.TestCase):
     def test_what_waited_too_long_is_listed_as_errored_and_not_before(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             await client.submit("a", body=job_json("a", 2))
--- a/tests/jobstore/test_free_proxies.py
+++ b/tests/jobstore/test_free_proxies.py
@@ -59,7 +59,7 @@
         self.assertNotIn(blocked, taken)
         self.assertGreaterEqual(len(taken), 3)
 
-    def test_it_gets_those_of_other_models(self) -> None:
+    def test_a_blocked_proxy_gets_items_of_other_models(self) -> None:
         blocked = min(self.runners())
         self.blocks.add(blocked, "m", NOW)
         for one in self.sessions:
@@ -73,12 +73,12 @@
             one.free = 4
         self.assertIn(blocked, self.taken(self.round(NOW + BLOCK_S + 0.1), "m", 12))
 
-    def test_where_all_are_blocked_none_is(self) -> None:
+    def test_if_all_proxies_are_blocked_the_blocks_are_ignored(self) -> None:
         for one in self.sessions:
             self.blocks.add(one.node, "m", NOW)
         self.assertEqual(len(self.taken(self.round(), "m", 4)), 4)
 
-    def test_a_blocked_one_keeps_its_place_for_the_next_model(self) -> None:
+    def test_a_blocked_proxy_remains_available_for_the_next_model(self) -> None:
         blocked = min(self.runners())
         self.blocks.add(blocked, "m", NOW)
         for one in self.sessions:
--- a/tests/jobstore/test_installation.py
+++ b/tests/jobstore/test_installation.py
@@ -68,13 +68,13 @@
     loop = asyncio.get_running_loop()
     began = loop.time()
     while store.node.member not in world.partition_records()[partition_of(BIG)].members:
-        assert loop.time() - began < within_s, "never a member"
+        assert loop.time() - began < within_s, "store did not become a member in time"
         await asyncio.sleep(0.05)
     return loop.time() - began
 
 
 class InstallTest(unittest.TestCase):
-    def test_a_link_on_which_a_piece_takes_longer_than_a_call_is_enough(self) -> None:
+    def test_it_completes_over_a_link_on_which_a_chunk_takes_longer_than_a_call(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             learner = store_without_replica(world)
             world.net.bandwidth[learner.address] = SLOW_LINK
@@ -84,7 +84,7 @@
 
         run_scenario(scenario)
 
-    def test_after_a_broken_connection_it_goes_on_where_it_stopped(self) -> None:
+    def test_after_a_broken_connection_it_resumes_where_it_stopped(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             learner = store_without_replica(world)
             world.net.bandwidth[learner.address] = 4 * SLOW_LINK
@@ -101,7 +101,7 @@
 
         run_scenario(scenario)
 
-    def test_pings_and_other_writes_go_on_beside_it(self) -> None:
+    def test_pings_and_other_writes_continue_during_an_installation(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             learner, primary = store_without_replica(world), world.primary_of(BIG)
             for store in world.stores.values():
@@ -128,7 +128,7 @@
 
         run_scenario(scenario)
 
-    def test_writes_meanwhile_are_there_afterwards(self) -> None:
+    def test_writes_during_an_installation_are_replicated(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             learner = store_without_replica(world)
             world.net.bandwidth[learner.address] = MBIT_30
@@ -147,7 +147,7 @@
 
         run_scenario(scenario)
 
-    def test_a_learner_that_lost_power_midway_knows_that_its_copy_is_not_whole(self) -> None:
+    def test_a_learner_that_lost_power_midway_has_no_complete_replica(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             learner = store_without_replica(world)
             world.net.bandwidth[learner.address] = SLOW_LINK
@@ -167,7 +167,7 @@
 
         run_scenario(scenario)
 
-    def test_pieces(self) -> None:
+    def test_chunks(self) -> None:
         for sizes, counts in (
             ([], [0]),
             ([10], [1]),
--- a/tests/jobstore/test_job_ends.py
+++ b/tests/jobstore/test_job_ends.py
@@ -28,7 +28,7 @@
     return read if failure is None else failure
 
 
-class JobEnds(unittest.TestCase):
+class ExtremeNumbersTest(unittest.TestCase):
     def test_each_number_is_refused_or_can_be_sent_to_a_proxy(self) -> None:
         for number in NUMBERS:
             for head, item in (({"minVersion": number}, {}), ({}, {"tokens": number})):
--- a/tests/jobstore/test_jobs.py
+++ b/tests/jobstore/test_jobs.py
@@ -36,7 +36,7 @@
 
 
 class ReadTest(unittest.TestCase):
-    def test_unreadable(self) -> None:
+    def test_invalid_submissions(self) -> None:
         item = {"id": "i", "path": "/p", "headers": {}, "body": "aGk=", "tokens": 3}
         table: list[tuple[str, bytes]] = [
             ("no JSON", b"{"),
@@ -64,15 +64,15 @@
         self.assertFalse(job.has_versions)
         self.assertEqual(("", 0), (job.model, job.min_version))
 
-    def test_whole_groups_stand_together(self) -> None:
+    def test_items_of_a_group_are_adjacent(self) -> None:
         rows = [{"id": f"i{n}", "path": "/", "group": g} for n, g in enumerate(("a", "b", "a", "", "b"))]
         job = job_of(json.dumps({"reqs": rows}).encode())
         order = sorted(job.items.values(), key=lambda i: i.order)
         self.assertEqual(["i0", "i2", "i1", "i4", "i3"], [i.id for i in order])
 
 
-class RecordsTest(unittest.TestCase):
-    def test_positions_are_given_once(self) -> None:
+class EntriesTest(unittest.TestCase):
+    def test_each_item_is_listed_once(self) -> None:
         jobs = jobs_with(
             submit_entry("a", "h", "r", job_json("a")),
             result("a", 1, b'"x"'),
@@ -85,7 +85,7 @@
         self.assertEqual((2, b'"w"'), job.read(1))
         self.assertEqual((2, b""), job.read(2))
 
-    def test_not_seen_before_it_is_settled(self) -> None:
+    def test_a_result_is_not_readable_before_it_is_committed(self) -> None:
         jobs = jobs_with(submit_entry("a", "h", "r", job_json("a")))
         change = jobs.apply(result("a", 2), 2, 0.0)
         assert change is not None
@@ -96,7 +96,7 @@
         self.assertEqual((1, b"{}"), job.read(0))
         self.assertEqual(b"", job.items["a-2"].body)
 
-    def test_an_answer_is_bounded_and_holds_one_at_least(self) -> None:
+    def test_a_read_is_bounded_and_returns_at_least_one_result(self) -> None:
         big = b'"' + b"x" * (MAX_READ_BYTES + 10) + b'"'
         jobs = jobs_with(
             submit_entry("a", "h", "r", job_json("a")), result("a", 0, big), result("a", 1), result("a", 2)
@@ -114,7 +114,7 @@
         jobs.apply(drop_entry("a"), 5, 0.0)
         self.assertEqual(({}, 0), (jobs.jobs, jobs.size))
 
-    def test_a_snapshot_gives_the_same(self) -> None:
+    def test_a_snapshot_restores_the_same_state(self) -> None:
         entries = [submit_entry(name, "h", "r", job_json(name, 6, step=2, model="m", minVersion=3)) for name in "abc"]
         jobs = jobs_with(*entries, result("a", 5, b"5"), result("a", 0, b"0"), result("b", 1, b"1"), end_entry("b"))
         again = jobs_with(*jobs.snapshot(7.0))
@@ -130,7 +130,7 @@
                     self.assertEqual((item.body, item.headers), (twin.body, twin.headers))
         self.assertEqual(list(jobs.snapshot(7.0)), list(again.snapshot(7.0 - 7.0)))
 
-    def test_digests_tell_copies_apart(self) -> None:
+    def test_digests_of_different_states_differ(self) -> None:
         one = jobs_with(submit_entry("a", "h", "r", job_json("a")), result("a", 0, b"1"))
         for other in (result("a", 0, b"2"), result("a", 1, b"1"), end_entry("a")):
             changed = jobs_with(submit_entry("a", "h", "r", job_json("a")), other)
--- a/tests/jobstore/test_proxy_sessions.py
+++ b/tests/jobstore/test_proxy_sessions.py
@@ -75,7 +75,7 @@
     def test_a_proxy_of_an_earlier_version_is_lost_as_before(self) -> None:
         self.assertAlmostEqual(self.lost_after(self.ping(0)), PING_TIMEOUT_S, delta=2 * TICK_S)
 
-    def test_one_without_items_has_the_interval_that_it_told(self) -> None:
+    def test_a_proxy_without_items_is_lost_after_its_announced_interval(self) -> None:
         self.assertAlmostEqual(self.lost_after(self.ping(1000)), 1.0 + IDLE_MARGIN_S, delta=2 * TICK_S)
 
     def test_no_interval_hides_a_lost_proxy_for_long(self) -> None:
@@ -83,7 +83,7 @@
             with self.subTest(interval_ms):
                 self.assertLess(self.lost_after(self.ping(interval_ms)), MAX_INTERVAL_S + IDLE_MARGIN_S + 2 * TICK_S)
 
-    def test_one_that_gets_items_has_to_ping_from_then_on(self) -> None:
+    def test_a_proxy_that_gets_items_has_to_ping_from_then_on(self) -> None:
         session = self.ping(1000)
         self.time += 0.9
         self.sessions.tick()
--- a/tests/jobstore/test_repair.py
+++ b/tests/jobstore/test_repair.py
@@ -61,7 +61,7 @@
         ):
             return loop.time() - began
         await asyncio.sleep(PLAN_INTERVAL_S)
-    raise AssertionError("never at full strength")
+    raise AssertionError("partitions not repaired in time")
 
 
 async def lose_store(world: World, store: Store) -> None:
@@ -102,7 +102,7 @@
                 with self.subTest(f"{size} {how}"):
                     self.assertLess(repair_s(size, MBIT_600, how), 4.4)
 
-    def test_two_in_a_row(self) -> None:
+    def test_two_losses_in_a_row(self) -> None:
         async def main() -> None:
             world = await filled_world(Size(20, 50, 200), MBIT_600, 4)
             client = Client(world)
--- a/tests/jobstore/test_replicas.py
+++ b/tests/jobstore/test_replicas.py
@@ -37,8 +37,8 @@
     return results
 
 
-class CopiesTest(unittest.TestCase):
-    def test_done_only_once_all_copies_have_it_on_disk(self) -> None:
+class ReplicasTest(unittest.TestCase):
+    def test_done_only_once_all_replicas_have_it_on_disk(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             primary, backup = world.primary_of("a"), world.backup_of("a")
             backup.journal.sync_s = 0.5
@@ -52,7 +52,7 @@
 
         run_scenario(scenario)
 
-    def test_twice_is_once(self) -> None:
+    def test_a_repeated_submission_is_one_job(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             replies = await asyncio.gather(*(client.submit("a") for _ in range(5)))
             self.assertEqual([Done()] * 5, replies)
@@ -63,7 +63,7 @@
 
         run_scenario(scenario)
 
-    def test_positions_and_bytes_hold_over_a_takeover(self) -> None:
+    def test_results_and_their_positions_survive_a_takeover(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             for n in (2, 0):
@@ -82,7 +82,7 @@
 
         run_scenario(scenario)
 
-    def test_a_write_of_which_a_backup_hears_nothing_is_not_answered(self) -> None:
+    def test_a_write_that_a_backup_does_not_receive_is_not_acknowledged(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             primary, backup = world.primary_of("a"), world.backup_of("a")
             world.net.disconnect(primary.address, backup.address)
@@ -115,7 +115,7 @@
 
         run_scenario(scenario)
 
-    def test_one_cut_off_from_its_backup_stops_reading_soon(self) -> None:
+    def test_a_primary_cut_off_from_its_backup_soon_answers_no_reads(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             primary, backup = world.primary_of("a"), world.backup_of("a")
@@ -132,7 +132,7 @@
 
         run_scenario(scenario)
 
-    def test_one_that_stood_still_goes_on_without_harm(self) -> None:
+    def test_a_primary_that_was_frozen_does_no_harm_afterwards(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             await client.finish("a", 0)
@@ -171,7 +171,7 @@
 
         run_scenario(scenario)
 
-    def test_power_lost_everywhere_and_one_disk_while_the_registrar_holds_one_after_the_other_to_be_dead(self) -> None:
+    def test_power_lost_everywhere_and_one_disk_while_the_controller_holds_one_after_the_other_to_be_dead(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             await client.finish("a", 3)
@@ -189,7 +189,7 @@
 
         run_scenario(scenario)
 
-    def test_a_torn_record_at_the_end_is_no_record(self) -> None:
+    def test_a_torn_record_at_the_end_is_ignored(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             backup = world.backup_of("a")
@@ -224,7 +224,7 @@
 
         run_scenario(scenario, 2)
 
-    def test_a_backup_that_lost_the_last_moments_is_caught_up(self) -> None:
+    def test_a_backup_that_lost_unsynced_entries_is_caught_up(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             backup = world.backup_of("a")
@@ -238,7 +238,7 @@
 
         run_scenario(scenario)
 
-    def test_writes_wait_for_a_joiner_before_it_may_become_primary(self) -> None:
+    def test_writes_wait_for_a_learner_before_it_may_become_primary(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             world.controller.handlers.clear()  # no ReplicaInSync is received
@@ -265,7 +265,7 @@
 
         run_scenario(scenario)
 
-    def test_a_copy_that_differs_is_filled_anew(self) -> None:
+    def test_a_replica_that_differs_is_installed_anew(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             await client.finish("a", 0)
@@ -282,7 +282,7 @@
 
         run_scenario(scenario)
 
-    def test_the_end_holds_over_a_takeover(self) -> None:
+    def test_the_end_of_a_job_survives_a_takeover(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             await client.finish("a", 0)
@@ -298,7 +298,7 @@
 
         run_scenario(scenario)
 
-    def test_what_has_been_moved_away_is_dropped(self) -> None:
+    def test_a_replica_that_has_been_moved_away_is_dropped(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             old = world.primary_of("a")
@@ -362,10 +362,10 @@
                 members.survive(r.members, world.limits) and not r.learners for r in world.partition_records().values()
             ):
                 return
-        self.fail("never spread again")
+        self.fail("partitions not spread over the zones again within 20 s")
 
 
-class FenceTest(unittest.TestCase):
+class BackupMessagesTest(unittest.TestCase):
     """Messages to a backup: those of a lower epoch, another member or another session are rejected."""
 
     def test_conformance(self) -> None:
@@ -419,7 +419,7 @@
 
 
 class JournalTest(unittest.TestCase):
-    def test_rewritten_it_gives_the_same(self) -> None:
+    def test_a_rewritten_journal_restores_the_same_state(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             for name in ("a", "b", "c"):
                 await client.submit(name)
@@ -442,7 +442,7 @@
 
         run_scenario(scenario)
 
-    def test_rewritten_while_records_come_it_gives_the_same(self) -> None:
+    def test_a_journal_rewritten_during_appends_restores_the_same_state(self) -> None:
         """Appended records of a partition are written before its slice, between slices and after it."""
 
         async def scenario(world: World, client: Client) -> None:
@@ -471,7 +471,7 @@
 
         run_scenario(scenario)
 
-    def test_ended_jobs_go_after_their_time_and_open_ones_stay(self) -> None:
+    def test_ended_jobs_are_dropped_after_their_retention_time_and_open_ones_stay(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             await client.submit("a")
             await client.submit("b", body=job_json("b"))
--- a/tests/jobstore/test_shutdown.py
+++ b/tests/jobstore/test_shutdown.py
@@ -49,8 +49,8 @@
             return isinstance(reply, JobResults) and reply.total == 4 and reply.next_cursor == 1
 
 
-class LeavingTest(unittest.TestCase):
-    def test_its_disk_and_right_afterwards_another_may_go(self) -> None:
+class GracefulShutdownTest(unittest.TestCase):
+    def test_no_job_is_lost_with_its_disk_and_another_right_afterwards(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             leaving, other = world.primary_of("job1"), world.backup_of("job1")
             self.assertTrue(await shut_down(world, leaving))
@@ -62,7 +62,7 @@
 
         run_scenario(scenario, 4)
 
-    def test_it_serves_until_others_have_its_places(self) -> None:
+    def test_it_serves_until_its_replicas_are_moved(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             leaving = world.primary_of("job1")
             transfer = asyncio.ensure_future(transfer_replicas(cast(Node, leaving.node)))
@@ -79,7 +79,7 @@
 
         run_scenario(scenario)
 
-    def test_with_nobody_to_take_them_it_ends_at_once(self) -> None:
+    def test_without_other_nodes_it_ends_at_once(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             loop = asyncio.get_running_loop()
             began = loop.time()
@@ -88,7 +88,7 @@
 
         run_scenario(scenario, 2)
 
-    def test_it_is_never_held_up_beyond_its_time(self) -> None:
+    def test_it_ends_within_its_grace_time(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             leaving = world.primary_of("a")
             for store in world.stores.values():
@@ -105,7 +105,7 @@
 
         run_scenario(scenario)
 
-    def test_two_in_a_row_with_one_that_comes_between(self) -> None:
+    def test_two_shutdowns_in_a_row_with_a_new_store_before_each(self) -> None:
         async def scenario(world: World, client: Client) -> None:
             for n in range(2):
                 world.add(f"new-{n}")
--- a/tests/jobstore/test_troubles.py
+++ b/tests/jobstore/test_troubles.py
@@ -230,7 +230,7 @@
             for n, p in self.world.partition_records().items()
             if not self.is_healthy(n)
         }
-        raise AssertionError(f"not whole again: {states}")
+        raise AssertionError(f"partitions not repaired within 15 s: {states}")
 
     def is_healthy(self, n: int) -> bool:
         record = self.world.partition_records()[n]
@@ -278,8 +278,8 @@
         assert reply.body == body_of("last", 1), reply
 
 
-class TroublesTest(unittest.TestCase):
-    def test_drawn_days(self) -> None:
+class FaultsTest(unittest.TestCase):
+    def test_random_faults(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 run(lambda seed=seed: self.one(seed))  # type: ignore[misc]
@@ -287,7 +287,7 @@
     async def one(self, seed: int) -> None:
         await FaultRun(seed).run(8)
 
-    def test_parts_are_spread(self) -> None:
+    def test_jobs_are_spread_over_partitions(self) -> None:
         self.assertGreater(len({partition_of(f"job{n}") for n in range(100)}), 12)
 
 
