--- a/otterreach/jobstore/assignment_blocks.py
+++ b/otterreach/jobstore/assignment_blocks.py
@@ -24,7 +24,7 @@
     def blocked(self, model: str, nodes: Collection[str], now: float) -> set[str]:
         """Return which of the nodes get no items of the model.
 
-        If all nodes are blocked the result is empty: no other proxy is left, so an attempt costs nothing.
+        If all nodes are blocked the result is empty, since no other proxy is left to prefer.
         """
         blocked = {node for node in nodes if self._until.get((node, model), 0.0) > now}
         return blocked if len(blocked) < len(nodes) else set()
--- a/otterreach/jobstore/dispatcher.py
+++ b/otterreach/jobstore/dispatcher.py
@@ -25,7 +25,7 @@
 from otterreach.runtime.repeated_work import RepeatedWork
 from otterreach.runtime.rpc import Link
 
-ITEMS_LOST_AFTER_S = 2.0  # a proxy whose pings don't name a job this long after it was sent items of it has lost them
+ITEMS_LOST_AFTER_S = 2.0  # a proxy has lost the items of a job if its pings don't name the job this long after sending
 RUNNING_REPORT_WAIT_S = 0.4  # a new primary waits this long for the proxies to report which items they run
 SURPLUS_DELAY_S = 60.0  # added to the due time of items that no trainer waits for
 NO_SURPLUS = 1 << 60  # greater than any order
--- a/otterreach/jobstore/graceful_shutdown.py
+++ b/otterreach/jobstore/graceful_shutdown.py
@@ -22,7 +22,9 @@
 
 
 async def transfer_replicas(node: Node) -> bool:
-    """Ask the controller to move this member's replicas, until no record names it or its time is up.
+    """Ask the controller to move this member's replicas, until no record names it.
+
+    Stops earlier if the time is up, or if too few other nodes are left.
 
     :returns: False if a record still names it; the process ends anyway
     """
--- a/otterreach/jobstore/messages.py
+++ b/otterreach/jobstore/messages.py
@@ -119,7 +119,7 @@
     scorer_host: str
     scorer_path: str
     scorer_body: bytes
-    failures: int = 0  # the number of responses with status 500 to it that are known of
+    failures: int = 0  # the known number of responses with status 500 to this item
 
 
 @message(68)
@@ -313,7 +313,7 @@
 @message(81)
 @dataclass(slots=True)
 class DiskStalled:
-    """Sent one-way by a job store node while its disk takes no writes, periodically."""
+    """Sent one-way and periodically by a job store node while its disk takes no writes."""
 
     node: str
     disk: str
--- a/otterreach/jobstore/replication.py
+++ b/otterreach/jobstore/replication.py
@@ -142,7 +142,7 @@
     # Commits -------------------------------------------------------------------------------------
 
     async def wait_until_committed(self, replica: PartitionReplica, index: int, timeout_s: float) -> bool:
-        """Wait until the entry before `index` is committed. Return False if that remains unknown."""
+        """Wait until the entry before `index` is committed. Return False if it may be committed or not."""
         generation = replica.history_generation
         deadline = self.context.now() + timeout_s
         while True:
--- a/tests/jobstore/jobstore_net.py
+++ b/tests/jobstore/jobstore_net.py
@@ -22,7 +22,7 @@
 
 
 class Net:
-    """All machines, by address. Disconnected pairs can't reach each other; a frozen machine can reach nobody."""
+    """All machines, by address. Disconnected pairs can't reach each other; frozen machines can't reach any other."""
 
     def __init__(self, random: Random | None = None) -> None:
         self.random = random or Random(1)
