--- a/tests/jobstore/test_disk_probe.py
+++ b/tests/jobstore/test_disk_probe.py
@@ -1,4 +1,4 @@
-"""A start on a full disk (otterreach/jobstore/disk_room.py)."""
+"""The start on a full disk (otterreach/jobstore/disk_probe.py)."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from pathlib import Path
 from unittest import mock
 
-from otterreach.jobstore.disk_probe import MAX_WAIT_S, RETRY_S, takes_writes, wait_until_writable
+from otterreach.jobstore.disk_probe import MAX_WAIT_S, RETRY_S, is_writable, wait_until_writable
 from tests.virtual import VirtualLoop
 
 
-class DiskRoomTest(unittest.TestCase):
+class DiskProbeTest(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name) / "data"
 
     def waits(self, answers: list[bool]) -> float:
-        """How long a start waits if the disk answers so."""
+        """Return how long a start waits if the probes of the disk have these results."""
         loop = VirtualLoop()
         self.addCleanup(loop.close)
 
-        async def scene() -> float:
+        async def scenario() -> float:
             began = loop.time()
             await wait_until_writable(self.folder)
             return loop.time() - began
@@ -33,18 +33,18 @@
             return answers.pop(0) if answers else False
 
         with mock.patch.object(loop, "run_in_executor", at_once):
-            return loop.run_until_complete(scene())
+            return loop.run_until_complete(scenario())
 
     def test_a_disk_that_takes_writes_is_left_as_it_was(self) -> None:
-        self.assertTrue(takes_writes(self.folder))
+        self.assertTrue(is_writable(self.folder))
         self.assertEqual([], list(self.folder.iterdir()))
 
     def test_a_full_disk(self) -> None:
         with mock.patch.object(os, "write", side_effect=OSError(errno.ENOSPC, "no space left on device")):
-            self.assertFalse(takes_writes(self.folder))
+            self.assertFalse(is_writable(self.folder))
         self.assertEqual([], list(self.folder.iterdir()))
 
-    def test_the_start_waits_for_room_but_not_for_ever(self) -> None:
+    def test_the_start_waits_for_free_space_for_a_limited_time(self) -> None:
         self.assertEqual(0.0, self.waits([True]))
         self.assertAlmostEqual(2 * RETRY_S, self.waits([False, False, True]))
         self.assertLess(self.waits([]), MAX_WAIT_S + 2 * RETRY_S)
--- a/tests/jobstore/test_free_proxies.py
+++ b/tests/jobstore/test_free_proxies.py
@@ -1,4 +1,4 @@
-"""Who gets the next item: the least loaded, nobody who is blocked for its model, and others in their place."""
+"""The choice of the proxy for the next item: the least loaded; other proxies replace those blocked for its model."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from otterreach.jobstore.free_proxies import FreeProxies
 from otterreach.jobstore.proxy_sessions import ProxySession
 
-SERVER_SLOTS = 8  # two proxies of four slots, and with the margin for two and a half
+SERVER_SLOTS = 8  # two proxies of four slots; with RUNNER_SLOTS_SHARE three proxies are needed
 NOW = 50.0
 
 
@@ -59,7 +59,7 @@
         self.assertNotIn(blocked, taken)
         self.assertGreaterEqual(len(taken), 3)
 
-    def test_it_gets_those_of_other_models(self) -> None:
+    def test_a_blocked_proxy_gets_items_of_other_models(self) -> None:
         blocked = min(self.runners())
         self.blocks.add(blocked, "m", NOW)
         for one in self.sessions:
@@ -73,12 +73,12 @@
             one.free = 4
         self.assertIn(blocked, self.taken(self.round(NOW + BLOCK_S + 0.1), "m", 12))
 
-    def test_where_all_are_blocked_none_is(self) -> None:
+    def test_if_all_proxies_are_blocked_the_blocks_are_ignored(self) -> None:
         for one in self.sessions:
             self.blocks.add(one.node, "m", NOW)
         self.assertEqual(len(self.taken(self.round(), "m", 4)), 4)
 
-    def test_a_blocked_one_keeps_its_place_for_the_next_model(self) -> None:
+    def test_a_blocked_proxy_remains_available_for_the_next_model(self) -> None:
         blocked = min(self.runners())
         self.blocks.add(blocked, "m", NOW)
         for one in self.sessions:
--- a/tests/jobstore/test_jobs.py
+++ b/tests/jobstore/test_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs as a state machine: what can be read, what records do, what readers get."""
+"""Batch jobs as a state machine: parsing of submissions, effects of log entries, and results as readers get them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from otterreach.jobstore.job_table import JobTable
 from otterreach.jobstore.messages import ItemFinished
 from otterreach.runtime.codes import Code, Failure
-from tests.jobstore.jobstore_world import body_of, lot
+from tests.jobstore.jobstore_world import body_of, job_json
 
 
 def job_of(body: bytes, job: str = "a") -> Job:
@@ -36,7 +36,7 @@
 
 
 class ReadTest(unittest.TestCase):
-    def test_unreadable(self) -> None:
+    def test_invalid_submissions(self) -> None:
         item = {"id": "i", "path": "/p", "headers": {}, "body": "aGk=", "tokens": 3}
         table: list[tuple[str, bytes]] = [
             ("no JSON", b"{"),
@@ -64,17 +64,17 @@
         self.assertFalse(job.has_versions)
         self.assertEqual(("", 0), (job.model, job.min_version))
 
-    def test_whole_groups_stand_together(self) -> None:
+    def test_items_of_a_group_are_adjacent(self) -> None:
         rows = [{"id": f"i{n}", "path": "/", "group": g} for n, g in enumerate(("a", "b", "a", "", "b"))]
         job = job_of(json.dumps({"reqs": rows}).encode())
         order = sorted(job.items.values(), key=lambda i: i.order)
         self.assertEqual(["i0", "i2", "i1", "i4", "i3"], [i.id for i in order])
 
 
-class RecordsTest(unittest.TestCase):
-    def test_positions_are_given_once(self) -> None:
+class EntriesTest(unittest.TestCase):
+    def test_each_item_is_listed_once(self) -> None:
         jobs = jobs_with(
-            submit_entry("a", "h", "r", lot("a")),
+            submit_entry("a", "h", "r", job_json("a")),
             result("a", 1, b'"x"'),
             result("a", 1, b'"y"'),
             result("a", 9, b'"z"'),
@@ -85,8 +85,8 @@
         self.assertEqual((2, b'"w"'), job.read(1))
         self.assertEqual((2, b""), job.read(2))
 
-    def test_not_seen_before_it_is_settled(self) -> None:
-        jobs = jobs_with(submit_entry("a", "h", "r", lot("a")))
+    def test_a_result_is_not_readable_before_it_is_committed(self) -> None:
+        jobs = jobs_with(submit_entry("a", "h", "r", job_json("a")))
         change = jobs.apply(result("a", 2), 2, 0.0)
         assert change is not None
         job = jobs.jobs["a"]
@@ -96,15 +96,17 @@
         self.assertEqual((1, b"{}"), job.read(0))
         self.assertEqual(b"", job.items["a-2"].body)
 
-    def test_an_answer_is_bounded_and_holds_one_at_least(self) -> None:
+    def test_a_read_is_bounded_and_returns_at_least_one_result(self) -> None:
         big = b'"' + b"x" * (MAX_READ_BYTES + 10) + b'"'
-        jobs = jobs_with(submit_entry("a", "h", "r", lot("a")), result("a", 0, big), result("a", 1), result("a", 2))
+        jobs = jobs_with(
+            submit_entry("a", "h", "r", job_json("a")), result("a", 0, big), result("a", 1), result("a", 2)
+        )
         job = jobs.jobs["a"]
         self.assertEqual((1, big), job.read(0))
         self.assertEqual((3, b"{},{}"), job.read(1))
 
     def test_end_and_drop(self) -> None:
-        jobs = jobs_with(submit_entry("a", "h", "r", lot("a")), result("a", 0), end_entry("a"), end_entry("a"))
+        jobs = jobs_with(submit_entry("a", "h", "r", job_json("a")), result("a", 0), end_entry("a"), end_entry("a"))
         job = jobs.jobs["a"]
         self.assertIs(JobState.ENDED, job.state)
         self.assertEqual(b"", job.items["a-1"].body)
@@ -112,8 +114,8 @@
         jobs.apply(drop_entry("a"), 5, 0.0)
         self.assertEqual(({}, 0), (jobs.jobs, jobs.size))
 
-    def test_a_snapshot_gives_the_same(self) -> None:
-        entries = [submit_entry(name, "h", "r", lot(name, 6, step=2, model="m", minVersion=3)) for name in "abc"]
+    def test_a_snapshot_restores_the_same_state(self) -> None:
+        entries = [submit_entry(name, "h", "r", job_json(name, 6, step=2, model="m", minVersion=3)) for name in "abc"]
         jobs = jobs_with(*entries, result("a", 5, b"5"), result("a", 0, b"0"), result("b", 1, b"1"), end_entry("b"))
         again = jobs_with(*jobs.snapshot(7.0))
         self.assertEqual(jobs.digests(), again.digests())
@@ -128,10 +130,10 @@
                     self.assertEqual((item.body, item.headers), (twin.body, twin.headers))
         self.assertEqual(list(jobs.snapshot(7.0)), list(again.snapshot(7.0 - 7.0)))
 
-    def test_digests_tell_copies_apart(self) -> None:
-        one = jobs_with(submit_entry("a", "h", "r", lot("a")), result("a", 0, b"1"))
+    def test_digests_of_different_states_differ(self) -> None:
+        one = jobs_with(submit_entry("a", "h", "r", job_json("a")), result("a", 0, b"1"))
         for other in (result("a", 0, b"2"), result("a", 1, b"1"), end_entry("a")):
-            changed = jobs_with(submit_entry("a", "h", "r", lot("a")), other)
+            changed = jobs_with(submit_entry("a", "h", "r", job_json("a")), other)
             self.assertNotEqual(one.digests(), changed.digests())
 
 
@@ -148,7 +150,7 @@
         return ItemFinished("a", "a-0", **values)
 
     def test_what_readers_get(self) -> None:
-        plain, sample = job_of(lot("a")), job_of(lot("a", step=0, model="m", minVersion=6))
+        plain, sample = job_of(job_json("a")), job_of(job_json("a", step=0, model="m", minVersion=6))
         table: list[tuple[str, Job, dict[str, Any], dict[str, Any]]] = [
             ("plain", plain, {"score": ""}, {"id": "a-0", "state": "done", "text": 'é\n"x'}),
             (
