--- a/otterreach/runtime/store.py
+++ b/otterreach/runtime/store.py
@@ -1,8 +1,8 @@
-"""A replica of the control state: items by key, each with a revision that only rises. Every process holds one.
+"""A replica of the control state: items by key, each with a monotonically increasing revision. Every process holds one.
 
-Tombstones are kept until everybody may forget them: `collected_up_to` is the revision up to which this replica has
-dropped them. It may do so only when it has all else up to that revision, so that what is absent here and not newer is
-known to be deleted (docs/control-state.md).
+Tombstones are kept until every replica may drop them: `collected_up_to` is the revision up to which this replica has
+dropped them. A replica may drop them only when it has every other item up to that revision, so that an item that is
+absent here and is not newer than that revision is known to be deleted (docs/control-state.md).
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from otterreach.runtime.codec import message
 from otterreach.runtime.records import Record, key_of
 
-DIGEST_BYTES = 7  # fits a message's signed number
-ITEM_OVERHEAD_BYTES = 48  # of an item in a message or a journal, besides key and value, about
-RANGES = 128  # differences are found by digests over so many ranges of keys
+DIGEST_BYTES = 7  # the digest fits the signed 64-bit integer of a message field
+ITEM_OVERHEAD_BYTES = 48  # approximate size of an item in a message or a journal, without key and value
+RANGES = 128  # number of hash ranges of keys; replicas are compared by one digest for each range
 
 R = TypeVar("R", bound=Record)
 Watcher = Callable[["Item"], None]
@@ -35,27 +35,30 @@
 
     @property
     def is_tombstone(self) -> bool:
-        """Whether the item has been deleted."""
+        """True if the item has been deleted."""
         return not self.value
 
     @property
     def kind(self) -> str:
-        """The part of the key before the slash."""
+        """The kind of the item: the key up to the slash."""
         return self.key.partition("/")[0]
 
     @property
     def name(self) -> str:
-        """The part of the key behind the slash; empty for an item that there is one of."""
+        """The name of the item: the key after the slash. Empty for a kind that has a single item."""
         return self.key.partition("/")[2]
 
 
 def range_of(key: str) -> int:
-    """The range of keys that a key falls into."""
+    """Return the number of the hash range that a key belongs to."""
     return zlib.crc32(key.encode()) % RANGES
 
 
-def _item_digest(item: Item) -> int:
-    """What an item adds to the digests. Not a CRC: CRCs are linear, and two changes could cancel each other out."""
+def _item_hash(item: Item) -> int:
+    """Return the hash that an item contributes to the digests.
+
+    The hash is not a CRC: CRCs are linear, so that two changes could cancel each other out.
+    """
     digest = hashlib.blake2b(f"{item.key} {item.revision}".encode(), digest_size=DIGEST_BYTES)
     return int.from_bytes(digest.digest(), "little")
 
@@ -65,27 +68,28 @@
 
 
 class ReplicatedStore:
-    """Items in; each change is passed to the watchers of its kind.
+    """The items of a replica with their digests and tombstones; each change is passed to the watchers of its kind.
 
-    More than 20 methods: items, digests and tombstones change together, so that none can be changed without the others.
+    The class has more than 20 methods because items, digests and tombstones change together: no method outside it can
+    change one without the others.
     """
 
     def __init__(self) -> None:
         self.items: dict[str, Item] = {}
-        self.revision = 0  # the highest seen
+        self.revision = 0  # the highest revision applied
         self.digests = [0] * RANGES
-        self.digest = 0  # over all ranges
-        self.bytes = 0  # of all keys and values
+        self.digest = 0  # XOR of the digests of all ranges
+        self.bytes = 0  # size of all keys and values, with ITEM_OVERHEAD_BYTES for each item
         self.collected_up_to = 0  # tombstones up to this revision have been dropped here
         self._tombstones: dict[str, Item] = {}
         self._kinds: dict[str, dict[str, Item]] = {}
         self._watchers: dict[str, list[Watcher]] = {}
-        self._decoded: dict[str, tuple[int, Any]] = {}  # by key: the revision and its record
+        self._decoded: dict[str, tuple[int, Any]] = {}  # decoded records by key, with their revisions
 
     # Reading -------------------------------------------------------------------------------------
 
     def record(self, kind: type[R], name: str = "") -> R | None:
-        """The record of an item, decoded once for each revision; None if there is none."""
+        """Return the record of an item, or None if there is no such item. It is decoded once for each revision."""
         key = key_of(kind, name)
         item = self.items.get(key)
         if item is None or item.is_tombstone:
@@ -93,16 +97,16 @@
         return self._decode(kind, item)
 
     def records(self, kind: type[R]) -> dict[str, R]:
-        """All records of a kind by their names, in the order of the names."""
+        """Return all records of a kind by name, sorted by name."""
         items = self._kinds.get(kind.KIND, {})
         return {name: self._decode(kind, items[name]) for name in sorted(items) if not items[name].is_tombstone}
 
     def names(self, kind: type[Record]) -> list[str]:
-        """The names of all items of a kind, tombstones included, in no order."""
+        """Return the names of all items of a kind, tombstones included, in arbitrary order."""
         return list(self._kinds.get(kind.KIND, ()))
 
     def count(self, kind: type[Record]) -> int:
-        """How many items of a kind there are, tombstones included."""
+        """Return the number of items of a kind, tombstones included."""
         return len(self._kinds.get(kind.KIND, ()))
 
     def _decode(self, kind: type[R], item: Item) -> R:
@@ -117,11 +121,11 @@
     # Changes -------------------------------------------------------------------------------------
 
     def watch(self, kind: type[Record], watcher: Watcher) -> None:
-        """Pass each change of this kind of items to `watcher`."""
+        """Register a watcher that is called with each changed item of a kind."""
         self._watchers.setdefault(kind.KIND, []).append(watcher)
 
     def apply(self, items: Iterable[Item]) -> list[Item]:
-        """Apply what is newer; the one function that changes an item. Returns the items that were newer."""
+        """Apply the items that are newer than the ones here, and return them."""
         newer = [item for item in items if self._apply_item(item)]
         self._notify_watchers(newer)
         return newer
@@ -136,17 +140,17 @@
         return True
 
     def _replace(self, key: str, item: Item | None) -> None:
-        """Put an item in place of the one under its key; None: only remove that one."""
+        """Replace the item under a key; with None, only remove it. Update digests, sizes and indexes accordingly."""
         kind, _, name = key.partition("/")
         items_of_kind = self._kinds.setdefault(kind, {})
         change = 0
         if old := self.items.pop(key, None):
-            change = _item_digest(old)
+            change = _item_hash(old)
             self.bytes -= _size(old)
             self._tombstones.pop(key, None)
             del items_of_kind[name]
         if item:
-            change ^= _item_digest(item)
+            change ^= _item_hash(item)
             self.bytes += _size(item)
             self.items[key] = item
             items_of_kind[name] = item
@@ -163,7 +167,7 @@
     # Complete replicas ---------------------------------------------------------------------------
 
     def copy(self) -> ReplicatedStore:
-        """Another store with the same items, without watchers, and as if nothing had been collected."""
+        """Return a store with the same items, without watchers and with `collected_up_to` at 0."""
         other = ReplicatedStore()
         other.items = self.items.copy()
         other._tombstones = self._tombstones.copy()
@@ -175,9 +179,9 @@
         return other
 
     def overwrite_ranges(self, ranges: Iterable[int], items: Iterable[Item]) -> None:
-        """These ranges of keys hold exactly these items from now on, older or newer.
+        """Replace the contents of these ranges of keys by these items, whether they are older or newer.
 
-        No watcher is called: this is for a replica that is still being built.
+        Watchers are not called: the method is for a replica that is still being built.
         """
         wanted = set(ranges)
         for key in [key for key in self.items if range_of(key) in wanted]:
@@ -187,14 +191,14 @@
             self.revision = max(self.revision, item.revision)
 
     def range_sizes(self) -> list[int]:
-        """Bytes of items in each range of keys."""
+        """Return the size in bytes of the items in each range of keys."""
         sizes = [0] * RANGES
         for item in self.items.values():
             sizes[range_of(item.key)] += _size(item)
         return sizes
 
     def chunks(self, ranges: Iterable[int], limit: int) -> Iterator[list[int]]:
-        """These ranges in lists of about `limit` bytes of items, and of one range at least."""
+        """Split these ranges into lists of about `limit` bytes of items, of at least one range each."""
         sizes = self.range_sizes()
         chunk: list[int] = []
         size = 0
@@ -209,7 +213,7 @@
             yield chunk
 
     def key_batches(self, limit: int) -> Iterator[list[str]]:
-        """The keys that are there now, in lists of about `limit` bytes of items. The items may change meanwhile."""
+        """Split the present keys into lists of about `limit` bytes of items. Items may change during the iteration."""
         keys: list[str] = []
         size = 0
         for key in list(self.items):
@@ -226,14 +230,14 @@
 
     @property
     def tombstones(self) -> int:
-        """How many tombstones are kept."""
+        """The number of tombstones that are kept."""
         return len(self._tombstones)
 
     def _collectable(self, revision: int) -> list[Item]:
         return [item for item in self._tombstones.values() if item.revision <= revision]
 
     def collect(self, revision: int) -> None:
-        """Drop tombstones up to `revision`. Only for a replica that has all else up to there."""
+        """Drop tombstones up to `revision`. The replica must have every other item up to that revision."""
         if revision <= self.collected_up_to:
             return
         for item in self._collectable(revision):
@@ -242,19 +246,19 @@
         self.collected_up_to = revision
 
     def digest_once_collected(self, revision: int) -> int:
-        """The digest that this replica would have after `collect`."""
+        """Return the digest that this replica would have after `collect`."""
         digest = self.digest
         if revision <= self.collected_up_to:
             return digest
         for item in self._collectable(revision):
-            digest ^= _item_digest(item)
+            digest ^= _item_hash(item)
         return digest
 
     def matches(self, digest: int, collected_up_to: int) -> bool:
-        """Whether another replica, with this digest, has the same items.
+        """Return True if another replica, with this digest, has the same items.
 
-        If it has, that proves that this one has all else up to `collected_up_to` as well, and it drops the tombstones
-        that the other one has dropped.
+        Equal digests prove that this replica, too, has every other item up to `collected_up_to`; it then drops the
+        tombstones that the other one has dropped.
         """
         if self.digest_once_collected(collected_up_to) != digest:
             return False
@@ -264,10 +268,10 @@
     # Differences ---------------------------------------------------------------------------------
 
     def replace_ranges(self, ranges: Iterable[int], items: list[Item], collected_up_to: int) -> list[Item]:
-        """Apply all that another replica has in these ranges of keys. Returns the items that were newer.
+        """Apply the complete contents of these ranges of keys at another replica. Return the items that were newer.
 
-        What the other replica doesn't have there, and isn't newer than what it has collected, has been deleted: a
-        tombstone of it is kept.
+        An item that the other replica lacks in these ranges, and that is older than its `collected_up_to`, has been
+        deleted: it is replaced by a tombstone.
         """
         complete_ranges = set(ranges)
         present = {item.key for item in items}
@@ -282,16 +286,16 @@
         return self.apply([*deleted, *items])
 
     def differing_ranges(self, digests: list[int]) -> list[int]:
-        """The ranges of keys in which another replica's digests differ from these."""
+        """Return the ranges of keys in which another replica's digests differ from the ones here."""
         if len(digests) != RANGES:
             return list(range(RANGES))
         return [number for number in range(RANGES) if digests[number] != self.digests[number]]
 
     def in_ranges(self, ranges: Iterable[int]) -> list[Item]:
-        """All items of these ranges."""
+        """Return all items of these ranges."""
         wanted = set(ranges)
         return [item for item in self.items.values() if range_of(item.key) in wanted] if wanted else []
 
     def differing(self, digests: list[int]) -> list[Item]:
-        """The items of the ranges in which another replica's digests differ from these."""
+        """Return the items of the ranges in which another replica's digests differ from the ones here."""
         return self.in_ranges(self.differing_ranges(digests))
