--- a/otterreach/runtime/rpc.py
+++ b/otterreach/runtime/rpc.py
@@ -1,7 +1,7 @@
-"""Remote procedure calls between own processes over TCP: one connection for each pair, both ways, many calls at once.
+"""Remote procedure calls between the processes of the system over TCP.
 
-A frame is <length, call number, message number, flags> and a flatbuffer. A call gets one reply or a Failure; a message
-sent one way gets none.
+A pair of processes shares one connection, which multiplexes calls in both directions. A frame is <length, call number,
+message number, flags> and a flatbuffer. A call gets one reply or a Failure; a one-way message gets no reply.
 """
 
 from __future__ import annotations
@@ -20,18 +20,22 @@
 
 HEADER = struct.Struct("<IIHB")  # length of the body, call number, message number, flags
 REPLY_FLAG = 1
-ONE_WAY = 0  # the call number of a message without an answer
+ONE_WAY = 0  # call number of a one-way message
 MAX_CALL_NUMBER = 0xFFFFFFF0
 MAX_FRAME_BYTES = 96 * 1024 * 1024
-MAX_UNREAD_BYTES = 64 * 1024 * 1024  # unread by the other end: it is stuck, and memory is bounded
+MAX_UNREAD_BYTES = (
+    64 * 1024 * 1024
+)  # limit of the write buffer; a peer that leaves more unread is stuck, and the connection is aborted
 CONNECT_TIMEOUT_S = 0.5
-USER_TIMEOUT_MS = 1500  # unacknowledged for so long: the other machine is gone or disconnected
-KEEPALIVE_IDLE_S = 15  # idle for so long, the kernel asks whether the other machine is still there
+USER_TIMEOUT_MS = (
+    1500  # data that is unacknowledged for this long closes the connection: the peer is down or disconnected
+)
+KEEPALIVE_IDLE_S = 15  # idle time after which the kernel sends keep-alive probes
 KEEPALIVE_INTERVAL_S = 1
-RETIRED_MIN_S = 1.0  # a retired connection stays: one-way messages may still be in flight
-RETIRED_MAX_S = 10.0  # then it is closed, whatever is in flight on it
+RETIRED_MIN_S = 1.0  # a retired connection stays open for this long: one-way messages may be in flight
+RETIRED_MAX_S = 10.0  # a retired connection is closed after this time even with calls in flight
 RETIRED_CHECK_S = 0.25
-MIN_CALL_S = 0.001  # what a call gets at least, however long the connecting took
+MIN_CALL_S = 0.001  # lower bound of the time left for a call after connecting
 LISTEN_BACKLOG = 256
 
 T = TypeVar("T")
@@ -42,7 +46,7 @@
 @message(1)
 @dataclass(slots=True)
 class FailureReply:
-    """A Failure as a reply."""
+    """The wire form of a Failure."""
 
     code: int
     reason: str
@@ -57,31 +61,31 @@
 
 
 class Link(asyncio.Protocol):
-    """One connection. Whoever opened it, both ends call over it."""
+    """One connection. Both ends send calls over it, regardless of which end opened it."""
 
     def __init__(self, endpoint: Endpoint, address: str = "") -> None:
         self.endpoint = endpoint
-        self.address = address  # host:port, if this end opened the connection
-        self.peer = ""  # the node at the other end, once a handler has learned it
+        self.address = address  # host:port if this end opened the connection, else empty
+        self.peer = ""  # node name of the peer, once a handler has set it
         self.closed = False
         self.on_close: list[Callable[[Link], None]] = []
         self._transport: asyncio.Transport | None = None
         self._buffer = bytearray()
-        self._calls: dict[int, asyncio.Future[Any]] = {}  # in flight, by number
-        self._handling = 0  # calls of the other end that are being handled here
+        self._calls: dict[int, asyncio.Future[Any]] = {}  # calls in flight by call number
+        self._calls_in_progress = 0  # calls of the peer that are being handled here
         self._last_call_number = 0
 
     # asyncio.Protocol ----------------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Register the open connection and set its socket options."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         tune(transport.get_extra_info("socket"))
         self.endpoint.links.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone: no call on it will be answered any more."""
+        """Complete all calls in flight with a Failure, and notify the listeners."""
         self.closed = True
         self.endpoint.links.discard(self)
         for future in self._calls.values():
@@ -93,7 +97,7 @@
         self.on_close.clear()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come: handle each complete frame."""
+        """Buffer the received bytes and handle each complete frame."""
         buffer = self._buffer
         buffer += data
         start = 0
@@ -111,7 +115,7 @@
         if start:
             del buffer[:start]
 
-    # Messages from the other end -----------------------------------------------------------------
+    # Received messages ---------------------------------------------------------------------------
 
     def _handle_frame(self, call_number: int, message_number: int, flags: int, body: bytes) -> None:
         try:
@@ -136,11 +140,11 @@
             future.set_result(_to_failure(value) if isinstance(value, FailureReply) else value)
 
     async def _answer(self, handler: Handler, call_number: int, value: Any) -> None:
-        self._handling += 1
+        self._calls_in_progress += 1
         try:
             reply = await self._run_handler(handler, value)
         finally:
-            self._handling -= 1
+            self._calls_in_progress -= 1
         if call_number == ONE_WAY:
             return
         if isinstance(reply, Failure):
@@ -150,11 +154,11 @@
     async def _run_handler(self, handler: Handler, value: Any) -> Any:
         try:
             return await handler(self, value)
-        except Exception as error:  # a fault in one handler ends one call, not the process
+        except Exception as error:  # an error in one handler fails that call, not the process
             log("handler_failed", level="ERROR", message=type(value).__name__, error=repr(error))
             return Failure(Code.INTERNAL, type(error).__name__)
 
-    # Messages to the other end -------------------------------------------------------------------
+    # Sent messages -------------------------------------------------------------------------------
 
     def _write(self, call_number: int, value: Any, flags: int) -> None:
         if self.closed or self._transport is None:
@@ -166,11 +170,11 @@
             self.abort()
 
     def send(self, value: object) -> None:
-        """Send a message one way: whether it arrives is not known."""
+        """Send a one-way message. There is no confirmation that it arrives."""
         self._write(ONE_WAY, value, 0)
 
     async def call(self, request: Request[ReplyT], timeout_s: float) -> ReplyT | Failure:
-        """The reply, or a Failure: TIMED_OUT and CLOSED leave open whether the request was handled."""
+        """Send a request and return its reply or a Failure. After TIMED_OUT and CLOSED it may have been handled."""
         if self.closed:
             return Failure(Code.UNREACHABLE, "connection closed")
         self._last_call_number = self._last_call_number % MAX_CALL_NUMBER + 1
@@ -185,7 +189,7 @@
         finally:
             timer.cancel()
             self._calls.pop(call_number, None)
-        return _checked(request, reply)
+        return _checked_reply(request, reply)
 
     def _expire(self, call_number: int) -> None:
         future = self._calls.pop(call_number, None)
@@ -195,7 +199,10 @@
     # Closing -------------------------------------------------------------------------------------
 
     def retire(self) -> None:
-        """Send nothing new. The connection is closed once nothing is in flight on it, and in bounded time anyway."""
+        """Close the connection once nothing is in flight on it, and after RETIRED_MAX_S in any case.
+
+        The caller starts no new calls on it.
+        """
         loop = asyncio.get_running_loop()
         loop.call_later(RETIRED_MIN_S, self._close_retired, loop.time() + RETIRED_MAX_S)
 
@@ -203,21 +210,21 @@
         loop = asyncio.get_running_loop()
         if self.closed or self._transport is None:
             return
-        if (self._calls or self._handling) and loop.time() < deadline:
+        if (self._calls or self._calls_in_progress) and loop.time() < deadline:
             loop.call_later(RETIRED_CHECK_S, self._close_retired, deadline)
         elif self._transport.get_write_buffer_size():
-            self.abort()  # the other end does not read: unsent bytes would keep the connection open
+            self.abort()  # the peer does not read, and close() would wait for the unsent bytes
         else:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once; unsent bytes are dropped."""
+        """Close immediately and drop unsent bytes."""
         if self._transport:
             self._transport.abort()
 
 
-def _checked(request: Request[ReplyT], reply: Any) -> ReplyT | Failure:
-    """The reply, if it is of the type that the request asks for."""
+def _checked_reply(request: Request[ReplyT], reply: Any) -> ReplyT | Failure:
+    """Return the reply if it has the type that the request expects, else a Failure."""
     is_expected = isinstance(reply, (Failure, REPLIES[type(request)]))
     if is_expected:
         return reply  # type: ignore[no-any-return]
@@ -225,7 +232,10 @@
 
 
 def _to_failure(reply: FailureReply) -> Failure:
-    """Danger: a newer process may send a code that is not known here. Whether it was done is then not known either."""
+    """Convert a received failure.
+
+    A newer version may send a code that is unknown here. It becomes INTERNAL, since the request may have been handled.
+    """
     try:
         return Failure(Code(reply.code), reply.reason)
     except ValueError:
@@ -233,7 +243,10 @@
 
 
 def tune(sock: socket.socket | None) -> None:
-    """Small messages leave at once; a peer that has vanished is noticed. A connection in memory has no socket."""
+    """Send small messages without delay, and detect a peer that has vanished.
+
+    :param sock: None for a connection in memory, which has no socket
+    """
     if sock is None:
         return
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -244,36 +257,36 @@
 
 
 class Endpoint:
-    """All connections of a process: its handlers, its listener, and the links that it opened, by address."""
+    """The RPC end point of a process: its handlers, its listener and all its connections."""
 
     def __init__(self) -> None:
         self.handlers: dict[type, Handler] = {}
         self.links: set[Link] = set()
-        self.sent: Counter[type] = Counter()  # messages, by kind
+        self.sent: Counter[type] = Counter()  # messages by type
         self.received: Counter[type] = Counter()
-        self._opened: dict[str, Link] = {}
+        self._opened: dict[str, Link] = {}  # links opened by this end, by host:port
         self._opening: dict[str, asyncio.Task[Link | Failure]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
         self._server: asyncio.Server | None = None
 
     def on(self, kind: type[MessageT], handler: Callable[[Link, MessageT], Awaitable[Any]]) -> None:
-        """Handle messages of this kind. The handler returns the reply, a Failure, or None for Done."""
+        """Register the handler of a message type. It returns the reply, a Failure, or None for Done."""
         self.handlers[kind] = handler
 
     def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-        """Run in the background; the task is referenced until it ends."""
+        """Run a coroutine in the background and keep a reference to its task until it ends."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_done)
         return task
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
             log("task_failed", level="ERROR", error=repr(error))
 
     async def listen(self, host: str, port: int) -> int:
-        """Accept connections; returns the port. Raises OSError."""
+        """Accept connections and return the port. Raise OSError if the port can't be bound."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: Link(self), host, port, backlog=LISTEN_BACKLOG, reuse_address=True
@@ -281,12 +294,12 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     def linked(self, address: str) -> Link | None:
-        """The connection to host:port that is open now, if there is one."""
+        """Return the open connection to host:port, or None."""
         link = self._opened.get(address)
         return link if link and not link.closed else None
 
     async def link(self, address: str) -> Link | Failure:
-        """The open connection to host:port, or a new one."""
+        """Return the open connection to host:port, or open one. Concurrent callers share one attempt."""
         link = self._opened.get(address)
         if link and not link.closed:
             return link
@@ -308,7 +321,7 @@
         return link
 
     async def call(self, address: str, request: Request[ReplyT], timeout_s: float) -> ReplyT | Failure:
-        """The reply of whoever listens at host:port, or a Failure. The time counts from now, connecting included."""
+        """Send a request to host:port and return its reply or a Failure. The time-out includes connecting."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         link: Link | Failure | None = self.linked(address)
@@ -322,13 +335,14 @@
             return link
         reply = await link.call(request, max(MIN_CALL_S, deadline - loop.time()))
         if isinstance(reply, Failure) and reply.code is Code.TIMED_OUT and self._opened.get(address) is link:
-            # Frozen or disconnected: the next call connects anew, others may still complete on this connection.
+            # The peer may be frozen or disconnected: the next call opens a new connection, while calls in flight may
+            # still complete on this one.
             del self._opened[address]
             link.retire()
         return reply
 
     async def close(self) -> None:
-        """Stop listening, cancel all tasks, abort all connections."""
+        """Stop listening, cancel all tasks and abort all connections."""
         if self._server:
             self._server.close()
         for task in list(self._tasks):
