--- a/otterreach/runtime/journal.py
+++ b/otterreach/runtime/journal.py
@@ -1,7 +1,8 @@
 """An append-only file of checksummed records (journal_format.py) that is rewritten when it gets long.
 
-Errors of the disk turn the journal off for good: nothing is acknowledged from then on. The one exception is a rewrite
-that finds no room for its second file, or leaves none to the log: it is abandoned, and the log goes on.
+A disk error disables the journal permanently: nothing is acknowledged from then on. The one exception is a rewrite that
+runs out of space for its new file, or leaves no space for appends: the rewrite is abandoned, and the journal stays
+usable.
 """
 
 from __future__ import annotations
@@ -19,13 +20,14 @@
 from otterreach.runtime.log import log
 
 READ_BUFFER_BYTES = 256 * 1024
-CHUNK_BYTES = 256 * 1024  # of a rewrite: so much is encoded before it is written
-# What is appended during a rewrite is written before the log has to wait for the switch, down to so much.
+CHUNK_BYTES = 256 * 1024  # a rewrite encodes this much before it writes to the new file
+# Before the switch to the new file, which blocks syncs, the rewrite writes what was appended meanwhile, until at most
+# CATCH_UP_BYTES are left or CATCH_UP_ROUNDS are done.
 CATCH_UP_BYTES = 64 * 1024
 CATCH_UP_ROUNDS = 4
-NO_ROOM = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
+NO_SPACE_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
 
-Slice = Iterable[Record]  # a part of the live state, as it is in one turn of the loop
+Slice = Iterable[Record]  # records of one part of the live state, read in a single iteration of the event loop
 LiveSlices = Callable[[], Iterable[Slice]]
 
 
@@ -35,46 +37,46 @@
         view = view[os.write(file, view) :]
 
 
-def _sync_folder(path: Path) -> None:
-    folder = os.open(path, os.O_RDONLY)
+def _sync_directory(path: Path) -> None:
+    directory = os.open(path, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(directory)
     finally:
-        os.close(folder)
+        os.close(directory)
 
 
 class _RewriteFile:
-    """The second file of a rewrite: slices of the live state and, in the order of time, what is appended meanwhile.
+    """The new file of a rewrite: slices of the live state and the records appended meanwhile, in chronological order.
 
-    Records are added in the loop; the methods that touch the disk run in one thread, one after the other.
+    Records are added in the event loop; the methods that access the disk run one after the other in a single thread.
     """
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.buffered = 0
-        self.end = 0  # bytes written
+        self.end = 0  # size of the file in bytes
         self.file: int | None = None
-        self.abandoned = 0  # why: an error number
-        self.renaming = False  # from here on it may stand in the old one's place
+        self.abandon_errno = 0  # errno with which the next write fails; 0 while the rewrite goes on
+        self.renaming = False  # true from the rename on: the file may have replaced the old one
         self._records: list[bytes] = []
 
     def add(self, kind: int, payload: bytes) -> None:
-        """One more record, still in memory."""
+        """Buffer one more record in memory."""
         record = pack(kind, payload, 0)
         self._records.append(record)
         self.buffered += len(record)
 
     def take(self) -> list[bytes]:
-        """The records that are still in memory; they are the caller's to write."""
+        """Return the buffered records and clear the buffer; the caller has to write them."""
         records = self._records
         self._records = []
         self.buffered = 0
         return records
 
     def write(self, records: list[bytes]) -> None:
-        """Append to the second file. Raises OSError."""
-        if self.abandoned:
-            raise OSError(self.abandoned, "abandoned")
+        """Append records to the file, which is created by the first call. Raise OSError."""
+        if self.abandon_errno:
+            raise OSError(self.abandon_errno, "journal rewrite abandoned")
         if self.file is None:
             self.file = os.open(self.path, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o644)
         data = b"".join(records)
@@ -82,25 +84,25 @@
         self.end += len(data)
 
     def write_and_sync(self, records: list[bytes]) -> None:
-        """Append to the second file and have all of it on disk. Raises OSError."""
+        """Append records to the file and sync it. Raise OSError."""
         self.write(records)
         assert self.file is not None
         os.fsync(self.file)
 
     def replace(self, records: list[bytes], path: Path) -> None:
-        """Write the rest and take the place of the old file."""
+        """Append the remaining records, sync the file and rename it to the path of the old one. Raise OSError."""
         self.write_and_sync(records)
         self.renaming = True
         os.rename(self.path, path)
-        _sync_folder(path.parent)
+        _sync_directory(path.parent)
 
     def abandon(self) -> None:
-        """The log needs the room: the next step of the rewrite fails."""
-        self.abandoned = errno.ENOSPC
+        """Free the space of the file for appends; the next step of the rewrite fails."""
+        self.abandon_errno = errno.ENOSPC
         self.discard()
 
     def discard(self) -> None:
-        """It wasn't needed: give its room back."""
+        """Close the file and, unless it may have replaced the old one, delete it."""
         if self.file is None:
             return
         os.close(self.file)
@@ -110,43 +112,44 @@
 
 
 class Journal:
-    """Records in, synced in groups by one thread; `read` or `open` once before the first append.
+    """A journal whose appends are synced in groups (group commit) by one thread.
 
-    More than 20 methods: appending, syncing and rewriting share the file and exclude each other here.
+    `read` or `open` has to be called once before the first append. The class has more than 20 methods because
+    appending, syncing and rewriting share the file and exclude each other here.
     """
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.size = 0  # bytes in the file, with what is still to be written
+        self.size = 0  # size of the file in bytes, pending records included
         self.failed: Failure | None = None
         self.sync_times = Histogram("journal_sync_seconds", "Time to write and sync the journal.")
-        self._synced = 0
+        self._synced = 0  # offset up to which the file is synced
         self._pending: list[bytes] = []
-        self._waiting: list[asyncio.Future[bool]] = []
-        self._flushing: asyncio.Task[None] | None = None
+        self._sync_waiters: list[asyncio.Future[bool]] = []
+        self._flush_task: asyncio.Task[None] | None = None
         self._file: int | None = None
-        self._in_use = asyncio.Lock()  # held while the file is written, and while another takes its place
-        self._new: _RewriteFile | None = None
+        self._file_lock = asyncio.Lock()  # held while the file is written or replaced
+        self._rewrite_file: _RewriteFile | None = None
         self._thread: Executor = ThreadPoolExecutor(1, "journal")
         self._rewrite_thread: Executor = ThreadPoolExecutor(1, "journal-rewrite")
 
     @property
-    def _new_path(self) -> Path:
+    def _rewrite_path(self) -> Path:
         return self.path.parent / (self.path.name + ".new")
 
     def read(self) -> list[Record]:
-        """All complete records at once; else as `open`."""
+        """Open the file as `open` does, and return all its records."""
         return list(self.open())
 
     def open(self) -> Iterator[Record]:
-        """Open the file for appending, its torn tail cut off.
+        """Truncate a torn tail and open the file for appending.
 
-        :returns: its records, read as they are asked for, which has to be before the first rewrite
+        :returns: its records, read lazily; they have to be consumed before the first rewrite
         :raises JournalDamagedError: a record that had been synced can't be read
         :raises OSError: the disk failed
         """
         self.path.parent.mkdir(parents=True, exist_ok=True)
-        self._new_path.unlink(missing_ok=True)
+        self._rewrite_path.unlink(missing_ok=True)
         end = self._end_of_records() if self.path.exists() else 0
         self._open(end)
         return self._records(end)
@@ -167,42 +170,42 @@
         file = os.open(self.path, os.O_RDWR | os.O_CREAT, 0o644)
         os.ftruncate(file, end)
         os.fsync(file)
-        _sync_folder(self.path.parent)
+        _sync_directory(self.path.parent)
         self._file = file
         self.size = end
         self._synced = end
 
     def append(self, kind: int, payload: bytes) -> None:
-        """Queue a record; it is on disk once a `sync` called later has returned True."""
+        """Queue a record. It is on disk once a `sync` that was called later has returned True."""
         record = pack(kind, payload, self._synced)
         self._pending.append(record)
         self.size += len(record)
-        if self._new is not None:
-            self._new.add(kind, payload)
+        if self._rewrite_file is not None:
+            self._rewrite_file.add(kind, payload)
 
     async def sync(self) -> bool:
-        """Everything appended so far is on disk. False: the disk has failed."""
+        """Wait until everything appended so far is on disk. Return False if the disk has failed."""
         if self.failed is not None:
             return False
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._waiting.append(future)
-        if self._flushing is None or self._flushing.done():
-            self._flushing = asyncio.ensure_future(self._flush())
+        self._sync_waiters.append(future)
+        if self._flush_task is None or self._flush_task.done():
+            self._flush_task = asyncio.ensure_future(self._flush())
         return await future
 
     async def _flush(self) -> None:
-        while self._waiting and self.failed is None:
-            async with self._in_use:
-                waiting = self._waiting
-                self._waiting = []
-                began_at = asyncio.get_running_loop().time()
+        while self._sync_waiters and self.failed is None:
+            async with self._file_lock:
+                waiters = self._sync_waiters
+                self._sync_waiters = []
+                started_at = asyncio.get_running_loop().time()
                 await self._write_pending()
-                self.sync_times.observe(asyncio.get_running_loop().time() - began_at)
-            self._complete(waiting)
+                self.sync_times.observe(asyncio.get_running_loop().time() - started_at)
+            self._resolve(waiters)
         if self.failed is not None:
-            waiting = self._waiting
-            self._waiting = []
-            self._complete(waiting)
+            waiters = self._sync_waiters
+            self._sync_waiters = []
+            self._resolve(waiters)
 
     async def _write_pending(self) -> None:
         if self.failed is not None:
@@ -212,21 +215,21 @@
         try:
             await self._in_thread(self._write, data)
         except OSError as error:
-            if error.errno in NO_ROOM and self._new is not None:
-                await self._write_without_rewrite(data, self._new)
+            if error.errno in NO_SPACE_ERRNOS and self._rewrite_file is not None:
+                await self._write_without_rewrite(data, self._rewrite_file)
             else:
                 self._fail(error)
 
     async def _write_without_rewrite(self, data: bytes, new: _RewriteFile) -> None:
-        """The disk is full, perhaps by a rewrite's second file: abandon that, and try once more."""
+        """Abandon the rewrite, whose new file may have filled the disk, and retry the write once."""
         try:
             await self._in_rewrite_thread(new.abandon)
             await self._in_thread(self._write, data)
         except OSError as error:
             self._fail(error)
 
-    def _complete(self, waiting: list[asyncio.Future[bool]]) -> None:
-        for future in waiting:
+    def _resolve(self, waiters: list[asyncio.Future[bool]]) -> None:
+        for future in waiters:
             if not future.done():
                 future.set_result(self.failed is None)
 
@@ -239,7 +242,7 @@
 
     def _write(self, data: bytes) -> None:
         assert self._file is not None
-        os.lseek(self._file, self._synced, os.SEEK_SET)  # what a failed write has left is written over
+        os.lseek(self._file, self._synced, os.SEEK_SET)  # overwrites the remains of a failed write
         _write_all(self._file, data)
         os.fsync(self._file)
         self._synced += len(data)
@@ -247,40 +250,43 @@
     # Rewrite -------------------------------------------------------------------------------------
 
     async def rewrite(self, live: LiveSlices) -> bool:
-        """Replace the file by one that holds the live state, while the log is in use: appends and syncs go on.
+        """Replace the file by one that holds the live state, while appends and syncs go on.
 
-        Each slice is asked for in a turn of the loop of its own, and has to tell its part of the state as it is then.
-        What is appended meanwhile stands between the slices in the order of time, so a record about a part may come
-        before that part's slice, and the reader of the file has to bear that. Power may go at any step: the old file
-        or the new one is there, complete, and either has all that was acknowledged.
+        Each slice is produced in its own iteration of the event loop and has to represent its part of the state at
+        that time. Records appended meanwhile are written between the slices in chronological order. A record about a
+        part may therefore precede that part's slice, and readers of the file have to accept that. After a power loss
+        at any step, either the old file or the new one is present and complete, and contains all that was acknowledged.
 
-        :returns: False if nothing was replaced; `failed` tells whether the journal still works
+        :returns: False if the file was not replaced; `failed` then tells whether the journal is still usable
         """
-        if self._new is not None or self.failed is not None:
+        if self._rewrite_file is not None or self.failed is not None:
             return False
-        new = _RewriteFile(self._new_path)
-        self._new = new
+        new = _RewriteFile(self._rewrite_path)
+        self._rewrite_file = new
         try:
-            await self._fill(new, live())
+            await self._write_slices(new, live())
             await self._catch_up(new)
-            async with self._in_use:
+            async with self._file_lock:
                 return await self._switch(new)
         except OSError as error:
             self._rewrite_failed(new, error)
             return False
         finally:
-            self._new = None
+            self._rewrite_file = None
             self._rewrite_thread.submit(new.discard)
 
     def abandon_rewrite(self) -> None:
-        """End a rewrite that is under way, if slices are still to come: what follows must not stand among them."""
-        if self._new is not None:
-            self._new.abandoned = errno.ECANCELED
+        """Abandon a rewrite in progress unless all its data has been written.
+
+        For a caller whose next records must not stand between the slices.
+        """
+        if self._rewrite_file is not None:
+            self._rewrite_file.abandon_errno = errno.ECANCELED
 
     async def _in_rewrite_thread(self, step: Callable[..., None], *args: object) -> None:
         await asyncio.get_running_loop().run_in_executor(self._rewrite_thread, step, *args)
 
-    async def _fill(self, new: _RewriteFile, slices: Iterable[Slice]) -> None:
+    async def _write_slices(self, new: _RewriteFile, slices: Iterable[Slice]) -> None:
         for part in slices:
             for kind, payload in part:
                 new.add(kind, payload)
@@ -290,21 +296,24 @@
                 await asyncio.sleep(0)
 
     async def _catch_up(self, new: _RewriteFile) -> None:
-        """Have nearly all of it on disk before the log has to wait for the rest."""
+        """Write and sync nearly all records, so that syncs are blocked only briefly by the switch."""
         for _ in range(CATCH_UP_ROUNDS):
             await self._in_rewrite_thread(new.write_and_sync, new.take())
             if new.buffered <= CATCH_UP_BYTES:
                 return
 
     async def _switch(self, new: _RewriteFile) -> bool:
-        """Put the new file in the old one's place. The log is not being written, and what is pending is in both."""
+        """Replace the old file by the new one.
+
+        The caller holds the file lock, so the old file is not being written; pending records are buffered for both.
+        """
         if self.failed is not None:
             return False
         try:
             await self._in_rewrite_thread(new.replace, new.take(), self.path)
         except OSError:
             raise
-        except BaseException as error:  # cancelled: nobody knows which file is in place
+        except BaseException as error:  # cancelled: it is unknown which file is in place
             self._fail(error)
             raise
         assert self._file is not None
@@ -319,14 +328,17 @@
     def _rewrite_failed(self, new: _RewriteFile, error: OSError) -> None:
         if error.errno == errno.ECANCELED and not new.renaming:
             log("journal_rewrite_abandoned", file=self.path.name)
-        elif error.errno in NO_ROOM and not new.renaming:
+        elif error.errno in NO_SPACE_ERRNOS and not new.renaming:
             log("journal_rewrite_no_room", level="WARNING", file=self.path.name, error=error)
         else:
             self._fail(error)
 
 
 def open_journal(path: Path) -> tuple[Journal, Iterator[Record]]:
-    """The journal and its records. A damaged one is renamed, and a new, empty one begun. Raises OSError."""
+    """Open a journal and return it with its records. A damaged one is renamed and replaced by an empty one.
+
+    :raises OSError: the disk failed
+    """
     journal = Journal(path)
     try:
         return journal, journal.open()
--- a/tests/runtime/test_journal.py
+++ b/tests/runtime/test_journal.py
@@ -293,8 +293,8 @@
         """A sync that ends when the machine stops, too."""
         syncing = asyncio.ensure_future(made.sync())
         await asyncio.sleep(0)
-        assert made._flushing is not None
-        await made._flushing
+        assert made._flush_task is not None
+        await made._flush_task
         return await syncing
 
     async def _until(self, stop_at: int) -> tuple[FakePower, list[int], bool]:
