--- a/otterreach/runtime/journal_format.py
+++ b/otterreach/runtime/journal_format.py
@@ -1,8 +1,9 @@
-"""The format of a journal file: records with checksums, one after the other. How a file is read, whatever its end.
+"""The format of a journal file, a sequence of checksummed records, and the reader that handles a torn tail.
 
-A record is <length, crc32, synced, kind> and its payload; `synced` is how far the file was surely on disk when the
-record was written. Reading stops at the first record that is not complete: after a loss of power what follows was never
-synced. If a later record says that the disk had it, the file is damaged, and that is reported.
+A record is <length, crc32, synced, kind> and its payload; `synced` is the offset up to which the file was known to be
+on disk when the record was written. Reading stops at the first incomplete record: after a power loss, the bytes from
+there on were never synced. If the `synced` offset of a later record lies beyond the start of the incomplete one, the
+incomplete one had been synced, and the file is reported as damaged.
 """
 
 from __future__ import annotations
@@ -14,34 +15,37 @@
 from dataclasses import dataclass
 from typing import BinaryIO
 
-HEADER = struct.Struct("<IIQB")  # length of the payload, crc32 of what follows it, synced, kind
+HEADER = struct.Struct("<IIQB")  # length of the payload, crc32 of the fields after it and the payload, synced, kind
 SYNCED = struct.Struct("<Q")
-SYNCED_OFFSET = 8  # in the header
+SYNCED_OFFSET = 8  # offset of `synced` in the header
 MAX_RECORD_BYTES = 128 * 1024 * 1024
-SEARCH_BYTES = 1024 * 1024  # how far past a bad record a good one is looked for
+SEARCH_BYTES = 1024 * 1024  # range after a bad record that is searched for a valid one
 
 Record = tuple[int, bytes]  # kind, payload
 
 
 class JournalDamagedError(Exception):
-    """A record that had been synced can't be read any more."""
+    """A record that had been synced can't be read."""
 
 
 def pack(kind: int, payload: bytes, synced: int) -> bytes:
-    """A record as it stands in the file."""
+    """Return the encoded form of a record."""
     tail = struct.pack("<QB", synced, kind)
     crc = zlib.crc32(payload, zlib.crc32(tail))
     return struct.pack("<II", len(payload), crc) + tail + payload
 
 
 def scan(data: bytes) -> tuple[list[Record], int]:
-    """The complete records from the start, and where they end. Raises JournalDamagedError."""
+    """Return the complete records from the start, and the offset at which they end. Raise JournalDamagedError."""
     end = end_of_records(io.BytesIO(data), len(data))
     return list(records_up_to(io.BytesIO(data), end)), end
 
 
 def end_of_records(file: BinaryIO, size: int) -> int:
-    """Where the complete records of a file end. One record at a time is in memory. Raises JournalDamagedError."""
+    """Return the offset at which the complete records of a file end. Only one record at a time is in memory.
+
+    :raises JournalDamagedError: a record after that offset had been synced
+    """
     position = 0
     while (found := _read_record(file, size - position)) is not None:
         position += HEADER.size + len(found.payload)
@@ -50,7 +54,7 @@
 
 
 def records_up_to(file: BinaryIO, end: int) -> Iterator[Record]:
-    """The records up to an end that `end_of_records` has found."""
+    """Return the records up to an offset that `end_of_records` has returned."""
     position = 0
     while position < end:
         length, _, _, kind = HEADER.unpack(file.read(HEADER.size))
@@ -65,21 +69,26 @@
 
 
 def _check_tail(file: BinaryIO, end: int, size: int) -> None:
-    """What follows the last complete record must never have been synced."""
+    """Raise JournalDamagedError if a valid record after `end` shows that the bytes at `end` had been synced."""
     file.seek(end)
     tail = file.read(SEARCH_BYTES + HEADER.size)
     for offset in range(1, min(len(tail) - HEADER.size + 1, SEARCH_BYTES)):
         later = end + offset
         (synced,) = SYNCED.unpack_from(tail, offset + SYNCED_OFFSET)
-        if not end < synced <= later:  # a checksum at each byte would take minutes
+        if not end < synced <= later:  # implausible; computing a checksum at every offset would take minutes
             continue
         file.seek(later)
         if (found := _read_record(file, size - later)) is not None:
-            raise JournalDamagedError(f"record at byte {end} is bad, though {found.synced} bytes had been synced")
+            raise JournalDamagedError(
+                f"bad record at offset {end}, though the file had been synced up to offset {found.synced}"
+            )
 
 
 def _read_record(file: BinaryIO, left: int) -> _FoundRecord | None:
-    """The record at the file's position; None if it isn't complete."""
+    """Return the record at the file's position, or None if it is incomplete or its checksum is wrong.
+
+    :param left: bytes of the file from the position on
+    """
     if left < HEADER.size:
         return None
     header = file.read(HEADER.size)
