--- a/otterreach/runtime/codec.py
+++ b/otterreach/runtime/codec.py
@@ -1,8 +1,8 @@
-"""Messages between own processes as flatbuffers tables.
+"""The encoding of messages between the processes of the system as flatbuffers tables.
 
-A message is a dataclass with a number; its fields, in order, are the slots of its table. `schema` writes the .fbs
-text of a module's messages, so that the schema in the repository and the classes can be held against each other.
-Fields: int (long), bool, float (double), str (string), bytes ([ubyte]), list of int, str or of messages.
+A message is a dataclass with a number; its fields, in order, are the slots of its table. `schema` generates the .fbs
+text of a module's messages, so that a test can compare the schemas in the repository with the classes. Field types are
+int (long), bool, float (double), str (string), bytes ([ubyte]), and lists of int, str or messages.
 """
 
 from __future__ import annotations
@@ -17,7 +17,8 @@
 if "numpy" in sys.modules:
     from flatbuffers.builder import Builder
 else:
-    # flatbuffers loads numpy wherever it is installed, for arrays that no message here has: half of a start's time.
+    # flatbuffers imports numpy if it is installed, which takes half of a process's start time. It needs numpy only
+    # for arrays, which no message here has, so an empty module takes its place during the import.
     sys.modules["numpy"] = ModuleType("numpy")
     try:
         from flatbuffers.builder import Builder
@@ -32,38 +33,40 @@
 
 
 class Request(Generic[ReplyT_co]):
-    """The base of messages that are answered: `Request[Pong]` is answered by a Pong, or by a Failure."""
+    """The base class of requests: the reply to a `Request[Pong]` is a Pong or a Failure."""
 
     __slots__ = ()
 
 
 @dataclass(frozen=True, slots=True)
 class FieldPlan:
-    """How one field of a message is written."""
+    """The encoding of one field of a message."""
 
     name: str
-    kind: Any  # its type; `list` for a list
-    element: Any = None  # the type of a list's elements
+    kind: Any  # type of the field; `list` for a list
+    element: Any = None  # type of the elements of a list
 
 
-REGISTRY: dict[int, type] = {}  # by number
-NUMBERS: dict[type, int] = {}
-REPLIES: dict[type, type] = {}  # the type that a request is answered by
-_PLANS: dict[type, list[FieldPlan]] = {}
+REGISTRY: dict[int, type] = {}  # message classes by number
+NUMBERS: dict[type, int] = {}  # numbers by message class
+REPLIES: dict[type, type] = {}  # reply types by request type
+_FIELD_PLANS: dict[type, list[FieldPlan]] = {}
 
 
 class MessageError(ValueError):
-    """Bytes that are no such message."""
+    """The bytes can't be decoded as the message."""
 
 
 def message(number: int) -> Callable[[type[T]], type[T]]:
-    """Register a dataclass as message `number`; 0 for a table that only stands inside others."""
+    """Register a dataclass as message `number`; 0 for a table that occurs only nested in others."""
 
     def register(cls: type[T]) -> type[T]:
-        """Enter the class into the registry, with the type of its reply if it is a request."""
+        """Add the class to the registry, and the type of its reply if it is a request."""
         if number:
             if number in REGISTRY:
-                raise ValueError(f"message number {number} is taken by {REGISTRY[number].__name__}")
+                raise ValueError(
+                    f"message number {number} of {cls.__name__} is already used by {REGISTRY[number].__name__}"
+                )
             REGISTRY[number] = cls
             NUMBERS[cls] = number
             for base in getattr(cls, "__orig_bases__", ()):
@@ -73,14 +76,14 @@
     return register
 
 
-def _plan(cls: type) -> list[FieldPlan]:
-    """The fields in the order of their slots."""
-    plan = _PLANS.get(cls)
-    if plan is None:
+def _field_plans(cls: type) -> list[FieldPlan]:
+    """Return the encodings of a class's fields in the order of their slots."""
+    plans = _FIELD_PLANS.get(cls)
+    if plans is None:
         hints = get_type_hints(cls)
-        plan = [_plan_field(field.name, hints[field.name]) for field in fields(cls)]
-        _PLANS[cls] = plan
-    return plan
+        plans = [_plan_field(field.name, hints[field.name]) for field in fields(cls)]
+        _FIELD_PLANS[cls] = plans
+    return plans
 
 
 def _plan_field(name: str, hint: Any) -> FieldPlan:
@@ -103,9 +106,9 @@
 
 
 def _build(builder: Builder, value: Any) -> int:
-    plan = _plan(type(value))
+    plans = _field_plans(type(value))
     offsets: list[int] = []
-    for field in plan:
+    for field in plans:
         content = getattr(value, field.name)
         if field.kind is list:
             offsets.append(_vector(builder, field.element, content) if content else 0)
@@ -115,8 +118,8 @@
             offsets.append(builder.CreateByteVector(content) if content else 0)
         else:
             offsets.append(0)
-    builder.StartObject(len(plan))
-    for slot, field in enumerate(plan):
+    builder.StartObject(len(plans))
+    for slot, field in enumerate(plans):
         content = getattr(value, field.name)
         if field.kind is int:
             builder.PrependInt64Slot(slot, content, 0)
@@ -130,9 +133,9 @@
 
 
 def _size(value: Any) -> int:
-    """About how many bytes a message takes, so that the builder need not grow."""
+    """Return the approximate size of a message in bytes, from which the builder allocates its buffer."""
     size = 64
-    for field in _plan(type(value)):
+    for field in _field_plans(type(value)):
         content = getattr(value, field.name)
         if field.kind is bytes or field.kind is str:
             size += len(content) + 16
@@ -142,7 +145,7 @@
 
 
 def encode(value: Any) -> bytes:
-    """The message as a flatbuffer, without its number."""
+    """Encode a message as a flatbuffer, which does not contain its number."""
     builder = Builder(_size(value))
     builder.Finish(_build(builder, value))
     return bytes(builder.Output())
@@ -151,7 +154,7 @@
 def _read(cls: type, buffer: bytes, position: int) -> Any:
     table = Table(buffer, position)
     values = []
-    for slot, field in enumerate(_plan(cls)):
+    for slot, field in enumerate(_field_plans(cls)):
         offset = table.Offset(4 + 2 * slot)
         values.append(_read_field(table, offset, field, buffer) if offset else _default(field.kind))
     return cls(*values)
@@ -184,10 +187,10 @@
 
 
 def decode(number: int, buffer: bytes) -> Any:
-    """The message of that number. Raises MessageError."""
+    """Decode the message with that number. Raise MessageError."""
     cls = REGISTRY.get(number)
     if cls is None:
-        raise MessageError(f"no message has number {number}")
+        raise MessageError(f"unknown message number {number}")
     try:
         return _read(cls, buffer, struct.unpack_from("<I", buffer, 0)[0])
     except (struct.error, IndexError, UnicodeDecodeError, TypeError, ValueError, OverflowError, MemoryError) as error:
@@ -195,7 +198,7 @@
 
 
 def decode_as(kind: type[T], buffer: bytes) -> T:
-    """The message of that type. Raises MessageError."""
+    """Decode a message of that type. Raise MessageError."""
     value: T = decode(NUMBERS[kind], buffer)
     return value
 
@@ -204,12 +207,12 @@
 
 
 def schema(module: str) -> str:
-    """The .fbs text of the messages that `module` defines, by number."""
+    """Return the .fbs text of the messages that `module` defines, in the order of their numbers."""
     classes: dict[str, type] = {}
 
     def add(cls: type) -> None:
-        """Collect a table after those that stand inside it."""
-        for field in _plan(cls):
+        """Add a table after the tables that are nested in it."""
+        for field in _field_plans(cls):
             if isinstance(field.element, type) and field.element not in _SCHEMA_TYPES:
                 add(field.element)
         classes.setdefault(cls.__name__, cls)
@@ -221,7 +224,7 @@
     for name, cls in classes.items():
         number = NUMBERS.get(cls, 0)
         lines.append(f"table {name} {{" + (f"  // message {number}" if number else ""))
-        lines += [f"  {field.name}:{_schema_type(field)};" for field in _plan(cls)]
+        lines += [f"  {field.name}:{_schema_type(field)};" for field in _field_plans(cls)]
         lines += ["}", ""]
     return "\n".join(lines)
 
--- a/otterreach/runtime/records.py
+++ b/otterreach/runtime/records.py
@@ -1,8 +1,8 @@
-"""Typed records of the control state: one class for each kind of item, and its stored form.
+"""Typed records of the control state: one class for each kind of item, with its stored form.
 
-An item's key is the kind, a slash and the item's name; of `config`, `core` and `collected` there is one each, and its
-key is the kind alone. Its value is a JSON object. Kinds, JSON keys and their order are stored data: they keep their
-form for good, and stand in this module (and for `config` in `configuration`) alone.
+An item's key is the kind, a slash and the item's name. The kinds `config`, `core` and `collected` have a single item
+each, whose key is the kind alone. The value is a JSON object. Kinds, JSON keys and their order are stored data and
+never change; they are defined only in this module (and for `config` in `configuration`).
 """
 
 from __future__ import annotations
@@ -22,36 +22,36 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its stored form."""
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Encode the record to its stored form."""
 
 
 class ItemChange(NamedTuple):
-    """A change of one item: its key and its new value. An empty value deletes the item."""
+    """A change of one item: the key and the new value. An empty value deletes the item."""
 
     key: str
     value: bytes
 
 
 def key_of(kind: type[Record], name: str = "") -> str:
-    """The key of an item. `name` is empty for a kind of which there is one item."""
+    """Return the key of an item. `name` is empty for a kind that has a single item."""
     return f"{kind.KIND}/{name}" if name else kind.KIND
 
 
 def put(record: Record, name: str = "") -> ItemChange:
-    """The change that stores a record."""
+    """Return the change that stores a record."""
     return ItemChange(key_of(type(record), name), record.encode())
 
 
 def delete(kind: type[Record], name: str = "") -> ItemChange:
-    """The change that deletes an item."""
+    """Return the change that deletes an item."""
     return ItemChange(key_of(kind, name), b"")
 
 
 class MemberRole(StrEnum):
-    """The role of a process, as it is stored."""
+    """The role of a process, by its stored value."""
 
     CONTROLLER = "core"
     PROXY = "front"
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """A machine of the system that has announced itself, by its node name."""
+    """A machine that has joined the membership, by its node name."""
 
     KIND: ClassVar[str] = "member"
 
@@ -68,20 +68,20 @@
     address: str  # host:port of its RPC listener
     zone: str = ""
     region: str = ""
-    disk: str = ""  # the id on its disk; empty if it keeps none
+    disk: str = ""  # id stored on the disk; empty if the role has no disk
 
     def id(self, node: str) -> str:
-        """The member's id, which a machine with another disk at the same node doesn't share."""
+        """Return the member id, which differs for a machine with another disk under the same node name."""
         return member_id(node, self.disk)
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its stored form."""
         raw = json.loads(value)
         return cls(raw["role"], raw.get("address", ""), raw.get("zone", ""), raw.get("region", ""), raw.get("disk", ""))
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Encode the record to its stored form."""
         raw = {
             "role": self.role,
             "address": self.address,
@@ -93,7 +93,7 @@
 
 
 class ServerState(StrEnum):
-    """Whether a model server takes requests, as it is stored."""
+    """The state of a model server, by its stored value."""
 
     UP = "up"
     DRAINING = "draining"
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelVersion:
-    """A model that a server has loaded, and the version of its weights."""
+    """A model that a server has loaded, with the version of its weights."""
 
     name: str
     version: int
@@ -109,31 +109,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRecord:
-    """One incarnation of a model server, by its id: what its heartbeats have told."""
+    """The state of one incarnation of a model server, from its heartbeats; by the server's id."""
 
     KIND: ClassVar[str] = "server"
 
     service: str
     address: str  # host:port
     zone: str
-    capacity: int  # requests that it runs at once
-    state: str  # a ServerState
+    capacity: int  # maximum number of concurrent requests
+    state: str  # value of a ServerState
     models: tuple[ModelVersion, ...] = ()
     warmup_left_ms: int = 0
-    calls: int = 0  # rises with each heartbeat of an incarnation: a late one is known by it
-    silent: bool | None = None  # whether its heartbeats have stopped; None until somebody has looked
+    calls: int = 0  # increases with each heartbeat of an incarnation, so that late heartbeats can be detected
+    silent: bool | None = None  # true if the heartbeats have stopped; None until that has been checked
 
     @property
     def is_up(self) -> bool:
-        """Whether it takes requests."""
+        """True if the server accepts requests."""
         return self.state == ServerState.UP
 
     def version_of(self, model: str) -> int | None:
-        """The version of a model that this server has; None if it doesn't serve the model."""
+        """Return the loaded version of a model, or None if the server doesn't serve the model."""
         return next((loaded.version for loaded in self.models if loaded.name == model), None)
 
     def with_version(self, model: str, version: int) -> ServerRecord:
-        """The record once a version has been loaded. Versions only rise within an incarnation."""
+        """Return the record after a version has been loaded. Versions never decrease within an incarnation."""
         models = tuple(
             ModelVersion(loaded.name, max(version, loaded.version)) if loaded.name == model else loaded
             for loaded in self.models
@@ -142,7 +142,7 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its stored form."""
         raw = json.loads(value)
         return cls(
             service=str(raw.get("backend", "")),
@@ -160,7 +160,7 @@
         )
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Encode the record to its stored form."""
         raw: dict[str, Any] = {
             "backend": self.service,
             "addr": self.address,
@@ -178,35 +178,35 @@
 
 @dataclass(frozen=True, slots=True)
 class PartitionRecord:
-    """Who keeps a partition of the batch jobs in an epoch, by the partition's number. Members are member ids."""
+    """The replicas of a partition of the batch jobs in an epoch, as member ids; by the partition's number."""
 
     KIND: ClassVar[str] = "part"
 
     epoch: int
     primary: str
     backups: tuple[str, ...] = ()
-    learners: tuple[str, ...] = ()  # being filled; they become backups once they are in sync
+    learners: tuple[str, ...] = ()  # replicas that are catching up; they become backups once they are in sync
 
     @property
     def members(self) -> tuple[str, ...]:
-        """Those that hold all acknowledged writes."""
+        """The members of the epoch, which hold all acknowledged writes."""
         return (self.primary, *self.backups)
 
     @property
     def replicas(self) -> tuple[str, ...]:
-        """All that hold something of the partition, learners included."""
+        """All members that hold data of the partition, learners included."""
         return (*self.members, *self.learners)
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its stored form."""
         raw = json.loads(value)
         backups = raw.get("backups") or ()
         learners = raw.get("joining") or ()
         return cls(raw["epoch"], str(raw.get("primary") or ""), tuple(backups), tuple(learners))
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Encode the record to its stored form."""
         raw = {
             "epoch": self.epoch,
             "primary": self.primary,
@@ -218,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionRecord:
-    """The newest version of a model's weights that a trainer has named, by the model's name."""
+    """The newest version of a model's weights that a trainer has announced, by the model's name."""
 
     KIND: ClassVar[str] = "version"
 
@@ -226,17 +226,17 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its stored form."""
         return cls(int(json.loads(value)["gen"]))
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Encode the record to its stored form."""
         return json.dumps({"gen": self.version}).encode()
 
 
 @dataclass(frozen=True, slots=True)
 class RetirementRecord:
-    """An order to empty a job store machine, by its node name. It is meant for one disk."""
+    """An order to decommission a job store machine, by its node name. It applies only to the given disk."""
 
     KIND: ClassVar[str] = "retire"
 
@@ -244,102 +244,102 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its stored form."""
         return cls(json.loads(value).get("disk", ""))
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Encode the record to its stored form."""
         return json.dumps({"disk": self.disk}).encode()
 
 
 @dataclass(frozen=True, slots=True)
 class OrderLeaseRecord:
-    """Which proxy may send weight orders to a model server, by the server's id.
+    """The lease of the proxy that may send weight orders to a model server, by the server's id.
 
     The revision of the item is the fencing token of the orders.
     """
 
     KIND: ClassVar[str] = "duty"
 
-    holder: str  # the proxy's node name
-    wait_ms: int = 0  # how long the holder waits before its first order: the lease of the one before may still run
+    holder: str  # node name of the proxy
+    wait_ms: int = 0  # delay before the holder's first order, since the previous lease may not have expired yet
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its stored form."""
         raw = json.loads(value)
         return cls(raw["holder"], raw.get("wait_ms", 0))
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Encode the record to its stored form."""
         return json.dumps({"holder": self.holder, "wait_ms": self.wait_ms}).encode()
 
 
 @dataclass(frozen=True, slots=True)
 class CoreRecord:
-    """The controllers of the present epoch, for all other processes."""
+    """The controllers of the current epoch, published to all other processes."""
 
     KIND: ClassVar[str] = "core"
 
     controllers: tuple[str, ...]  # addresses, in order
-    primary: str  # its address
+    primary: str  # address of the primary controller
     epoch: int
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its stored form."""
         raw = json.loads(value)
         return cls(tuple(raw["registrars"]), raw["primary"], raw.get("number", 0))
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Encode the record to its stored form."""
         raw = {"registrars": list(self.controllers), "primary": self.primary, "number": self.epoch}
         return json.dumps(raw).encode()
 
 
 @dataclass(frozen=True, slots=True)
 class CollectedRecord:
-    """Up to which revision tombstones are dropped at every replica (controller/tombstones.py)."""
+    """The revision up to which every replica drops tombstones (controller/tombstones.py)."""
 
     KIND: ClassVar[str] = "collected"
 
     revision: int = 0
-    period_ends: tuple[int, ...] = ()  # the state's revision at the end of each of the last periods
+    period_ends: tuple[int, ...] = ()  # revision of the state at the end of each of the last periods
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its stored form."""
         raw = json.loads(value)
         return cls(int(raw["rev"]), tuple(raw.get("marks") or ()))
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Encode the record to its stored form."""
         return json.dumps({"rev": self.revision, "marks": list(self.period_ends)}).encode()
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptedChange:
-    """An accepted change of the configuration, by its slot in a ring (controller/change_history.py)."""
+    """An accepted change of the configuration, by its slot in a ring buffer (controller/change_history.py)."""
 
     KIND: ClassVar[str] = "change"
 
-    base: int  # the version of the configuration that it was accepted on
-    digest: str  # of the call that made it
+    base: int  # version of the configuration that the change was applied to
+    digest: str  # digest of the call that made the change
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its stored form."""
         raw = json.loads(value)
         return cls(raw["base"], raw["digest"])
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Encode the record to its stored form."""
         return json.dumps({"base": self.base, "digest": self.digest}, separators=(",", ":")).encode()
 
 
 @dataclass(frozen=True, slots=True)
 class FormerChangeList:
-    """The one item that kept the last changes before there was an item for each. It is only ever deleted."""
+    """The single item in which earlier versions kept the last changes. This version only deletes it."""
 
     KIND: ClassVar[str] = "taken"
 
@@ -347,9 +347,9 @@
 
     @classmethod
     def decode(cls, value: bytes) -> Self:
-        """The record from its stored form."""
+        """Decode a record from its stored form."""
         return cls(value)
 
     def encode(self) -> bytes:
-        """The stored form."""
+        """Encode the record to its stored form."""
         return self.value
