--- a/otterreach/runtime/configuration.py
+++ b/otterreach/runtime/configuration.py
@@ -1,6 +1,6 @@
-"""The operator's configuration as it is in force: which route a request takes, and what holds there.
+"""The operator's configuration in force: routes, services, and limits for clients.
 
-The controller has validated what stands in the item `config` (controller/config_schema.py); nothing is rejected here.
+The controller has validated the document in the item `config` (controller/config_schema.py); nothing is rejected here.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 ROLLOUT = "rollout"
 
 MS_PER_S = 1000.0
-MAX_TIME_S = 1e7  # four months: longer times of a configuration mean the same, and overflow what they are added to
+MAX_TIME_S = 1e7  # four months; longer times of a configuration are equivalent, and could overflow sums
 DEFAULT_TIMEOUT_MS = 30_000
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationRecord:
-    """The item `config`: the operator's document as it came, fields that are not known here included."""
+    """The item `config`: the operator's document as received, including fields that are unknown here."""
 
     KIND: ClassVar[str] = "config"
 
@@ -31,7 +31,7 @@
 
     @property
     def version(self) -> int:
-        """The number of this version; it only rises."""
+        """The number of the version, which increases with each change."""
         return int(self.document.get("gen") or 0)
 
     @classmethod
@@ -60,23 +60,23 @@
     single: bool
     due_s: float
     max_wait_s: float
-    split: tuple[tuple[str, float], ...]  # service and weight, those above 0 only
-    services: frozenset[str]  # all that it names, whatever their weights
+    split: tuple[tuple[str, float], ...]  # services with a weight above 0, and their weights
+    services: frozenset[str]  # all services that the route names, regardless of their weights
 
     @property
     def streams(self) -> bool:
-        """Whether its answers are streams of events."""
+        """True if the answers are streams of events."""
         return self.kind in (STREAM, ROLLOUT)
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request may run more than once."""
+        """True if a request may be executed more than once."""
         if self.kind == STREAM:
             return self.resume
         return self.kind in (IDEMPOTENT, ROLLOUT)
 
     def allows(self, service: str) -> bool:
-        """Whether requests may go to this service."""
+        """Return True if requests may be forwarded to the service."""
         return any(name == service for name, _ in self.split)
 
 
@@ -86,12 +86,12 @@
 
     name: str
     probe: str
-    max_connections: int  # of all proxies together; 0: no limit
+    max_connections: int  # limit for all proxies together; 0 for no limit
 
 
 @dataclass(frozen=True, slots=True)
 class Caps:
-    """What a client may send, in bytes, and how long it may take or stay idle, in seconds."""
+    """Limits for clients: sizes of headers and bodies in bytes, header and idle time-outs in seconds."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 32 * 1024 * 1024
@@ -108,26 +108,28 @@
 def _split(raw: dict[str, Any]) -> tuple[tuple[str, float], ...]:
     if raw.get("split"):
         rows = [(str(row["backend"]), float(row.get("weight", 0))) for row in raw["split"]]
-        if not isfinite(sum(weight for _, weight in rows)):  # each is finite, and no draw can be made by their sum
+        if not isfinite(
+            sum(weight for _, weight in rows)
+        ):  # each weight is finite, but their sum overflows, and weighted selection needs it
             rows = [(name, weight / len(rows)) for name, weight in rows]
         return tuple((name, weight) for name, weight in rows if weight > 0)
     return ((str(raw["backend"]), 1.0),) if raw.get("backend") else ()
 
 
 def host_key(host: str) -> str:
-    """A Host header as routes are found by: without a port, in lower case."""
+    """Normalize a Host header for route lookup: without the port, in lower case."""
     name, colon, port = host.strip().rpartition(":")
     return (name if colon and port.isdigit() else host.strip()).lower()
 
 
 def _time_s(value: float | None, units_per_s: float, default_s: float) -> float:
-    """A time of the document in seconds. Absent, 0 or less: the default; a huge one is cut to MAX_TIME_S."""
+    """Convert a time of the document to seconds, at most MAX_TIME_S; the default if it is absent, 0 or negative."""
     seconds = float(value or 0) / units_per_s
     return min(seconds, MAX_TIME_S) if seconds > 0 else default_s
 
 
 def read_route(raw: dict[str, Any]) -> Route:
-    """A route from the document."""
+    """Read a route of the document."""
     return Route(
         name=str(raw["name"]),
         host=host_key(str(raw.get("host", ""))),
@@ -147,34 +149,34 @@
 
 
 def read_caps(raw: dict[str, Any]) -> Caps:
-    """The limits for clients; what is not given has its default."""
-    plain = Caps()
+    """Read the limits for clients, with defaults for absent ones."""
+    defaults = Caps()
     return Caps(
-        header_bytes=int(raw.get("headerBytes") or plain.header_bytes),
-        body_bytes=int(raw.get("bodyBytes") or plain.body_bytes),
-        header_s=_time_s(raw.get("headerMs"), MS_PER_S, plain.header_s),
-        idle_s=_time_s(raw.get("idleMs"), MS_PER_S, plain.idle_s),
+        header_bytes=int(raw.get("headerBytes") or defaults.header_bytes),
+        body_bytes=int(raw.get("bodyBytes") or defaults.body_bytes),
+        header_s=_time_s(raw.get("headerMs"), MS_PER_S, defaults.header_s),
+        idle_s=_time_s(raw.get("idleMs"), MS_PER_S, defaults.idle_s),
     )
 
 
 @dataclass(slots=True)
 class Configuration:
-    """One version of the configuration. Version 0: none has been accepted yet."""
+    """One version of the configuration; version 0 if none has been accepted yet."""
 
     version: int = 0
     caps: Caps = field(default_factory=Caps)
     services: dict[str, Service] = field(default_factory=dict)
     routes: list[Route] = field(default_factory=list)
-    item_services: frozenset[str] = frozenset()  # that items of batch jobs may go to
-    by_host: dict[str, list[Route]] = field(default_factory=dict)  # the longest prefix first
+    item_services: frozenset[str] = frozenset()  # services that may receive items of batch jobs
+    by_host: dict[str, list[Route]] = field(default_factory=dict)  # routes by host, the longest prefix first
     by_name: dict[str, Route] = field(default_factory=dict)
 
     def route_named(self, name: str) -> Route | None:
-        """The route of that name."""
+        """Return the route with that name, or None."""
         return self.by_name.get(name)
 
     def route(self, host: str, path: str) -> Route | None:
-        """The route of a request: its host, and the longest prefix that begins its path."""
+        """Return the route of a request, by its host and the longest prefix that matches its path, or None."""
         for route in self.by_host.get(host_key(host), ()):
             if path.startswith(route.prefix):
                 return route
@@ -182,7 +184,7 @@
 
 
 def read(record: ConfigurationRecord | None) -> Configuration:
-    """The configuration that the item `config` gives; an empty one if there is no item yet."""
+    """Read the configuration from the item `config`; an empty one if there is no item yet."""
     if record is None:
         return Configuration()
     raw = record.document
--- a/otterreach/runtime/node.py
+++ b/otterreach/runtime/node.py
@@ -1,4 +1,4 @@
-"""What every process of the system does besides its role: settings, calls, the store, heartbeats, signals."""
+"""The functions that all roles share: settings, RPC, the replicated store, membership, heartbeats and signals."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
 
 HEARTBEAT_INTERVAL_S = 0.25
 ANNOUNCE_RETRY_S = 0.15
-ANNOUNCED_CHECK_S = 1.0  # between two looks whether the announcement still stands in the control state
-ANNOUNCED_WAIT_S = 0.5  # after an announcement was taken: it may be on its way here
-ANNOUNCED_MAX_AGE_S = 1.5  # of the store, by which an announcement is taken to stand
+ANNOUNCED_CHECK_S = 1.0  # interval between checks that the control state still has the announcement
+ANNOUNCED_WAIT_S = 0.5  # delay after an accepted announcement, whose record may not have been replicated here yet
+ANNOUNCED_MAX_AGE_S = 1.5  # maximum age of the store at which a record found in it is trusted
 CONTROLLER_CALL_TIMEOUT_S = 0.8
 SHUTDOWN_CALL_TIMEOUT_S = 0.3
-WATCHERS = 2  # controllers that each member sends its heartbeats to
-SETTINGS_CHECK_S = 2.0  # the settings file may change without any signal
+WATCHERS = 2  # number of controllers that each member sends its heartbeats to
+SETTINGS_CHECK_S = 2.0  # interval between checks of the settings file, which may change without a SIGHUP
 
 
 @message(14)
 @dataclass(slots=True)
 class MemberAnnouncement(Request[Done]):
-    """A process to the primary controller: this machine is there."""
+    """From a process to the primary controller: requests that this machine is added to the membership."""
 
     node: str
-    disk: str  # the id on its disk; empty if it keeps none
+    disk: str  # id stored on the disk; empty if the role has no disk
     role: str
     address: str
     zone: str
@@ -52,7 +52,7 @@
 @message(17)
 @dataclass(slots=True)
 class MemberShutdown(Request[Done]):
-    """A process to the primary controller: it ends now, and others may take its work over."""
+    """From a process to the primary controller: it is shutting down, and others may take over its work."""
 
     node: str
     disk: str
@@ -61,20 +61,20 @@
 @message(15)
 @dataclass(slots=True)
 class Heartbeat:
-    """A process to its watchers, one way."""
+    """From a process to its watchers, one way."""
 
     node: str
     disk: str
 
 
 def watchers_in_order(node: str, controllers: list[str]) -> list[str]:
-    """The controllers on a hash ring, from a member's own position on: the first few that answer watch it."""
+    """Return the controllers in hash ring order from the member's position; the first reachable ones watch it."""
     position = zlib.crc32(node.encode())
     return sorted(controllers, key=lambda address: (zlib.crc32(address.encode()) - position) % 2**32)
 
 
 class Node:
-    """One process. Roles that have a disk set `disk` before `start`."""
+    """The part of a process that all roles share. Roles that have a disk set `disk` before `start`."""
 
     def __init__(self, settings: Settings, endpoint: Endpoint, random: Random | None = None) -> None:
         self.settings = settings
@@ -91,7 +91,7 @@
         return member_id(self.settings.node, self.disk)
 
     async def start(self, role: str) -> None:
-        """Listen, follow the control state, announce this member, send heartbeats."""
+        """Listen, follow the control state, announce this member and send heartbeats."""
         await self.endpoint.listen(self.settings.ip, self.settings.port)
         self.endpoint.spawn(self.follower.run())
         self.endpoint.spawn(self._keep_announced(role))
@@ -101,7 +101,7 @@
     # The controllers -----------------------------------------------------------------------------
 
     def controllers(self) -> list[str]:
-        """The addresses of all controllers that are known here, the primary's first."""
+        """Return the addresses of all known controllers, the primary's first."""
         follower = self.follower
         addresses = [follower.primary, *follower.controllers, *self.settings.seeds]
         return [address for address in dict.fromkeys(addresses) if address]
@@ -109,7 +109,7 @@
     async def call_primary(
         self, request: Request[ReplyT], timeout_s: float = CONTROLLER_CALL_TIMEOUT_S
     ) -> ReplyT | Failure:
-        """A call to the primary controller, wherever it is; the last Failure if no controller takes it."""
+        """Call the controllers in turn, the primary first; return the first reply, or the last Failure."""
         reply: ReplyT | Failure = Failure(Code.UNREACHABLE, "no controller is known")
         for address in self.controllers():
             reply = await self.endpoint.call(address, request, timeout_s)
@@ -117,7 +117,7 @@
                 break
         return reply
 
-    # Being known ---------------------------------------------------------------------------------
+    # Membership ----------------------------------------------------------------------------------
 
     async def _keep_announced(self, role: str) -> None:
         settings = self.settings
@@ -138,7 +138,7 @@
         return (known.disk, known.address, known.role) == (self.disk, self.settings.address, role)
 
     async def announce_shutdown(self) -> None:
-        """Tell the primary that this process ends, so that nobody has to wait for a time-out."""
+        """Notify the primary that this process is shutting down, so that its heartbeats need not time out first."""
         self.stopping.set()
         await self.call_primary(MemberShutdown(self.settings.node, self.disk), SHUTDOWN_CALL_TIMEOUT_S)
 
@@ -163,7 +163,7 @@
     # Settings ------------------------------------------------------------------------------------
 
     def reload(self) -> None:
-        """Read the settings file anew: it may name other seeds now."""
+        """Read the settings file again and apply changed seeds. An unusable file is logged and ignored."""
         try:
             new = settings_module.load()
         except SettingsError as error:
@@ -175,7 +175,7 @@
             self.follower.settings = new
 
     async def watch_settings(self) -> None:
-        """Reload the settings whenever their file has changed; for ever."""
+        """Reload the settings whenever the file has changed; never returns."""
         path = os.environ.get(settings_module.VARIABLE, "")
         last_change = 0
         while True:
@@ -190,7 +190,7 @@
 
 
 def run_role(main: Callable[[Settings], Coroutine[Any, Any, None]]) -> None:
-    """Run a role until it ends. Unusable settings end the program with a line that names the key."""
+    """Run a role until it ends. Exit with Code.SETTINGS and a line that names the key if the settings are unusable."""
     try:
         settings = settings_module.load()
     except SettingsError as error:
--- a/otterreach/runtime/settings.py
+++ b/otterreach/runtime/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process (YAML). Unknown fields are skipped; the one that can't be used is named."""
+"""The settings file of a process (YAML). Unknown fields are ignored; errors name the invalid field."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The platform's service levels (`slas`), in seconds where the file has milliseconds."""
+    """The platform's service levels (`slas`); all times in seconds, also those that the file has in milliseconds."""
 
     peer_lag_s: float
     reuse_s: float
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What the settings file says, at a start and whenever the file changes."""
+    """The contents of the settings file, read at the start and after each change of the file."""
 
     node: str
     machine: str
@@ -48,38 +48,38 @@
     region: str
     zones: dict[str, str]
     binds: dict[str, tuple[str, int]]
-    port: int  # where own processes call each other: the same on all machines
-    seeds: tuple[str, ...]  # their internal addresses
+    port: int  # RPC port, the same on all machines of the system
+    seeds: tuple[str, ...]  # RPC addresses of the peers in the file
     bootstrap: bool
     counted: bool
-    cores: float  # what a process gets, in cores
+    cores: float  # CPU share of the process, in cores
     ram_mb: int
     nofile: int
     disk_mb: int
     datadir: Path | None
     heartbeat_s: float
     contracts: frozenset[str]
-    survive_nodes: int  # machines that may be lost at once
-    survive_zones: int  # or zones, or regions: each by itself
-    survive_regions: int
+    survive_nodes: int  # number of machines that may be lost at once
+    survive_zones: int  # number of zones, independent of the other two
+    survive_regions: int  # number of regions, independent of the other two
     bounds: Bounds = field(repr=False)
 
     @property
     def address(self) -> str:
-        """Where other processes of the system reach this one."""
+        """The RPC address of this process, host:port."""
         return f"{self.ip}:{self.port}"
 
 
 def _address(text: str, key: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit():
-        raise SettingsError(f"setting {key}: {text!r} is no address")
+        raise SettingsError(f"setting {key}: expected host:port, got {text!r}")
     return host, int(port)
 
 
 def _bounds(row: Reader) -> Bounds:
     def ms(key: str, default: float) -> float:
-        """A bound in seconds, which the file has in milliseconds."""
+        """Return a bound in seconds that the file has in milliseconds."""
         return row.number(key, default) / 1000
 
     return Bounds(
@@ -108,17 +108,17 @@
 def _table(raw: dict[str, Any], key: str) -> dict[Any, Any]:
     table = raw.get(key) or {}
     if not isinstance(table, dict):
-        raise SettingsError(f"setting {key}: an object is needed")
+        raise SettingsError(f"setting {key}: expected an object, got {type(table).__name__}")
     return table
 
 
 def read(raw: Any) -> Settings:
-    """Check what was read from the file. Raises SettingsError, which names the key."""
+    """Validate the parsed file and return its settings. Raise SettingsError, which names the key."""
     row = Reader(raw, "")
     ip = row.text("ip")
     ports = row.items("portRange", required=True)
     if len(ports) != 2 or not all(isinstance(p, int) and 0 < p < 65536 for p in ports):
-        raise SettingsError("setting portRange: two ports are needed")
+        raise SettingsError(f"setting portRange: expected two ports from 1 to 65535, got {ports!r}")
     port = int(ports[0])
     seeds = tuple(f"{_address(str(peer), 'peers')[0]}:{port}" for peer in row.items("peers"))
     caps = row.child("caps", required=False)
@@ -153,12 +153,12 @@
 
 
 def load(path: str | None = None) -> Settings:
-    """The settings from the file that the environment names. Raises SettingsError."""
+    """Read the settings from the file at `path`, by default the one named by the environment. Raise SettingsError."""
     import yaml
 
     name = path or os.environ.get(VARIABLE, "")
     if not name:
-        raise SettingsError(f"setting (file): {VARIABLE} is not set")
+        raise SettingsError(f"setting (file): environment variable {VARIABLE} is not set")
     loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
     try:
         with Path(name).open(encoding="utf-8") as file:
