--- a/otterreach/runtime/http.py
+++ b/otterreach/runtime/http.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for calls with JSON bodies, one handler object for each resource."""
+"""A small HTTP/1.1 server for calls with JSON bodies. Its handler routes requests to resources."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 MAX_BODY = 36 * 1024 * 1024
 IDLE_TIMEOUT_S = 75.0
-LINGER_S = 2.0  # after an error: so long the client may go on sending before it is cut off
-MAX_PIPELINED = 8  # requests read ahead on one connection
-REQUEST_ID = b"request-id"  # given back in the answer
+LINGER_S = 2.0  # time after an error response in which the client may go on sending before the connection is aborted
+MAX_PIPELINED = 8  # maximum number of requests read ahead on one connection
+REQUEST_ID = b"request-id"  # header that is copied to the response
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The answer to a request."""
+    """The response to a request."""
 
     status: int
     body: bytes = b""
@@ -32,9 +32,9 @@
 
 
 def encode_reply(reply: Reply, close: bool, ident: bytes | None = None) -> bytes:
-    """The bytes of an answer.
+    """Encode a response.
 
-    :param ident: the id in the request's Request-Id, by which its caller knows the answer; None if it had none
+    :param ident: the Request-Id of the request, by which the caller matches the response; None if it had none
     """
     head = [
         f"HTTP/1.1 {reply.status} ".encode() + http1.PHRASES.get(reply.status, b"Status"),
@@ -51,28 +51,28 @@
 
 
 class _CallerConnection(AcceptedConnection):
-    """One connection: its requests are answered in order."""
+    """One connection, whose requests are handled one after the other."""
 
     def __init__(self, server: JsonServer) -> None:
         super().__init__()
         self.server = server
         self._parser = http1.RequestParser(MAX_BODY)
         self._queue: deque[http1.Request] = deque()
-        self._answering: asyncio.Task[None] | None = None
+        self._answer_task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._closing = False  # no further request is begun on it
+        self._closing = False  # true once no further request may be handled
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Register the open connection and start its idle timer."""
         super().connection_made(transport)
         self.server.callers.add(self)
         self._start_idle_timer(IDLE_TIMEOUT_S)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone."""
+        """Drop the queued requests and stop the timer."""
         self.server.callers.discard(self)
         self._closing = True
-        self._queue.clear()  # nobody would read their answers
+        self._queue.clear()  # their responses could not be delivered
         self._parser.close()
         self._stop_timer()
 
@@ -87,33 +87,39 @@
             self._timer = asyncio.get_running_loop().call_later(seconds, self._idle_timed_out)
 
     def _idle_timed_out(self) -> None:
-        """Danger: a request may wait in the kernel, and would be lost with its connection."""
+        """Abort the idle connection.
+
+        If the kernel holds unread bytes, the timer is restarted instead: a request among them would be lost.
+        """
         if self.unread and not self._parser.error:
             self._start_idle_timer(IDLE_TIMEOUT_S)
         else:
             self.abort()
 
     def abort(self) -> None:
-        """Close at once; unsent bytes are dropped."""
+        """Close immediately and drop unsent bytes."""
         if self._transport:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
+        """Parse the received bytes and start handling the queued requests."""
         if self._closing:
             return
         self._queue.extend(self._parser.feed(data))
         if len(self._queue) > MAX_PIPELINED and self._transport:
             self._transport.pause_reading()
-        if self._answering:
+        if self._answer_task:
             return
         self._send_continue()
         if self._queue or self._parser.error:
             self._stop_timer()
-            self._answering = asyncio.ensure_future(self._answer_queue())
+            self._answer_task = asyncio.ensure_future(self._answer_queue())
 
     def _send_continue(self) -> None:
-        """The caller waits for a 100 before its body. Danger: not before the answers to its earlier requests."""
+        """Send 100 Continue to a caller that waits for it before it sends the body.
+
+        It must not precede the responses to earlier requests: the caller would attribute it to one of those.
+        """
         if self._parser.wants_continue and not self._queue and self._transport:
             self._parser.wants_continue = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -124,7 +130,7 @@
             if len(self._queue) <= MAX_PIPELINED and self._transport:
                 self._transport.resume_reading()
             self._respond(request, await self._handle(request))
-        self._answering = None
+        self._answer_task = None
         if self._closing or self._transport is None or self._transport.is_closing():
             return
         if self._parser.error:
@@ -139,7 +145,7 @@
     async def _handle(self, request: http1.Request) -> Reply:
         try:
             return await self.server.handle(request)
-        except Exception as error:  # a fault in one call ends that call, not the process
+        except Exception as error:  # an error in one call fails that call, not the process
             log("call_failed", level="ERROR", target=request.target.decode("latin-1"), error=repr(error))
             return Reply(500)
 
@@ -154,13 +160,13 @@
             self._transport.close()
 
     def close_if_idle(self) -> None:
-        """The server stops: close unless a request is being answered. Danger: not one that is still unread."""
-        if not self._answering and not self._queue and not self.unread and self._transport:
+        """Close the connection unless a request is being handled or queued, or unread bytes may contain one."""
+        if not self._answer_task and not self._queue and not self.unread and self._transport:
             self._transport.close()
 
 
 class JsonServer:
-    """Listens, and passes each complete request to `handle`."""
+    """A server that passes each complete request to `handle`."""
 
     def __init__(self, handle: Handle) -> None:
         self.handle = handle
@@ -169,17 +175,17 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> int:
-        """Accept connections; returns the port. Raises OSError."""
+        """Accept connections and return the port. Raise OSError if the port can't be bound."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(self.accept, host, port, backlog=256, reuse_address=True)
         return int(self._server.sockets[0].getsockname()[1])
 
     def accept(self) -> asyncio.Protocol:
-        """What handles one connection, whoever listens."""
+        """Return the protocol for one connection, which another listener may have accepted."""
         return _CallerConnection(self)
 
     def stop(self) -> None:
-        """Accept no new connections; idle ones close, the others after their answer."""
+        """Shut down gracefully: stop listening, close idle connections, and the others after their response."""
         self.stopping = True
         if self._server:
             self._server.close()
--- a/otterreach/runtime/http_client.py
+++ b/otterreach/runtime/http_client.py
@@ -1,11 +1,12 @@
 """An HTTP/1.1 client for calls with JSON bodies.
 
-A connection belongs to one call, from the first byte of its request to the last byte of its answer. Each request
-carries an id of its own, and an answer is matched by it. A connection is kept for another call only after one whole
-answer that bore the call's id, with nothing after it; whatever else ends a call closes its connection.
+A connection serves one call at a time, from the first byte of the request to the last byte of the response. Each
+request carries a unique id, by which the response is matched. A connection is reused only after one complete response
+with the id of the call and no bytes after it; any other end of a call closes the connection.
 
-Some servers don't give the id back. There a call has a connection of its own, on which no other answer can come. Only
-calls that the caller declares interchangeable (reads of one path, where an earlier answer does as well) share one.
+Some servers don't return the id. A call to such a server uses a connection of its own, on which no response to another
+call can arrive. Only calls that the caller declares interchangeable (reads of one path, for which the response to an
+earlier call is equally valid) share a connection.
 """
 
 from __future__ import annotations
@@ -16,20 +17,20 @@
 
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.http import REQUEST_ID, Reply
-from otterreach.runtime.rpc import tune
+from otterreach.runtime.rpc import set_socket_options
 from otterreach.sidecar import http1
 from otterreach.sidecar.transport import ServerConnection
 
-MAX_IDLE_S = 60.0  # idle for longer a connection is closed; a vanished machine would never close it
-IDLE_MARGIN_S = 0.4  # before the time that Keep-Alive names is over
+MAX_IDLE_S = 60.0  # limit of the idle time of a connection, since a peer that has vanished would never close it
+IDLE_MARGIN_S = 0.4  # the connection is closed this long before the time-out of the server's Keep-Alive header
 NO_HEADERS: Mapping[str, str] = {}
-ANY_PATH = ""  # of connections that may carry any call
-Release = Callable[["_Connection"], None]
-PoolKey = tuple[str, str]  # an address, and the path whose calls may use the connection
+ANY_PATH = ""  # path in the pool key of connections that may be used for any call
+RemoveFromPool = Callable[["_Connection"], None]
+PoolKey = tuple[str, str]  # address, and path of the calls that may use the connection
 
 
 def keep_alive_s(headers: Mapping[bytes, bytes]) -> float | None:
-    """The time that the Keep-Alive header names, in seconds."""
+    """Return the time-out of the Keep-Alive header in seconds, or None."""
     for part in headers.get(b"keep-alive", b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.strip().lower() == b"timeout" and value.strip().isdigit():
@@ -37,40 +38,40 @@
     return None
 
 
-def max_idle_s(headers: Mapping[bytes, bytes], plain_s: float) -> float:
-    """How long a connection may be idle after an answer with these headers."""
-    named_s = keep_alive_s(headers)
-    return plain_s if named_s is None else max(named_s - IDLE_MARGIN_S, named_s / 2)
+def max_idle_s(headers: Mapping[bytes, bytes], default_s: float) -> float:
+    """Return the maximum idle time of a connection after a response with these headers."""
+    announced_s = keep_alive_s(headers)
+    return default_s if announced_s is None else max(announced_s - IDLE_MARGIN_S, announced_s / 2)
 
 
 class _Connection(ServerConnection):
-    """One connection: idle, or used by one call."""
+    """A connection that is idle or used by one call."""
 
-    def __init__(self, on_close: Release) -> None:
+    def __init__(self, remove_from_pool: RemoveFromPool) -> None:
         super().__init__()
-        self.reusable = True  # another call may be written; false from the write on
-        self._on_close = on_close
-        self._ident = b""
-        self._interchangeable = False  # the present call
-        self._used = 0  # calls begun on it
-        self._proven = False  # the last answer bore its call's id
+        self.reusable = True  # true while the next call may be written; false from the write on
+        self._remove_from_pool = remove_from_pool
+        self._ident = b""  # id of the current call
+        self._interchangeable = False  # true if the current call is interchangeable with others of its path
+        self._call_count = 0  # number of calls started on the connection
+        self._id_matched = False  # true if the last response had the id of its call
         self._parser: http1.ResponseParser | None = None
         self._answer: asyncio.Future[http1.Response | Failure] | None = None
         self._idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Set the socket options of the open connection."""
         super().connection_made(transport)
-        tune(transport.get_extra_info("socket"))
+        set_socket_options(transport.get_extra_info("socket"))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone."""
+        """Fail the current call and remove the connection from the pool."""
         self._fail("closed before a complete answer")
         self.close()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
-        if self._parser is None:  # idle: nobody asked
+        """Parse the received bytes as the response to the current call."""
+        if self._parser is None:  # idle: unsolicited bytes
             self.close()
             return
         response = self._parser.feed(data)
@@ -80,22 +81,24 @@
             self._fail("no answer of the protocol")
 
     def _handle_response(self, response: http1.Response) -> None:
-        """A complete answer. The one place that makes the connection reusable."""
+        """Complete the call with a response if it matches. Only this method makes the connection reusable."""
         ident = response.headers.get(REQUEST_ID)
         matched = ident == self._ident
-        without_id = ident is None and (self._used == 1 or self._interchangeable and not self._proven)
+        accepted_without_id = ident is None and (
+            self._call_count == 1 or self._interchangeable and not self._id_matched
+        )
         if self.unwritten:
             self._fail("an answer before the request was written")
-        elif matched or without_id:
-            self._proven = matched
+        elif matched or accepted_without_id:
+            self._id_matched = matched
             self.reusable = response.keep_alive and (matched or self._interchangeable)
             self._complete(response)
         else:
-            # Danger: an extra answer to an earlier call may come in the place of this one's.
+            # A server may repeat the response to an earlier call in place of the response to this one.
             self._fail("an answer to another call")
 
     def _fail(self, reason: str) -> None:
-        # What has not left whole for the kernel never leaves: the close drops it.
+        # While part of the request is still unwritten, the call has not been executed: the close drops the rest.
         self._complete(Failure(Code.UNREACHABLE if self.unwritten else Code.CLOSED, reason))
 
     def _complete(self, outcome: http1.Response | Failure) -> None:
@@ -106,20 +109,20 @@
             self._answer.set_result(outcome)
 
     @property
-    def certain(self) -> bool:
-        """Whether an answer on it can be told from one to another call: by its id, or because there was none."""
-        return self._proven or not self._used
+    def attributable(self) -> bool:
+        """True if a response can be attributed to its call: by its id, or because there was no earlier call."""
+        return self._id_matched or not self._call_count
 
     async def exchange(
         self, ident: bytes, data: bytes, until: float, interchangeable: bool
     ) -> http1.Response | Failure:
-        """Write a request and wait for its answer. Whatever ends this but a matched answer closes the connection."""
+        """Write a request and wait for the response. Any end other than a matched response closes the connection."""
         assert self.reusable
         self.reusable = False
         self._stop_idle_timer()
         self._ident = ident
         self._interchangeable = interchangeable
-        self._used += 1
+        self._call_count += 1
         self._parser = http1.ResponseParser(must_frame=True)
         self._answer = asyncio.get_running_loop().create_future()
         answered = False
@@ -134,13 +137,14 @@
         finally:
             self._parser = None
             if not answered:
-                self._drop_unsent()  # an order must not arrive after the lease that it was sent under
-            # Danger: a cancellation or a time-out can come in the same turn of the loop as the answer.
+                self._drop_unsent()  # an order must not arrive after the lease has expired under which it was sent
+            # A cancellation or time-out can occur in the same iteration of the event loop as the response; the
+            # connection would stay open unused.
             if not answered or not self.reusable:
                 self.close()
 
     def start_idle_timer(self, seconds: float) -> None:
-        """No call is in progress: close after this time."""
+        """Close the idle connection after this time unless a call starts on it."""
         self._stop_idle_timer()
         self._idle_timer = asyncio.get_running_loop().call_later(seconds, self.close)
 
@@ -150,19 +154,19 @@
             self._idle_timer = None
 
     def close(self) -> None:
-        """Send no other call on it, and nothing more of this one."""
+        """Remove the connection from the pool and abort it; nothing more is sent on it."""
         self.reusable = False
         self._stop_idle_timer()
-        self._on_close(self)
+        self._remove_from_pool(self)
         self._abort()
 
 
 class JsonClient:
-    """Calls with JSON bodies. One idle connection is kept for each address: new ones are expensive."""
+    """A client for calls with JSON bodies. It keeps one idle connection for each pool key: new ones are expensive."""
 
     def __init__(self) -> None:
         self._idle: dict[PoolKey, _Connection] = {}
-        self._numbers = count(1)
+        self._call_numbers = count(1)
 
     async def call(
         self,
@@ -175,10 +179,12 @@
         headers: Mapping[str, str] = NO_HEADERS,
         interchangeable: bool = False,
     ) -> Reply | Failure:
-        """The answer. TIMED_OUT and CLOSED leave open whether it was done, any other Failure says that it was not.
+        """Send a request and return the response or a Failure.
 
-        :param may_write: asked right before the write: to open a connection may take its time
-        :param interchangeable: an answer to an earlier call of this path does as well
+        After TIMED_OUT and CLOSED the request may have been executed, after any other Failure it has not.
+
+        :param may_write: checked immediately before the write, since opening a connection takes time
+        :param interchangeable: the response to an earlier call of this path is equally valid
         """
         loop = asyncio.get_running_loop()
         until = loop.time() + timeout_s
@@ -187,20 +193,20 @@
             return connection
         in_time = loop.time() < until
         if not in_time or not may_write():
-            self._keep(address, path, connection, MAX_IDLE_S)
+            self._release(address, path, connection, MAX_IDLE_S)
             code = Code.STALE_EPOCH if in_time else Code.UNREACHABLE
             return Failure(code, f"{address}: not written")
-        ident = b"call-%d" % next(self._numbers)
+        ident = b"call-%d" % next(self._call_numbers)
         data = _encode(address, method, path, body, ident, headers)
         outcome = await connection.exchange(ident, data, until, interchangeable)
         if isinstance(outcome, Failure):
             return Failure(outcome.code, f"{address}: {outcome.reason}")
         if connection.reusable:
-            self._keep(address, path, connection, max_idle_s(outcome.headers, MAX_IDLE_S))
+            self._release(address, path, connection, max_idle_s(outcome.headers, MAX_IDLE_S))
         return Reply(outcome.status, outcome.body)
 
     def _take_idle(self, address: str, path: str, interchangeable: bool) -> _Connection | None:
-        """An idle connection that is still open and that such a call may use."""
+        """Remove and return an open idle connection that the call may use, or None."""
         for key in [(address, path), (address, ANY_PATH)] if interchangeable else [(address, ANY_PATH)]:
             connection = self._idle.pop(key, None)
             if connection is None:
@@ -210,8 +216,8 @@
             connection.close()
         return None
 
-    def _keep(self, address: str, path: str, connection: _Connection, seconds: float) -> None:
-        key = (address, ANY_PATH if connection.certain else path)
+    def _release(self, address: str, path: str, connection: _Connection, seconds: float) -> None:
+        key = (address, ANY_PATH if connection.attributable else path)
         if key in self._idle or connection.closing:
             connection.close()
             return
@@ -219,11 +225,11 @@
         connection.start_idle_timer(seconds)
 
     def close(self) -> None:
-        """Close the idle connections. A call under way keeps its own."""
+        """Close the idle connections. Calls in flight are not affected."""
         for connection in list(self._idle.values()):
             connection.close()
 
-    def _closed(self, connection: _Connection) -> None:
+    def _remove_idle(self, connection: _Connection) -> None:
         for key in [key for key, idle in self._idle.items() if idle is connection]:
             del self._idle[key]
 
@@ -232,7 +238,7 @@
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout_at(until):
-                _, connection = await loop.create_connection(lambda: _Connection(self._closed), host, int(port))
+                _, connection = await loop.create_connection(lambda: _Connection(self._remove_idle), host, int(port))
         except (OSError, ValueError, TimeoutError) as error:
             return Failure(Code.UNREACHABLE, f"{address}: {type(error).__name__}")
         return connection
--- a/otterreach/runtime/rpc.py
+++ b/otterreach/runtime/rpc.py
@@ -81,7 +81,7 @@
         """Register the open connection and set its socket options."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        tune(transport.get_extra_info("socket"))
+        set_socket_options(transport.get_extra_info("socket"))
         self.endpoint.links.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -242,7 +242,7 @@
         return Failure(Code.INTERNAL, f"code {reply.code}: {reply.reason}")
 
 
-def tune(sock: socket.socket | None) -> None:
+def set_socket_options(sock: socket.socket | None) -> None:
     """Send small messages without delay, and detect a peer that has vanished.
 
     :param sock: None for a connection in memory, which has no socket
