--- a/otterreach/runtime/__init__.py
+++ b/otterreach/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What all processes of the system share: settings, messages and calls, the journal, HTTP, the store, relays."""
+"""The runtime shared by all processes: settings, messages, RPC, the journal, HTTP, the replicated store, relays."""
--- a/otterreach/runtime/codes.py
+++ b/otterreach/runtime/codes.py
@@ -1,4 +1,4 @@
-"""Numbered result codes and the sentinel that carries one. docs/codes.md has the table, made from this enum."""
+"""Numbered result codes, and the failure value that carries one. docs/codes.md is generated from the enum."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Code(IntEnum):
-    """Each number keeps its meaning for good; the comment is the line of the table."""
+    """Result codes. A number never changes its meaning; the comments are the meanings in the table."""
 
     OK = 0  # done
     UNREACHABLE = 10  # no connection to the other process
@@ -48,16 +48,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """What a call gives in place of its result; false in a condition."""
+    """The result of a call that failed; false in a boolean context."""
 
     code: Code
     reason: str
 
     def __bool__(self) -> bool:
-        """A failure is false."""
+        """Return False, so that a reply can be tested for failure."""
         return False
 
     @property
     def maybe_done(self) -> bool:
-        """Whether what was asked may have been done all the same."""
+        """True if the request may have been executed despite the failure."""
         return self.code in (Code.TIMED_OUT, Code.CLOSED, Code.INTERNAL)
--- a/otterreach/runtime/figures.py
+++ b/otterreach/runtime/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a running process: what a role counts and measures. metrics.py has the form in which they are told."""
+"""Metrics of a running process, as the roles report them. metrics.py renders them for Prometheus."""
 
 from __future__ import annotations
 
@@ -10,15 +10,18 @@
 
 
 class FigureKind(Enum):
-    """How a value moves."""
+    """The type of a metric."""
 
-    GAUGE = "gauge"  # up and down
-    COUNTER = "counter"  # up only, within one life of the process
+    GAUGE = "gauge"  # can increase and decrease
+    COUNTER = "counter"  # only increases within one incarnation of the process
 
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """One value. Its name ends with the unit, as is usual: `_seconds`, `_bytes`, and `_total` for counters."""
+    """One sample of a metric.
+
+    By convention the name ends with the unit (`_seconds`, `_bytes`); counters end with `_total`.
+    """
 
     name: str
     help: str
--- a/otterreach/runtime/histogram.py
+++ b/otterreach/runtime/histogram.py
@@ -1,4 +1,4 @@
-"""Durations counted by range. Imported by what measures, at each start of a process: nothing else is imported here."""
+"""A histogram of durations. Every process imports it at its start, so it imports nothing else of the system."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Histogram:
-    """How many durations lay in which range."""
+    """A metric that counts durations by bucket."""
 
     def __init__(self, name: str, help: str) -> None:
         self.name = name
@@ -17,12 +17,12 @@
         self._counts = [0] * (len(BOUNDS_S) + 1)
 
     def observe(self, seconds: float) -> None:
-        """Count one duration."""
+        """Add one duration."""
         self._counts[bisect_left(BOUNDS_S, seconds)] += 1
         self.sum_s += seconds
 
     def cumulative(self) -> list[tuple[float, int]]:
-        """Each upper bound in seconds, the last one infinite, with how many durations were no longer."""
+        """Return each bucket's upper bound in seconds, the last one infinite, with the number of durations up to it."""
         rows = []
         total = 0
         for bound, count in zip((*BOUNDS_S, float("inf")), self._counts, strict=True):
--- a/otterreach/runtime/identity.py
+++ b/otterreach/runtime/identity.py
@@ -1,4 +1,7 @@
-"""The id of a disk: drawn at the first start and kept on it. A machine that comes back without it is another one."""
+"""Ids of disks and members.
+
+A disk id is generated at the first start and stored on the disk. A machine that returns without it is a new member.
+"""
 
 from __future__ import annotations
 
@@ -6,20 +9,20 @@
 
 
 def draw_disk_id() -> str:
-    """A new id, 12 hex digits."""
+    """Generate a disk id of 12 hexadecimal digits."""
     return f"{SystemRandom().getrandbits(48):012x}"
 
 
 def member_id(node: str, disk: str) -> str:
-    """How a machine with its disk is named in records: `node#disk`."""
+    """Return the member id of a machine with its disk, `node#disk`, by which records refer to it."""
     return f"{node}#{disk}"
 
 
 def node_of(member: str) -> str:
-    """The node name of a member id."""
+    """Return the node name of a member id."""
     return member.partition("#")[0]
 
 
 def disk_of(member: str) -> str:
-    """The disk's id in a member id."""
+    """Return the disk id of a member id."""
     return member.partition("#")[2]
--- a/otterreach/runtime/ignore_hangup.py
+++ b/otterreach/runtime/ignore_hangup.py
@@ -1,7 +1,8 @@
-"""Importing this first keeps a SIGHUP from ending a process that is still starting.
+"""Ignores SIGHUP while a process starts; a role imports this module before all others.
 
-A role handles SIGHUP once its loop runs. Before that, while modules are imported and the journal is read, the default
-would end the process. Nothing is missed: the settings are read after this, and again when their file has changed.
+A role handles SIGHUP once its event loop runs. Before that, while modules are imported and the journal is read, the
+default action would terminate the process. No reload is lost: the settings are read afterwards, and again whenever
+their file has changed.
 """
 
 from __future__ import annotations
--- a/otterreach/runtime/integers.py
+++ b/otterreach/runtime/integers.py
@@ -1,4 +1,4 @@
-"""Whole numbers that come from outside: bounded, so that messages hold them and they can be divided as floats."""
+"""Bounds for integers from external input, so that they fit into message fields and convert to floats."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 def clamped_integer(value: int) -> int:
-    """The nearest whole number that messages hold. For what was stored before its numbers were bounded."""
+    """Return the nearest integer that fits into a message field. For data stored by versions without bounds."""
     return max(-MAX_INTEGER, min(MAX_INTEGER, value))
 
 
 def bounded_integer(value: str | float) -> int:
-    """A whole number from what a document holds; a fraction is cut off.
+    """Convert a value of a document to an integer; a fraction is truncated.
 
-    :raises ValueError: if it is none, or beyond 64 bits
-    :raises TypeError: if the value is no number and no text
+    :raises ValueError: the value is not a number, is infinite, or exceeds 64 bits
+    :raises TypeError: the value is neither a number nor a string
     """
     try:
         number = int(value)
--- a/otterreach/runtime/log.py
+++ b/otterreach/runtime/log.py
@@ -1,4 +1,4 @@
-"""One key=value line an event, on standard error. loguru is set up at the first line."""
+"""Structured logging to standard error, one line of key=value pairs per event. loguru is imported by the first one."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 _logger: Any = None
 
 
-def _set_up() -> Any:
+def _configure_logger() -> Any:
     global _logger
     from loguru import logger
 
@@ -20,7 +20,7 @@
 
 
 def quote(value: Any) -> str:
-    """A value as it stands in a line: in quotes if it holds blanks."""
+    """Format a value for a log line; it is quoted if it is empty or contains spaces, quotes, `=` or line breaks."""
     text = str(value)
     if text and not any(c in text for c in ' "=\n'):
         return text
@@ -28,8 +28,8 @@
 
 
 def log(event: str, level: str = "INFO", **pairs: Any) -> None:
-    """`event` and its pairs, values with spaces in quotes; t is the monotonic clock in seconds."""
-    logger = _logger or _set_up()
+    """Log an event with its key-value pairs; `t` is the monotonic clock in seconds."""
+    logger = _logger or _configure_logger()
     rest = " ".join(f"{key}={quote(value)}" for key, value in pairs.items())
     line = f"t={time.monotonic():.3f} level={level} event={event}" + (f" {rest}" if rest else "")
     logger.log(level, "{}", line)
--- a/otterreach/runtime/metrics.py
+++ b/otterreach/runtime/metrics.py
@@ -1,4 +1,4 @@
-"""The figures of a process in the text format that Prometheus reads. Imported once somebody asks for them."""
+"""Metrics of a process in the Prometheus text format. Imported at the first request for them."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class Collector:
-    """The figures of some sources as metric families of the library."""
+    """A collector that converts the figures of its sources to metric families of prometheus_client."""
 
     def __init__(self, sources: Iterable[FigureSource]) -> None:
         self.sources = list(sources)
 
     def collect(self) -> Iterable[Any]:
-        """Called by the library for each exposition."""
+        """Return the current metric families; prometheus_client calls this for each scrape."""
         families: dict[str, Any] = {}
         for figure in (figure for source in self.sources for figure in source()):
             if isinstance(figure, Histogram):
@@ -44,14 +44,14 @@
 
 
 def render(sources: Iterable[FigureSource]) -> bytes:
-    """All figures as text."""
+    """Render the figures of all sources as text."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(Collector(sources))
     return bytes(generate_latest(registry))
 
 
 def answer(sources: Iterable[FigureSource], request: http1.Request) -> Reply:
-    """The answer to GET /metrics."""
+    """Answer GET /metrics; other paths and methods are rejected."""
     if request.target.partition(b"?")[0] != METRICS_PATH:
         return Reply(HTTPStatus.NOT_FOUND)
     if request.method != b"GET":
@@ -60,11 +60,11 @@
 
 
 def metrics_server(sources: Iterable[FigureSource]) -> JsonServer:
-    """A server for these figures; it does not listen yet."""
-    kept = list(sources)
+    """Return an HTTP server for these sources that is not listening yet."""
+    source_list = list(sources)
 
     async def handle(request: http1.Request) -> Reply:
-        """One call."""
-        return answer(kept, request)
+        """Answer one request."""
+        return answer(source_list, request)
 
     return JsonServer(handle)
--- a/otterreach/runtime/node_figures.py
+++ b/otterreach/runtime/node_figures.py
@@ -1,4 +1,4 @@
-"""The figures that every role has: age of the control state, messages, connections, processor time, repeated work."""
+"""Metrics that every role has: age of the control state, messages, connections, processor time, repeated work."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def node_figures(node: Node) -> Iterable[Figure]:
-    """Of the process and its part in the relay tree."""
+    """Return the metrics of the process and of its place in the relay tree."""
     endpoint = node.endpoint
     follower = node.follower
     yield Figure("control_state_age_seconds", "How old the copy of the control state may be.", follower.age_s())
@@ -32,7 +32,7 @@
 
 
 def repeated_work_figures(*works: RepeatedWork) -> Iterable[Figure]:
-    """Steps that were repeated without progress."""
+    """Return the metrics of steps that were repeated without progress."""
     for work in works:
         labels = {"work": work.name}
         yield Figure("repeated_work_total", "Steps repeated without progress.", work.total, labels, COUNTER)
@@ -40,7 +40,7 @@
 
 
 def journal_figures(journal: Journal) -> Iterable[Figure | Histogram]:
-    """Of a role with a disk."""
+    """Return the metrics of a journal, for roles with a disk."""
     yield Figure("journal_bytes", "Size of the journal.", journal.size)
     yield Figure("journal_failed", "1 if the disk has refused a write.", journal.failed is not None)
     yield journal.sync_times
--- a/otterreach/runtime/relay.py
+++ b/otterreach/runtime/relay.py
@@ -148,7 +148,7 @@
         self.settings = settings
         self.random = random
         self.is_root = False  # true at the primary controller, which has no parent
-        self.follows_primary = settings.machine == MemberRole.CONTROLLER
+        self.prefers_primary = settings.machine == MemberRole.CONTROLLER
         self.loop = asyncio.get_running_loop()
         self.parent = ""  # address of the parent; empty while there is none
         self.controllers: list[str] = list(settings.seeds)
@@ -186,7 +186,7 @@
     def candidates(self) -> list[str]:
         """Return the candidate parents, best first: the one by the order of the members, then the roots, shuffled."""
         own_address = self.settings.address
-        if self.follows_primary and self.primary and self.primary != own_address:
+        if self.prefers_primary and self.primary and self.primary != own_address:
             return [self.primary, *(root for root in self.controllers if root not in (own_address, self.primary))]
         roots = [root for root in self.controllers if root != own_address]
         best = self._parent_by_position(roots)
--- a/otterreach/runtime/repeated_work.py
+++ b/otterreach/runtime/repeated_work.py
@@ -1,7 +1,7 @@
-"""Work that is done again and again without progress: counted, and logged before it costs a process its time.
+"""Detection of work that is repeated without progress, which is counted and logged.
 
-Whoever may repeat a step notes each time what it was for and how far that has come. The same progress as before is a
-repetition. A loop that spins shows as a count that rises; one that is merely busy does not.
+Code that may repeat a step records each execution with its subject and the subject's progress. Unchanged progress makes
+it a repetition. A loop that spins shows as a rising count; one that is merely busy does not.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 from otterreach.runtime.log import log
 
-FIRST_WARNING = 16  # repetitions; then at each doubling
-MAX_SUBJECTS = 500  # those noted longest ago are forgotten
+FIRST_WARNING = 16  # number of repetitions at which the first warning is logged; the next ones follow at each doubling
+MAX_SUBJECTS = 500  # limit of the recorded subjects; the oldest ones are evicted
 
 
 class Repetition:
-    """How often a step was done for one subject at the same progress."""
+    """The number of times a step was repeated for one subject at the same progress."""
 
     __slots__ = ("progress", "times")
 
@@ -26,7 +26,7 @@
 
 
 class RepeatedWork:
-    """The repetitions of one kind of step. `name` stands in log lines and figures."""
+    """The repetitions of one kind of step, which log lines and metrics identify by `name`."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -34,7 +34,7 @@
         self._subjects: OrderedDict[str, Repetition] = OrderedDict()
 
     def note(self, subject: str, progress: Hashable) -> None:
-        """The step is about to be done for a subject that has come so far."""
+        """Record that the step is about to be executed for a subject at this progress."""
         known = self._subjects.get(subject)
         if known is None or known.progress != progress:
             self._subjects[subject] = Repetition(progress)
@@ -48,5 +48,5 @@
             log("no_progress", level="WARNING", work=self.name, subject=subject, times=known.times)
 
     def most(self) -> int:
-        """The repetitions of the subject that has most."""
+        """Return the highest number of repetitions of a single subject."""
         return max((known.times for known in self._subjects.values()), default=0)
