--- a/otterreach/runtime/configuration.py
+++ b/otterreach/runtime/configuration.py
@@ -108,9 +108,8 @@
 def _split(raw: dict[str, Any]) -> tuple[tuple[str, float], ...]:
     if raw.get("split"):
         rows = [(str(row["backend"]), float(row.get("weight", 0))) for row in raw["split"]]
-        if not isfinite(
-            sum(weight for _, weight in rows)
-        ):  # each weight is finite, but their sum overflows, and weighted selection needs it
+        # The weights are finite, but their sum may overflow, and weighted selection needs it.
+        if not isfinite(sum(weight for _, weight in rows)):
             rows = [(name, weight / len(rows)) for name, weight in rows]
         return tuple((name, weight) for name, weight in rows if weight > 0)
     return ((str(raw["backend"]), 1.0),) if raw.get("backend") else ()
--- a/otterreach/runtime/relay.py
+++ b/otterreach/runtime/relay.py
@@ -28,9 +28,7 @@
 PARENT_TIMEOUT_S = 0.65  # a parent that sends no message for this long is replaced
 MAX_AGE_S = 1.0  # a child with state older than this searches for a parent with newer state
 MIN_GAIN_S = 0.3  # a candidate replaces a parent that still answers only if its state is newer by at least this
-SEARCH_SHARE = (
-    0.5  # probability of a search at each probe while the state is old, so that children don't search at once
-)
+SEARCH_SHARE = 0.5  # probability of a search at each probe while the state is old: children don't search at once
 FAN_OUT = 8  # children of each process in the tree
 CALL_TIMEOUT_S = 0.6
 CHUNK_BYTES = 64 * 1024  # size of the differing items in one answer to Follow; the child sends Follow until it has all
@@ -154,9 +152,8 @@
         self.controllers: list[str] = list(settings.seeds)
         self.primary = ""
         self.relay = Relay(endpoint, store, self.age_s)
-        self.fresh_at = (
-            NEVER_S  # on the monotonic clock: the latest time at which the root had no newer items than this store
-        )
+        # On the monotonic clock: the latest time at which the root is known to have had no newer items than this store.
+        self.fresh_at = NEVER_S
         self._last_message_at = NEVER_S  # when the parent last sent a message
         self.attachments = RepeatedWork("attach_to_parent")
         self._attempts = 0  # attempts to attach to a parent since the last success
--- a/otterreach/runtime/rpc.py
+++ b/otterreach/runtime/rpc.py
@@ -23,13 +23,9 @@
 ONE_WAY = 0  # call number of a one-way message
 MAX_CALL_NUMBER = 0xFFFFFFF0
 MAX_FRAME_BYTES = 96 * 1024 * 1024
-MAX_UNREAD_BYTES = (
-    64 * 1024 * 1024
-)  # limit of the write buffer; a peer that leaves more unread is stuck, and the connection is aborted
+MAX_UNREAD_BYTES = 64 * 1024 * 1024  # limit of the write buffer; the connection to a peer that is stuck is aborted
 CONNECT_TIMEOUT_S = 0.5
-USER_TIMEOUT_MS = (
-    1500  # data that is unacknowledged for this long closes the connection: the peer is down or disconnected
-)
+USER_TIMEOUT_MS = 1500  # a connection with data unacknowledged for this long is closed: the peer is unreachable
 KEEPALIVE_IDLE_S = 15  # idle time after which the kernel sends keep-alive probes
 KEEPALIVE_INTERVAL_S = 1
 RETIRED_MIN_S = 1.0  # a retired connection stays open for this long: one-way messages may be in flight
