--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""KNOWN-RED.txt: tests that fail for a known fault. They run, are reported, and don't fail the whole run.
+"""KNOWN-RED.txt: tests that fail because of a known fault. They run and are reported without failing the whole run.
 
-The file is at the root of the repository, one line a test: `test-id | command and seed | what was seen | issue`; three
-at most, none as a rule. For example:
+The file is at the root of the repository and has one line per test, `test-id | command and seed | what was seen |
+issue`. It has three lines at most, and normally none. For example:
 
     tests/x/test_y.py::test_z | python3 -m pytest -k test_z, seed 7 | a lock had two holders | issue 9
 """
@@ -16,19 +16,19 @@
 import pytest
 
 FILE = "KNOWN-RED.txt"
-MOST = 3
+MAX_ENTRIES = 3
 FIELDS = 4
-SEED = re.compile(r"\bseed\b")  # "no seed" where chance plays no part
+SEED = re.compile(r"\bseed\b")  # "no seed" for a deterministic test
 ISSUE = re.compile(r"issue \d+")
 
 
 class KnownRedError(Exception):
-    """The file can't be used as it is."""
+    """The file is invalid."""
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One listed test: how to run it, what came of it, and where the fault is followed."""
+    """A listed test: how to run it, the observed failure, and the issue that tracks the fault."""
 
     test_id: str
     command_and_seed: str
@@ -37,25 +37,25 @@
 
 
 def parse(text: str) -> list[KnownRed]:
-    """The lines of the file. Raises KnownRedError for a line that is not of the form, and for too many."""
+    """Parse the lines of the file. Raise KnownRedError for a malformed line, a duplicate test or too many lines."""
     lines = [line for line in text.splitlines() if line.strip()]
-    if len(lines) > MOST:
-        raise KnownRedError(f"{FILE}: {len(lines)} lines, at most {MOST} are allowed")
-    found = []
+    if len(lines) > MAX_ENTRIES:
+        raise KnownRedError(f"{FILE}: {len(lines)} lines, at most {MAX_ENTRIES} are allowed")
+    entries_read = []
     for number, line in enumerate(lines, 1):
         fields = [field.strip() for field in line.split("|")]
         if len(fields) != FIELDS or not all(fields):
             raise KnownRedError(f"{FILE}, line {number}: expected `test-id | command and seed | what was seen | issue`")
         entry = KnownRed(*fields)
         _check(entry, number)
-        found.append(entry)
-    if len({entry.test_id for entry in found}) < len(found):
+        entries_read.append(entry)
+    if len({entry.test_id for entry in entries_read}) < len(entries_read):
         raise KnownRedError(f"{FILE}: a test is listed twice")
-    return found
+    return entries_read
 
 
 def _check(entry: KnownRed, number: int) -> None:
-    """Someone who reads the line can run the test again, and finds its issue."""
+    """Raise KnownRedError unless the line lets a reader repeat the run and find the issue."""
     if not SEED.search(entry.command_and_seed):
         raise KnownRedError(f"{FILE}, line {number}: the command names no seed")
     if not ISSUE.fullmatch(entry.issue):
@@ -63,13 +63,13 @@
 
 
 def load(root: Path) -> list[KnownRed]:
-    """What the file at `root` lists; nothing where there is no file."""
+    """Return the entries of the file at `root`; none if there is no file."""
     file = root / FILE
     return parse(file.read_text()) if file.is_file() else []
 
 
 def missing(entries: Iterable[KnownRed], collected: Iterable[str], root: Path) -> list[str]:
-    """Listed tests that don't exist: their file is gone, or was collected without them."""
+    """Return the listed tests that don't exist: their file is absent, or was collected without them."""
     tests = set(collected)
     files = {test.partition("::")[0] for test in tests}
     return [
@@ -81,7 +81,7 @@
 
 
 class KnownRedPlugin:
-    """Marks the listed tests as expected failures, and tells at the end what came of each."""
+    """A plugin that marks the listed tests as expected failures and reports the outcome of each in the summary."""
 
     def __init__(self, entries: Sequence[KnownRed], root: Path) -> None:
         self.entries = {entry.test_id: entry for entry in entries}
@@ -89,9 +89,9 @@
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_collection_modifyitems(self, config: pytest.Config, items: list[pytest.Item]) -> None:
-        only_some = any("::" in argument for argument in config.args)  # of a file's tests were asked for
+        is_partial_run = any("::" in argument for argument in config.args)  # a part of a file's tests was selected
         absent = missing(self.entries.values(), (item.nodeid for item in items), self.root)
-        if absent and not only_some:
+        if absent and not is_partial_run:
             raise pytest.UsageError(f"{FILE} lists tests that are not there: {', '.join(absent)}")
         for item in items:
             if entry := self.entries.get(item.nodeid):
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,4 +1,4 @@
-"""A loop whose time passes only when nothing is left to do, and a network in memory that takes that time."""
+"""An event loop on virtual time, which advances only when no task can run, and an in-memory network on that time."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class _Selector(selectors.DefaultSelector):
-    """Waits by moving the loop's time."""
+    """A selector that advances the loop's time instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -24,7 +24,7 @@
         if ready:
             return ready
         if timeout is None:
-            raise RuntimeError("nothing is left that could happen")
+            raise RuntimeError("deadlock: no task can run and no timer is scheduled")
         self.now += max(timeout, 0.0)
         return []
 
@@ -38,12 +38,15 @@
         return self._virtual.now
 
     def stand_still(self, seconds: float) -> None:
-        """The process is frozen for a while: time passes and nothing runs."""
+        """Simulate a frozen process: advance the time without running anything."""
         self._virtual.now += seconds
 
 
 class MemoryLoop(VirtualLoop):
-    """A loop whose listeners and connections are in memory. `dark`: addresses that never answer a connection."""
+    """A loop whose listeners and connections are in memory.
+
+    `dark` has the addresses that never answer a connection attempt; `opened` counts the connections.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -69,7 +72,7 @@
 
 
 class _Listener:
-    """What create_server gives."""
+    """The server object that create_server returns."""
 
     def __init__(self, loop: MemoryLoop, address: tuple[str, int]) -> None:
         self._memory, self._address = loop, address
@@ -83,7 +86,7 @@
 
 
 def run(main: Callable[[], Awaitable[T]], loop: VirtualLoop | None = None) -> T:
-    """Run to the end in virtual time."""
+    """Run a coroutine to its end in virtual time."""
     loop = loop or VirtualLoop()
     asyncio.set_event_loop(loop)
 
@@ -93,7 +96,7 @@
     try:
         return loop.run_until_complete(body())
     finally:
-        while tasks := asyncio.all_tasks(loop):  # the end of one may begin another
+        while tasks := asyncio.all_tasks(loop):  # a task may start another one when it ends
             for task in tasks:
                 task.cancel()
             loop.run_until_complete(asyncio.gather(*tasks, return_exceptions=True))
@@ -102,7 +105,7 @@
 
 
 class MemoryTransport(asyncio.Transport):
-    """One end of a connection; what is written reaches the other end's protocol a latency later, in order."""
+    """One end of a connection; written data reaches the protocol at the other end after LATENCY_S, in order."""
 
     def __init__(self, protocol: asyncio.BaseProtocol) -> None:
         super().__init__()
@@ -110,29 +113,32 @@
         self.other: MemoryTransport | None = None
         self.closing = False
         self.ended = False
-        self.dark = False  # nothing comes through any more
+        self.dark = False  # a dark connection delivers nothing any more
         self.loop = asyncio.get_running_loop()
-        self._coming: deque[bytes | Exception | None] = deque()
+        self._incoming: deque[bytes | Exception | None] = deque()
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         return default
 
     def write(self, data: Any) -> None:
         if not self.closing:
-            self._to_other(bytes(data))
+            self._send_to_other(bytes(data))
+
+    def _send_to_other(self, event: bytes | Exception | None) -> None:
+        """Send data or the end of the connection to the other end.
 
-    def _to_other(self, what: bytes | Exception | None) -> None:
-        """Danger: timers of the same moment run in any order; the queue keeps it."""
+        Timers of the same time run in arbitrary order, so a queue preserves the order of the events.
+        """
         if self.other:
-            self.other._coming.append(what)
-            self.loop.call_later(LATENCY_S, self.other._arrive)
+            self.other._incoming.append(event)
+            self.loop.call_later(LATENCY_S, self.other._deliver)
 
-    def _arrive(self) -> None:
-        what = self._coming.popleft()
-        if not isinstance(what, bytes):
-            self._lost(what)
+    def _deliver(self) -> None:
+        event = self._incoming.popleft()
+        if not isinstance(event, bytes):
+            self._lost(event)
         elif not self.closing and not self.dark and not (self.other and self.other.dark):
-            self.protocol.data_received(what)
+            self.protocol.data_received(event)
 
     def _lost(self, error: Exception | None) -> None:
         if not self.ended:
@@ -145,7 +151,7 @@
         self.closing = True
         self.loop.call_soon(self._lost, None)
         if not self.dark:
-            self._to_other(error)
+            self._send_to_other(error)
 
     def close(self) -> None:
         self._end(None)
@@ -173,7 +179,7 @@
 
 
 def connect(here: asyncio.BaseProtocol, there: asyncio.BaseProtocol) -> tuple[MemoryTransport, MemoryTransport]:
-    """Join two protocols by a connection."""
+    """Connect two protocols to each other."""
     a, b = MemoryTransport(here), MemoryTransport(there)
     a.other, b.other = b, a
     there.connection_made(b)
