--- a/tests/runtime/test_hostile_peers.py
+++ b/tests/runtime/test_hostile_peers.py
@@ -1,7 +1,7 @@
-"""Generated trouble between the real clients and servers of the system: whose answer it is, and what runs how often.
+"""Generated faults between the real clients and servers: response matching and the number of executions.
 
-Stand-ins reset, double, delay, reorder and cut at any byte; they send answers early, announcements, extra answers, and
-bodies without a length. All is in memory and in virtual time, and the same cases are generated in each run.
+Fakes reset, duplicate, delay, reorder and truncate at any byte; they send early, informational and extra responses, and
+bodies without a length. Everything is in memory and in virtual time, and each run generates the same cases.
 """
 
 from __future__ import annotations
@@ -34,57 +34,63 @@
 END = b"|end"
 
 
-class Trick(Enum):
-    """What a server does with one request."""
+class ServerBehavior(Enum):
+    """The behavior of a server towards one request."""
 
     PLAIN = auto()
     BYTE_BY_BYTE = auto()
     TWICE = auto()
-    TWICE_LATE = auto()  # the second one after the delay
-    OLD_FIRST = auto()  # an earlier answer, then its own
-    OLD_ONLY = auto()  # an earlier answer in its place
-    ANNOUNCED = auto()  # 100 and 103 before the answer
-    ANNOUNCED_AFTER = auto()
+    TWICE_LATE = auto()  # the second copy after the delay
+    OLD_FIRST = auto()  # an earlier response before its own
+    OLD_ONLY = auto()  # an earlier response instead of its own
+    INFORMATIONAL_FIRST = auto()  # 100 and 103 before the response
+    INFORMATIONAL_AFTER = auto()
     UPGRADED = auto()  # 101
     GARBAGE_AFTER = auto()
     GARBAGE = auto()
     NO_ID = auto()
     NO_SEAL = auto()
     ENCODED = auto()
-    CUT_ANSWER = auto()  # at any byte
+    TRUNCATED_ANSWER = auto()  # truncated at any byte
     RESET_ANSWER = auto()
     UNFRAMED = auto()
     UNFRAMED_RESET = auto()
     SILENCE = auto()
     FAILS = auto()
     FAILS_TWICE = auto()
-    RESET_UNRUN = auto()
-    CLOSED_UNRUN = auto()
-    TURNED_AWAY = auto()
+    RESET_NOT_EXECUTED = auto()
+    CLOSED_NOT_EXECUTED = auto()
+    REJECTED = auto()
     MISDIRECTED = auto()
-    PLAIN_503 = auto()  # ran, and says 503 without Not-Run
-    EARLY_FAILS = auto()  # ran, and answers before the whole body has come, where it comes in pieces
-    EARLY_TURNED_AWAY = auto()
-
-
-EARLY = (Trick.EARLY_FAILS, Trick.EARLY_TURNED_AWAY)
-UNRUN = (Trick.RESET_UNRUN, Trick.CLOSED_UNRUN, Trick.TURNED_AWAY, Trick.MISDIRECTED, Trick.EARLY_TURNED_AWAY)
+    PLAIN_503 = auto()  # executed, and answers 503 without Not-Run
+    EARLY_FAILS = auto()  # executed, and answers before a body in several segments is complete
+    EARLY_REJECTED = auto()
+
+
+EARLY = (ServerBehavior.EARLY_FAILS, ServerBehavior.EARLY_REJECTED)
+NOT_EXECUTED = (
+    ServerBehavior.RESET_NOT_EXECUTED,
+    ServerBehavior.CLOSED_NOT_EXECUTED,
+    ServerBehavior.REJECTED,
+    ServerBehavior.MISDIRECTED,
+    ServerBehavior.EARLY_REJECTED,
+)
 
 
 class Act(NamedTuple):
-    trick: Trick
-    at: int  # a byte
+    behavior: ServerBehavior
+    at: int  # offset in bytes
     delay_s: float
 
 
 class Ask(NamedTuple):
     kind: str
-    body: int  # bytes
-    leaves_s: float | None  # the client goes away after so long
-    pause_s: float  # before the next one
+    body: int  # size in bytes
+    leaves_s: float | None  # time after which the client disconnects
+    pause_s: float  # pause before the next request
 
 
-acts = st.builds(Act, st.sampled_from(Trick), st.integers(0, 400), st.sampled_from([0.0, 0.005, 0.03, 0.3]))
+acts = st.builds(Act, st.sampled_from(ServerBehavior), st.integers(0, 400), st.sampled_from([0.0, 0.005, 0.03, 0.3]))
 asks = st.builds(
     Ask,
     st.sampled_from(["idem", "mutating", "stream"]),
@@ -95,7 +101,7 @@
 
 
 class NarrowTransport(MemoryTransport):
-    """Takes `room` bytes of a write at once, and the rest a while later, unless it was aborted by then."""
+    """Accepts `room` bytes of a write immediately, and the rest 20 ms later unless it was aborted by then."""
 
     def __init__(self, protocol: asyncio.BaseProtocol, room: int) -> None:
         super().__init__(protocol)
@@ -120,12 +126,12 @@
 
 
 class EarlyEnd(ServerEnd):
-    """A server's end that may answer before it has read the whole body; then it reads on."""
+    """A server's end that may answer before it has read the complete body, and then goes on reading."""
 
     def __init__(self, server: FakeServer, servers: HostileServers) -> None:
         super().__init__(server)
         self.servers = servers
-        self.due = 0  # bytes of a body whose request has been answered
+        self.due = 0  # bytes still to come of a body whose request has been answered
 
     def data_received(self, data: bytes) -> None:
         part, data = data[: self.due], data[self.due :]
@@ -134,7 +140,7 @@
             self.servers.misplaced.append(part)
         head, _, body = data.partition(b"\r\n\r\n")
         length = re.search(rb"Content-Length: (\d+)", head)
-        if length and len(body) < int(length[1]) and self.servers.next_trick in EARLY:
+        if length and len(body) < int(length[1]) and self.servers.next_behavior in EARLY:
             self.due = int(length[1]) - len(body)
             data = head.replace(length[0], b"Content-Length: 0") + b"\r\n\r\n"
         if data:
@@ -142,7 +148,7 @@
 
 
 class HostileWorld(World):
-    """Connections of some room, to ends that may answer early."""
+    """A world whose connections accept `room` bytes at once, and whose servers may answer early."""
 
     def __init__(self, routes: list[dict[str, Any]], room: int | None) -> None:
         super().__init__(routes)
@@ -161,27 +167,27 @@
 
 
 class HostileServers:
-    """Three servers that act by turns of one list, and what they have seen."""
+    """Three servers that take their behavior in turn from one script, and a record of what they received."""
 
     def __init__(self, world: World, script: list[Act]) -> None:
         self.script, self.turn = script, 0
         self.runs: Counter[str] = Counter()
         self.reached: dict[str, set[str]] = {}
-        self.sealed: dict[bytes, int] = {}  # stamp -> status
+        self.sealed: dict[bytes, int] = {}  # status by seal
         self.earlier: list[bytes] = []
-        self.misplaced: list[bytes] = []  # other bytes where the rest of a body was due
+        self.misplaced: list[bytes] = []  # other bytes received in place of the rest of a body
         for n in range(3):
             world.server(f"i-{n}", self.act)
 
     @property
-    def next_trick(self) -> Trick:
-        return self.script[self.turn % len(self.script)].trick
+    def next_behavior(self) -> ServerBehavior:
+        return self.script[self.turn % len(self.script)].behavior
 
     async def act(self, call: Call) -> None:
         act = self.script[self.turn % len(self.script)]
         self.turn += 1
         self.reached.setdefault(call.id, set()).add(call.server.id)
-        if act.trick not in UNRUN:
+        if act.behavior not in NOT_EXECUTED:
             self.runs[call.id] += 1
         await asyncio.sleep(act.delay_s / 3)
         await self.answer(call, act)
@@ -194,64 +200,64 @@
         lines += [b"Request-Id: " + call.id.encode()] if ident else []
         lines += [b"Content-Length: %d" % len(body)] if framed else []
         answer = b"\r\n".join(lines) + b"\r\n" + head + b"\r\n" + body
-        if ident:  # on a new connection nobody can tell one without an id
+        if ident:  # a response without an id can't be rejected on a new connection
             self.earlier.append(answer)
         return answer
 
     async def answer(self, call: Call, act: Act) -> None:
-        trick, write = act.trick, call.write
-        if trick is Trick.PLAIN:
+        behavior, write = act.behavior, call.write
+        if behavior is ServerBehavior.PLAIN:
             write(self.whole(call))
-        elif trick is Trick.BYTE_BY_BYTE:
+        elif behavior is ServerBehavior.BYTE_BY_BYTE:
             for byte in self.whole(call):
                 write(bytes([byte]))
-        elif trick in (Trick.TWICE, Trick.TWICE_LATE):
+        elif behavior in (ServerBehavior.TWICE, ServerBehavior.TWICE_LATE):
             answer = self.whole(call)
             write(answer)
-            await asyncio.sleep(act.delay_s if trick is Trick.TWICE_LATE else 0.0)
+            await asyncio.sleep(act.delay_s if behavior is ServerBehavior.TWICE_LATE else 0.0)
             write(answer)
-        elif trick is Trick.OLD_FIRST:
+        elif behavior is ServerBehavior.OLD_FIRST:
             write((self.earlier or [b""])[act.at % max(1, len(self.earlier))] + self.whole(call))
-        elif trick is Trick.OLD_ONLY:
+        elif behavior is ServerBehavior.OLD_ONLY:
             write((self.earlier or [b""])[act.at % max(1, len(self.earlier))])
-        elif trick is Trick.ANNOUNCED:
+        elif behavior is ServerBehavior.INFORMATIONAL_FIRST:
             write(b"HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\n" + self.whole(call))
-        elif trick is Trick.ANNOUNCED_AFTER:
+        elif behavior is ServerBehavior.INFORMATIONAL_AFTER:
             write(self.whole(call) + b"HTTP/1.1 100 C\r\n\r\n")
-        elif trick is Trick.UPGRADED:
+        elif behavior is ServerBehavior.UPGRADED:
             write(b"HTTP/1.1 101 S\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n" + self.whole(call))
-        elif trick is Trick.GARBAGE_AFTER:
+        elif behavior is ServerBehavior.GARBAGE_AFTER:
             write(self.whole(call) + b"\x00junk"[: act.at % 6])
-        elif trick is Trick.GARBAGE:
+        elif behavior is ServerBehavior.GARBAGE:
             write(b"\x16\x03\x01 junk\r\n\r\n")
-        elif trick is Trick.NO_ID:
+        elif behavior is ServerBehavior.NO_ID:
             write(self.whole(call, ident=False))
-        elif trick is Trick.NO_SEAL:
+        elif behavior is ServerBehavior.NO_SEAL:
             call.answer(200, b"unstamped", b"")
-        elif trick is Trick.ENCODED:
+        elif behavior is ServerBehavior.ENCODED:
             write(self.whole(call, head=b"Content-Encoding: gzip\r\n"))
-        elif trick in (Trick.CUT_ANSWER, Trick.RESET_ANSWER):
+        elif behavior in (ServerBehavior.TRUNCATED_ANSWER, ServerBehavior.RESET_ANSWER):
             answer = self.whole(call)
             write(answer[: act.at % len(answer)])
             await asyncio.sleep(act.delay_s)
-            self.end(call, reset=trick is Trick.RESET_ANSWER)
-        elif trick in (Trick.UNFRAMED, Trick.UNFRAMED_RESET):
+            self.end(call, reset=behavior is ServerBehavior.RESET_ANSWER)
+        elif behavior in (ServerBehavior.UNFRAMED, ServerBehavior.UNFRAMED_RESET):
             answer = self.whole(call, framed=False)
-            write(answer[: -act.at % 9] if trick is Trick.UNFRAMED_RESET else answer)
+            write(answer[: -act.at % 9] if behavior is ServerBehavior.UNFRAMED_RESET else answer)
             await asyncio.sleep(act.delay_s)
-            self.end(call, reset=trick is Trick.UNFRAMED_RESET)
-        elif trick in (Trick.FAILS, Trick.EARLY_FAILS):
+            self.end(call, reset=behavior is ServerBehavior.UNFRAMED_RESET)
+        elif behavior in (ServerBehavior.FAILS, ServerBehavior.EARLY_FAILS):
             write(self.whole(call, 500))
-        elif trick is Trick.FAILS_TWICE:
+        elif behavior is ServerBehavior.FAILS_TWICE:
             write(self.whole(call, 500) * 2)
-        elif trick is Trick.PLAIN_503:
+        elif behavior is ServerBehavior.PLAIN_503:
             write(self.whole(call, 503))
-        elif trick in (Trick.TURNED_AWAY, Trick.EARLY_TURNED_AWAY):
+        elif behavior in (ServerBehavior.REJECTED, ServerBehavior.EARLY_REJECTED):
             call.turn_away()
-        elif trick is Trick.MISDIRECTED:
+        elif behavior is ServerBehavior.MISDIRECTED:
             call.answer(421, b"", b"")
-        elif trick is not Trick.SILENCE:
-            self.end(call, reset=trick is Trick.RESET_UNRUN)
+        elif behavior is not ServerBehavior.SILENCE:
+            self.end(call, reset=behavior is ServerBehavior.RESET_NOT_EXECUTED)
 
     def end(self, call: Call, reset: bool) -> None:
         if call.end.transport:
@@ -310,14 +316,14 @@
     st.lists(st.lists(asks, max_size=4), min_size=1, max_size=3),
     st.sampled_from([None, None, 0, 120, 5000]),
 )
-@example([Act(Trick.EARLY_FAILS, 0, 0.0)], [[Ask("mutating", 70_000, None, 0.0)]], 5000)
+@example([Act(ServerBehavior.EARLY_FAILS, 0, 0.0)], [[Ask("mutating", 70_000, None, 0.0)]], 5000)
 def test_requests_of_clients_at_hostile_servers(script: list[Act], lines: list[list[Ask]], room: int | None) -> None:
     async def main() -> None:
         world = HostileWorld(kinds(), room)
         servers = world.hostile = HostileServers(world, script)
         heard: dict[str, Heard] = {}
         await asyncio.gather(*(one_client(world, n, line, heard) for n, line in enumerate(lines)))
-        await asyncio.sleep(1.0)  # what comes late comes
+        await asyncio.sleep(1.0)  # delayed responses arrive
         judge(servers, heard)
         assert not servers.misplaced
 
@@ -327,8 +333,8 @@
 # Calls with JSON bodies ---------------------------------------------------------------------------
 
 
-class Meddling(Enum):
-    """What is done to one answer on its way."""
+class ResponseFault(Enum):
+    """The fault that is injected into one response on its way."""
 
     PASS = auto()
     BYTE_BY_BYTE = auto()
@@ -337,30 +343,32 @@
     TWICE_LATE = auto()
     OLD_FIRST = auto()
     OLD_ONLY = auto()
-    ANNOUNCED = auto()
+    INFORMATIONAL_FIRST = auto()
     GARBAGE_AFTER = auto()
-    CUT = auto()
+    TRUNCATED = auto()
     RESET = auto()
-    SWALLOWED = auto()
+    DROPPED = auto()
     UNFRAMED = auto()
-    UNASKED = auto()  # an answer passes; later, at rest, one that nobody asked for
-    REJECTION_SAMPLE = auto()  # the connection ends before the request is handed on
+    UNSOLICITED = auto()  # the response passes; later, on the idle connection, an unsolicited one
+    ABORTED = auto()  # the connection is aborted before the request is forwarded
 
 
 class Meddle(NamedTuple):
-    how: Meddling
+    how: ResponseFault
     at: int
     delay_s: float
 
 
 class JsonAsk(NamedTuple):
     interchangeable: bool
-    gives_up_s: float | None  # cancelled after so long
+    gives_up_s: float | None  # time after which the call is cancelled
     timeout_s: float
     pause_s: float
 
 
-meddles = st.builds(Meddle, st.sampled_from(Meddling), st.integers(0, 200), st.sampled_from([0.0, 0.01, 0.04, 0.2]))
+meddles = st.builds(
+    Meddle, st.sampled_from(ResponseFault), st.integers(0, 200), st.sampled_from([0.0, 0.01, 0.04, 0.2])
+)
 json_asks = st.builds(
     JsonAsk,
     st.booleans(),
@@ -371,26 +379,26 @@
 
 
 class Middle:
-    """Stands between the clients and the real server, one connection for one."""
+    """A proxy between the clients and the real server, with one upstream connection for each connection."""
 
     def __init__(self, loop: MemoryLoop, script: list[Meddle], gives_ids: bool) -> None:
         self.loop, self.script, self.gives_ids = loop, script, gives_ids
         self.turn = 0
         self.earlier: list[bytes] = []
-        self.open: set[MiddleNear] = set()
-        loop.listeners[("10.0.0.1", 80)] = lambda: MiddleNear(self)
+        self.open: set[ClientEnd] = set()
+        loop.listeners[("10.0.0.1", 80)] = lambda: ClientEnd(self)
 
     def next(self) -> Meddle:
         self.turn += 1
         return self.script[(self.turn - 1) % len(self.script)]
 
 
-class MiddleNear(asyncio.Protocol):
-    """The end towards the client."""
+class ClientEnd(asyncio.Protocol):
+    """The proxy's end towards the client."""
 
     def __init__(self, middle: Middle) -> None:
         self.middle = middle
-        self.far = MiddleFar(self)
+        self.far = UpstreamEnd(self)
         self.transport: Any = None
         middle.open.add(self)
         connect(self.far, middle.loop.listeners[("10.0.0.9", 80)]())
@@ -404,19 +412,19 @@
 
     def data_received(self, data: bytes) -> None:
         self.far.meddle = self.middle.next()
-        if self.far.meddle.how is Meddling.REJECTION_SAMPLE:
+        if self.far.meddle.how is ResponseFault.ABORTED:
             self.transport.abort()
         else:
             self.far.transport.write(data)
 
 
-class MiddleFar(asyncio.Protocol):
-    """The end towards the server."""
+class UpstreamEnd(asyncio.Protocol):
+    """The proxy's end towards the server."""
 
-    def __init__(self, near: MiddleNear) -> None:
-        self.near, self.meddle = near, Meddle(Meddling.PASS, 0, 0.0)
+    def __init__(self, near: ClientEnd) -> None:
+        self.near, self.meddle = near, Meddle(ResponseFault.PASS, 0, 0.0)
         self.transport: Any = None
-        # Without ids nobody can tell an answer from another connection; those of the same one are what servers repeat.
+        # Without ids a response from another connection can't be detected. Servers repeat those of the same connection.
         self.earlier: list[bytes] = near.middle.earlier if near.middle.gives_ids else []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -434,36 +442,36 @@
             data = b"\r\n".join(lines) + b"\r\n\r\n" + body
         old = (self.earlier or [b""])[self.meddle.at % max(1, len(self.earlier))]
         self.earlier.append(data)
-        self.task = asyncio.ensure_future(self.hand_on(data, old, self.meddle))
+        self.task = asyncio.ensure_future(self.forward(data, old, self.meddle))
 
-    async def hand_on(self, data: bytes, old: bytes, meddle: Meddle) -> None:
+    async def forward(self, data: bytes, old: bytes, meddle: Meddle) -> None:
         how, to = meddle.how, self.near.transport
-        if how is Meddling.LATE:
+        if how is ResponseFault.LATE:
             await asyncio.sleep(meddle.delay_s)
-        if how in (Meddling.PASS, Meddling.LATE):
+        if how in (ResponseFault.PASS, ResponseFault.LATE):
             to.write(data)
-        elif how is Meddling.BYTE_BY_BYTE:
+        elif how is ResponseFault.BYTE_BY_BYTE:
             for byte in data:
                 to.write(bytes([byte]))
-        elif how in (Meddling.TWICE, Meddling.TWICE_LATE, Meddling.UNASKED):
+        elif how in (ResponseFault.TWICE, ResponseFault.TWICE_LATE, ResponseFault.UNSOLICITED):
             to.write(data)
-            await asyncio.sleep(0.0 if how is Meddling.TWICE else meddle.delay_s)
-            to.write(old if how is Meddling.UNASKED else data)
-        elif how is Meddling.OLD_FIRST:
+            await asyncio.sleep(0.0 if how is ResponseFault.TWICE else meddle.delay_s)
+            to.write(old if how is ResponseFault.UNSOLICITED else data)
+        elif how is ResponseFault.OLD_FIRST:
             to.write(old + data)
-        elif how is Meddling.OLD_ONLY:
+        elif how is ResponseFault.OLD_ONLY:
             to.write(old)
-        elif how is Meddling.ANNOUNCED:
+        elif how is ResponseFault.INFORMATIONAL_FIRST:
             to.write(b"HTTP/1.1 100 C\r\n\r\n" + data)
-        elif how is Meddling.GARBAGE_AFTER:
+        elif how is ResponseFault.GARBAGE_AFTER:
             to.write(data + b"junk")
-        elif how is Meddling.UNFRAMED:
+        elif how is ResponseFault.UNFRAMED:
             to.write(data.replace(b"Content-Length", b"X-Length"))
             to.close()
-        elif how in (Meddling.CUT, Meddling.RESET):
+        elif how in (ResponseFault.TRUNCATED, ResponseFault.RESET):
             to.write(data[: meddle.at % len(data)])
             await asyncio.sleep(meddle.delay_s)
-            to.close() if how is Meddling.CUT else to.abort()
+            to.close() if how is ResponseFault.TRUNCATED else to.abort()
 
 
 @hypothesis_settings(max_examples=400)
@@ -473,12 +481,12 @@
     st.booleans(),
 )
 @example(
-    [Meddle(Meddling.LATE, 0, 0.04)],
+    [Meddle(ResponseFault.LATE, 0, 0.04)],
     [[JsonAsk(False, 0.02, 0.5, 0.0), JsonAsk(False, None, 0.5, 0.0)]],
     False,
 )
 @example(
-    [Meddle(Meddling.TWICE_LATE, 0, 0.01), Meddle(Meddling.LATE, 0, 0.04)],
+    [Meddle(ResponseFault.TWICE_LATE, 0, 0.01), Meddle(ResponseFault.LATE, 0, 0.04)],
     [[JsonAsk(False, None, 0.5, 0.0), JsonAsk(False, None, 0.5, 0.0)]],
     True,
 )
@@ -531,33 +539,35 @@
     virtual.run(main, loop)
 
 
-# Calls between own processes ----------------------------------------------------------------------
+# RPC calls ----------------------------------------------------------------------------------------
 
 
-class Frames(Enum):
-    """What is done to one frame of the answering end."""
+class FrameFault(Enum):
+    """The fault that is injected into one frame of the answering end."""
 
     PASS = auto()
     LATE = auto()
     TWICE = auto()
-    SWALLOWED = auto()
-    SWAPPED = auto()  # comes after the next one
-    CUT = auto()
-    OLD_TOO = auto()  # and an earlier one of this connection once more
+    DROPPED = auto()
+    REORDERED = auto()  # delivered after the next frame
+    TRUNCATED = auto()
+    OLD_FIRST = auto()  # preceded by a repetition of an earlier frame of the connection
 
 
 class FrameMeddle(NamedTuple):
-    how: Frames
+    how: FrameFault
     at: int
     delay_s: float
 
 
-frame_meddles = st.builds(FrameMeddle, st.sampled_from(Frames), st.integers(0, 60), st.sampled_from([0.01, 0.08, 0.3]))
+frame_meddles = st.builds(
+    FrameMeddle, st.sampled_from(FrameFault), st.integers(0, 60), st.sampled_from([0.01, 0.08, 0.3])
+)
 rpc_asks = st.tuples(st.sampled_from([0.003, 0.02, 0.2]), st.sampled_from([0.0, 0.005, 0.05]))
 
 
 class FrameNear(asyncio.Protocol):
-    """Between two endpoints: what comes from the answering one is meddled with, frame by frame."""
+    """A proxy between two endpoints that injects faults into the frames of the answering one."""
 
     def __init__(self, loop: MemoryLoop, next_meddle: Callable[[], FrameMeddle]) -> None:
         self.next_meddle = next_meddle
@@ -580,7 +590,7 @@
         self.near = near
         self.transport: Any = None
         self.buffer = b""
-        self.held = b""
+        self.reordered = b""
         self.earlier: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -597,26 +607,26 @@
             if len(self.buffer) < end:
                 return
             frame, self.buffer = self.buffer[:end], self.buffer[end:]
-            self.hand_on(frame, self.near.next_meddle())
+            self.forward(frame, self.near.next_meddle())
 
-    def hand_on(self, frame: bytes, meddle: FrameMeddle) -> None:
+    def forward(self, frame: bytes, meddle: FrameMeddle) -> None:
         how, to = meddle.how, self.near.transport
         self.earlier.append(frame)
-        if how is Frames.SWAPPED:
-            self.held += frame
+        if how is FrameFault.REORDERED:
+            self.reordered += frame
             return
-        if how is Frames.LATE:
+        if how is FrameFault.LATE:
             asyncio.get_running_loop().call_later(meddle.delay_s, to.write, frame)
-        elif how in (Frames.PASS, Frames.TWICE):
-            to.write(frame * (2 if how is Frames.TWICE else 1))
-        elif how is Frames.OLD_TOO:
+        elif how in (FrameFault.PASS, FrameFault.TWICE):
+            to.write(frame * (2 if how is FrameFault.TWICE else 1))
+        elif how is FrameFault.OLD_FIRST:
             to.write(self.earlier[meddle.at % len(self.earlier)] + frame)
-        elif how is Frames.CUT:
+        elif how is FrameFault.TRUNCATED:
             to.write(frame[: meddle.at % len(frame)])
             to.abort()
-        if self.held:
-            to.write(self.held)
-            self.held = b""
+        if self.reordered:
+            to.write(self.reordered)
+            self.reordered = b""
 
 
 @hypothesis_settings(max_examples=400)
--- a/tests/runtime/test_http_calls.py
+++ b/tests/runtime/test_http_calls.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP between processes: an answer goes to its own call or to none (runtime/http_client.py, http.py)."""
+"""HTTP calls between processes: a response reaches its own call or none (runtime/http_client.py, runtime/http.py)."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 HOST, PORT = "10.0.0.1", 80
 ADDRESS = f"{HOST}:{PORT}"
-Script = Callable[["Served", http1.Request], None]
+Script = Callable[["ServerConnection", http1.Request], None]
 
 
-class Served(asyncio.Protocol):
-    """A server's end of one connection, which does as its script says with each request."""
+class ServerConnection(asyncio.Protocol):
+    """The server's end of one connection, which handles each request by the script."""
 
-    def __init__(self, script: Script, ends: list[Served]) -> None:
+    def __init__(self, script: Script, ends: list[ServerConnection]) -> None:
         self._script, self._parser = script, http1.RequestParser()
         self.transport: Any = None
         self.requests: list[http1.Request] = []
@@ -48,7 +48,7 @@
 
 
 def answer(request: http1.Request, body: bytes = b"", status: int = 200, head: bytes = b"") -> bytes:
-    """The answer of a server that gives the id back; its body names the path."""
+    """Return the response of a server that returns the id; by default its body is the path."""
     body = body or request.target
     ident = request.headers.get(b"request-id")
     line = b"Request-Id: " + ident + b"\r\n" if ident else b""
@@ -60,12 +60,12 @@
 
 
 class World:
-    """A client, and a server at one address."""
+    """A client and a scripted server at one address."""
 
     def __init__(self, loop: MemoryLoop, script: Script) -> None:
         self.loop, self.client = loop, JsonClient()
-        self.ends: list[Served] = []
-        loop.listeners[(HOST, PORT)] = lambda: Served(script, self.ends)
+        self.ends: list[ServerConnection] = []
+        loop.listeners[(HOST, PORT)] = lambda: ServerConnection(script, self.ends)
 
     async def ask(self, path: str, timeout_s: float = 1.0, **more: Any) -> Reply | Failure:
         return await self.client.call(ADDRESS, "GET", path, b"", timeout_s, **more)
@@ -74,7 +74,7 @@
         await asyncio.sleep(0.05)
 
 
-def play(script: Script, main: Callable[[World], Awaitable[None]]) -> None:
+def run_world(script: Script, main: Callable[[World], Awaitable[None]]) -> None:
     loop = MemoryLoop()
 
     async def body() -> None:
@@ -83,14 +83,14 @@
     virtual.run(body, loop)
 
 
-def plain(end: Served, request: http1.Request) -> None:
+def plain(end: ServerConnection, request: http1.Request) -> None:
     end.write(answer(request))
 
 
 def late(seconds: float) -> Script:
-    """An answer to /slow that takes its time; all others come at once."""
+    """Return a script that answers /slow after `seconds` and all other requests immediately."""
 
-    def script(end: Served, request: http1.Request) -> None:
+    def script(end: ServerConnection, request: http1.Request) -> None:
         wait = seconds if request.target == b"/slow" else 0.0
         asyncio.get_running_loop().call_later(wait, end.write, answer(request))
 
@@ -103,11 +103,11 @@
             assert await world.ask(path) == Reply(200, path.encode())
         assert world.loop.opened == 1
 
-    play(plain, main)
+    run_world(plain, main)
 
 
-def test_a_cancelled_call_takes_its_connection_with_it() -> None:
-    """The next call, to another path, must not get its answer."""
+def test_a_cancelled_call_closes_its_connection() -> None:
+    """The next call, to another path, must not get the response to the cancelled one."""
 
     async def main(world: World) -> None:
         call = asyncio.ensure_future(world.ask("/slow"))
@@ -117,27 +117,27 @@
         assert world.ends[0].lost
         assert await world.ask("/other") == Reply(200, b"/other")
 
-    play(late(0.2), main)
+    run_world(late(0.2), main)
 
 
-def test_a_call_cancelled_in_the_turn_of_its_answer_leaves_no_connection_open() -> None:
+def test_a_call_cancelled_with_its_response_closes_its_connection() -> None:
     async def main(world: World) -> None:
-        def script(end: Served, request: http1.Request) -> None:
+        def script(end: ServerConnection, request: http1.Request) -> None:
             end.write(answer(request))
-            # The answer arrives a latency later, and the cancellation in the same turn of the loop.
+            # The response arrives after LATENCY_S, and the cancellation in the same iteration of the event loop.
             asyncio.get_running_loop().call_later(virtual.LATENCY_S, call.cancel)
 
-        world.loop.listeners[(HOST, PORT)] = lambda: Served(script, world.ends)
+        world.loop.listeners[(HOST, PORT)] = lambda: ServerConnection(script, world.ends)
         call = asyncio.ensure_future(world.ask("/x"))
         with pytest.raises(asyncio.CancelledError):
             await call
         await world.settle()
         assert world.ends[0].lost
 
-    play(plain, main)
+    run_world(plain, main)
 
 
-def test_a_call_that_timed_out_takes_its_connection_with_it() -> None:
+def test_a_timed_out_call_closes_its_connection() -> None:
     async def main(world: World) -> None:
         reply = await world.ask("/slow", 0.1)
         assert isinstance(reply, Failure) and reply.code is Code.TIMED_OUT
@@ -145,11 +145,11 @@
         await world.settle()
         assert world.ends[0].lost and not world.ends[1].lost
 
-    play(late(0.11), main)
+    run_world(late(0.11), main)
 
 
-def test_what_the_kernel_still_holds_of_a_call_that_timed_out_never_arrives() -> None:
-    """The other end reads only then, as behind a path that was cut: an order must not arrive that late."""
+def test_unsent_bytes_of_a_timed_out_call_are_dropped() -> None:
+    """The server reads only after the time-out, as after a network partition: an order must not arrive that late."""
     body = b"x" * 400_000
 
     async def work() -> tuple[Reply | Failure, int, bool]:
@@ -164,8 +164,8 @@
     assert reset
 
 
-def test_an_extra_answer_while_at_rest_ends_the_connection() -> None:
-    def script(end: Served, request: http1.Request) -> None:
+def test_an_extra_response_on_an_idle_connection_closes_it() -> None:
+    def script(end: ServerConnection, request: http1.Request) -> None:
         end.write(answer(request))
         asyncio.get_running_loop().call_later(0.02, end.write, answer(request))
 
@@ -175,12 +175,12 @@
         assert world.ends[0].lost
         assert await world.ask("/second") == Reply(200, b"/second")
 
-    play(script, main)
+    run_world(script, main)
 
 
-def test_an_extra_answer_in_the_place_of_the_next_one_is_not_taken() -> None:
-    def script(end: Served, request: http1.Request) -> None:
-        end.write(answer(end.requests[0]))  # the second time: once more that to the first
+def test_a_repeated_response_is_not_taken_for_the_next_one() -> None:
+    def script(end: ServerConnection, request: http1.Request) -> None:
+        end.write(answer(end.requests[0]))  # the second request gets the response to the first one
 
     async def main(world: World) -> None:
         await world.ask("/first")
@@ -189,28 +189,28 @@
         await world.settle()
         assert world.ends[0].lost
 
-    play(script, main)
+    run_world(script, main)
 
 
 @pytest.mark.parametrize(
     "extra", [answer(http1.Request(b"GET", b"/z", {}, b"", True)), b"x", b"HTTP/1.1 100 C\r\n\r\n"]
 )
-def test_bytes_right_after_an_answer_end_the_connection(extra: bytes) -> None:
+def test_bytes_after_a_response_close_the_connection(extra: bytes) -> None:
     async def main(world: World) -> None:
         assert await world.ask("/first") == Reply(200, b"/first")
         assert await world.ask("/second") == Reply(200, b"/second")
         assert world.ends[0].lost and world.loop.opened == 2
 
-    play(lambda end, request: end.write(answer(request) + extra), main)
+    run_world(lambda end, request: end.write(answer(request) + extra), main)
 
 
-def test_without_an_id_in_its_answers_a_server_gets_one_call_for_each_connection() -> None:
+def test_a_server_without_ids_gets_one_call_per_connection() -> None:
     async def main(world: World) -> None:
         assert await world.ask("/first") == Reply(200, b"/first")
         assert await world.ask("/second") == Reply(200, b"/second")
         assert world.loop.opened == 2 and world.ends[0].lost
 
-    play(lambda end, request: end.write(without_id(request)), main)
+    run_world(lambda end, request: end.write(without_id(request)), main)
 
 
 def test_without_ids_only_interchangeable_calls_of_one_path_share_a_connection() -> None:
@@ -223,11 +223,11 @@
         assert await world.ask("/report", interchangeable=True) == Reply(200, b"/report")
         assert [{r.target for r in end.requests} for end in world.ends] == [{b"/report"}, {b"/order"}, {b"/other"}]
 
-    play(lambda end, request: end.write(without_id(request)), main)
+    run_world(lambda end, request: end.write(without_id(request)), main)
 
 
-def test_an_answer_without_an_id_after_those_with_one_is_nobody_s() -> None:
-    def script(end: Served, request: http1.Request) -> None:
+def test_a_response_without_an_id_after_one_with_an_id_is_rejected() -> None:
+    def script(end: ServerConnection, request: http1.Request) -> None:
         end.write(answer(request) if len(end.requests) == 1 else without_id(end.requests[0]))
 
     async def main(world: World) -> None:
@@ -235,7 +235,7 @@
         reply = await world.ask("/second")
         assert isinstance(reply, Failure) and reply.maybe_done
 
-    play(script, main)
+    run_world(script, main)
 
 
 @pytest.mark.parametrize(
@@ -250,8 +250,8 @@
         b"",
     ],
 )
-def test_what_is_no_whole_answer_gives_no_reply(data: bytes) -> None:
-    def script(end: Served, request: http1.Request) -> None:
+def test_an_incomplete_or_invalid_response_fails_the_call(data: bytes) -> None:
+    def script(end: ServerConnection, request: http1.Request) -> None:
         end.write(data)
         end.transport.close()
 
@@ -259,37 +259,37 @@
         reply = await world.ask("/first")
         assert isinstance(reply, Failure) and reply.code is Code.CLOSED
 
-    play(script, main)
+    run_world(script, main)
 
 
-def test_an_announcement_is_no_answer() -> None:
+def test_informational_responses_are_skipped() -> None:
     async def main(world: World) -> None:
         for path in ("/a", "/b"):
             assert await world.ask(path) == Reply(200, path.encode())
         assert world.loop.opened == 1
 
-    play(
+    run_world(
         lambda end, request: end.write(b"HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: x\r\n\r\n" + answer(request)),
         main,
     )
 
 
-def test_an_answer_before_the_request_has_left_is_no_answer_and_nothing_was_done() -> None:
-    """What is not yet written can't have run, and is dropped with the connection."""
+def test_a_response_before_the_request_is_written_fails_the_call() -> None:
+    """A request that is not fully written can't have been executed, and is dropped with the connection."""
 
-    class Full(MemoryTransport):
-        """Takes no bytes: the kernel's buffer is full."""
+    class FullTransport(MemoryTransport):
+        """A transport that accepts no bytes, as with a full kernel buffer."""
 
         def write(self, data: Any) -> None:
             self.protocol.pause_writing()
 
     async def main(world: World) -> None:
         def accept() -> Any:
-            return Served(plain, world.ends)
+            return ServerConnection(plain, world.ends)
 
         async def open_full(protocol_factory: Any, host: Any = None, port: Any = None, **_: Any) -> Any:
             here, there = protocol_factory(), accept()
-            a, b = Full(here), MemoryTransport(there)
+            a, b = FullTransport(here), MemoryTransport(there)
             a.other, b.other = b, a
             there.connection_made(b)
             here.connection_made(a)
@@ -302,55 +302,55 @@
         await world.settle()
         assert world.ends[0].lost
 
-    play(plain, main)
+    run_world(plain, main)
 
 
-def test_calls_at_the_same_time_have_a_connection_each() -> None:
+def test_concurrent_calls_use_separate_connections() -> None:
     async def main(world: World) -> None:
         replies = await asyncio.gather(*(world.ask(f"/{n}") for n in range(5)))
         assert replies == [Reply(200, b"/%d" % n) for n in range(5)]
         await world.settle()
-        assert sum(not end.lost for end in world.ends) == 1  # one is kept
+        assert sum(not end.lost for end in world.ends) == 1  # one connection is kept
 
-    play(plain, main)
+    run_world(plain, main)
 
 
-def test_what_may_not_go_out_is_not_written_and_harms_no_connection() -> None:
+def test_a_call_that_may_not_be_written_leaves_the_connection_usable() -> None:
     async def main(world: World) -> None:
         reply = await world.ask("/first", may_write=lambda: False)
         assert isinstance(reply, Failure) and not reply.maybe_done
         assert await world.ask("/second") == Reply(200, b"/second")
         assert [r.target for end in world.ends for r in end.requests] == [b"/second"] and world.loop.opened == 1
 
-    play(plain, main)
+    run_world(plain, main)
 
 
-def test_no_connection_in_time_says_that_nothing_was_done() -> None:
+def test_a_connect_timeout_means_that_nothing_was_done() -> None:
     async def main(world: World) -> None:
         world.loop.dark.add((HOST, PORT))
         reply = await world.ask("/first", 0.3)
         assert isinstance(reply, Failure) and not reply.maybe_done
 
-    play(plain, main)
+    run_world(plain, main)
 
 
-@pytest.mark.parametrize(("head", "most_s"), [(b"", MAX_IDLE_S), (b"Keep-Alive: timeout=5\r\n", 5 - IDLE_MARGIN_S)])
-def test_a_connection_at_rest_ends_after_a_time(head: bytes, most_s: float) -> None:
+@pytest.mark.parametrize(("head", "idle_s"), [(b"", MAX_IDLE_S), (b"Keep-Alive: timeout=5\r\n", 5 - IDLE_MARGIN_S)])
+def test_an_idle_connection_is_closed(head: bytes, idle_s: float) -> None:
     async def main(world: World) -> None:
         await world.ask("/first")
-        await asyncio.sleep(most_s - 0.1)
+        await asyncio.sleep(idle_s - 0.1)
         assert not world.ends[0].lost
         await asyncio.sleep(0.2)
         assert world.ends[0].lost
 
-    play(lambda end, request: end.write(answer(request, head=head)), main)
+    run_world(lambda end, request: end.write(answer(request, head=head)), main)
 
 
 # The server ---------------------------------------------------------------------------------------
 
 
-class Raw(asyncio.Protocol):
-    """A caller that writes what it likes."""
+class RawClient(asyncio.Protocol):
+    """A client that writes raw bytes."""
 
     def __init__(self) -> None:
         self.data, self.lost = b"", False
@@ -365,11 +365,11 @@
         self.lost = True
 
 
-async def serve(handle: http.Handle) -> tuple[Raw, MemoryTransport, JsonServer]:
+async def serve(handle: http.Handle) -> tuple[RawClient, MemoryTransport, JsonServer]:
     server = JsonServer(handle)
     await server.listen(HOST, PORT)
     loop: Any = asyncio.get_running_loop()
-    raw = Raw()
+    raw = RawClient()
     transport, _ = connect(raw, loop.listeners[(HOST, PORT)]())
     return raw, transport, server
 
@@ -377,7 +377,7 @@
 GET = b"GET /%d HTTP/1.1\r\nRequest-Id: q%d\r\n\r\n"
 
 
-def test_answers_come_in_order_and_bear_the_id_of_their_request() -> None:
+def test_responses_are_in_order_with_the_id_of_their_request() -> None:
     async def handle(request: http1.Request) -> Reply:
         await asyncio.sleep(0.1 if request.target == b"/0" else 0.0)
         return Reply(200, request.target)
@@ -393,11 +393,11 @@
     virtual.run(main, MemoryLoop())
 
 
-def test_what_a_caller_asked_before_it_left_is_not_begun() -> None:
-    begun = []
+def test_queued_requests_of_a_disconnected_client_are_dropped() -> None:
+    handled = []
 
     async def handle(request: http1.Request) -> Reply:
-        begun.append(request.target)
+        handled.append(request.target)
         await asyncio.sleep(0.1)
         return Reply(200)
 
@@ -407,12 +407,12 @@
         await asyncio.sleep(0.05)
         transport.abort()
         await asyncio.sleep(0.5)
-        assert begun == [b"/0"]
+        assert handled == [b"/0"]
 
     virtual.run(main, MemoryLoop())
 
 
-def test_a_call_that_takes_long_is_not_cut_by_the_time_at_rest() -> None:
+def test_the_idle_timeout_does_not_interrupt_a_long_call() -> None:
     async def handle(request: http1.Request) -> Reply:
         await asyncio.sleep(2.0)
         return Reply(200, b"done")
@@ -427,7 +427,7 @@
     virtual.run(main, MemoryLoop())
 
 
-def test_the_body_is_asked_for_after_the_answers_before_it() -> None:
+def test_100_continue_follows_the_responses_before_it() -> None:
     async def handle(request: http1.Request) -> Reply:
         await asyncio.sleep(0.1)
         return Reply(200, request.body or b"none")
@@ -444,11 +444,11 @@
     virtual.run(main, MemoryLoop())
 
 
-def test_after_an_answer_that_closes_nothing_further_is_begun() -> None:
-    begun = []
+def test_no_request_is_handled_after_a_closing_response() -> None:
+    handled = []
 
     async def handle(request: http1.Request) -> Reply:
-        begun.append(request.target)
+        handled.append(request.target)
         return Reply(200)
 
     async def main() -> None:
@@ -456,6 +456,6 @@
         server.stopping = True
         transport.write(GET % (0, 0) + GET % (1, 1))
         await asyncio.sleep(0.3)
-        assert begun == [b"/0"] and raw.lost and raw.data.count(b"HTTP/1.1") == 1
+        assert handled == [b"/0"] and raw.lost and raw.data.count(b"HTTP/1.1") == 1
 
     virtual.run(main, MemoryLoop())
--- a/tests/runtime/test_relay.py
+++ b/tests/runtime/test_relay.py
@@ -1,4 +1,4 @@
-"""Finding a parent, and leaving one (otterreach/runtime/relay.py)."""
+"""Selection and replacement of the parent in the relay tree (otterreach/runtime/relay.py)."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
 
 
 class Parent:
-    """A relay: cut off from the root since a moment, or not."""
+    """A relay that is disconnected from the root from `disconnected_at` on."""
 
     def __init__(self, net: Net) -> None:
-        self.net, self.store, self.answers, self.cut_at = net, ReplicatedStore(), True, 1e9
+        self.net, self.store, self.answers, self.disconnected_at = net, ReplicatedStore(), True, 1e9
 
-    def changes(self, items: list[Item], asked_ms: int = 0) -> Changes:
-        age = max(0.0, self.net.time() - self.cut_at) + 0.1
-        return Changes(int(age * 1000), self.store.revision, items, self.store.digest, asked_ms)
+    def changes(self, items: list[Item], probe_sent_ms: int = 0) -> Changes:
+        age = max(0.0, self.net.time() - self.disconnected_at) + 0.1
+        return Changes(int(age * 1000), self.store.revision, items, self.store.digest, probe_sent_ms)
 
 
 class Net:
-    """Stands in for otterreach.runtime.rpc.Endpoint."""
+    """A fake of otterreach.runtime.rpc.Endpoint."""
 
     def __init__(self) -> None:
         self.time: Callable[[], float] = asyncio.get_running_loop().time
@@ -57,44 +57,44 @@
     def linked(self, address: str) -> Link | None:
         return self.links.get(address)
 
-    async def call(self, address: str, ask: Any, timeout_s: float) -> Any:
+    async def call(self, address: str, request: Any, timeout_s: float) -> Any:
         await asyncio.sleep(0.002)
         parent = self.parents[address]
         if not parent.answers:
             await asyncio.sleep(timeout_s)
             return Failure(Code.TIMED_OUT, "")
-        assert isinstance(ask, Follow)
-        return parent.changes(parent.store.differing(ask.digests))
+        assert isinstance(request, Follow)
+        return parent.changes(parent.store.differing(request.digests))
 
     def put(self, item: Item) -> None:
-        """A change that all but those cut off hear of."""
+        """Apply a change at all parents that are not disconnected."""
         for parent in self.parents.values():
-            if parent.cut_at > self.time():
+            if parent.disconnected_at > self.time():
                 parent.store.apply([item])
 
 
 class FollowerTest(unittest.TestCase):
-    def play(self, scene: Any, seed: int) -> None:
+    def run_scenario(self, scenario: Any, seed: int) -> None:
         loop = VirtualLoop()
         self.addCleanup(loop.close)
 
-        async def whole() -> None:
+        async def main() -> None:
             net: Any = Net()
             follower = Follower(net, ReplicatedStore(), SETTINGS, Random(seed))
             net.put(Item("config", 1, b'{"gen": 1}'))
             task = asyncio.ensure_future(follower.run())
             await asyncio.sleep(1.0)
-            await scene(net, follower)
+            await scenario(net, follower)
             task.cancel()
 
-        loop.run_until_complete(whole())
+        loop.run_until_complete(main())
 
-    def test_a_parent_that_answers_but_is_cut_off_is_left(self) -> None:
-        """One that was followed on and on: its own first candidate, always a little newer than the child."""
+    def test_a_disconnected_parent_that_answers_is_replaced(self) -> None:
+        """The child selected it again and again, since it always reports a state slightly newer than the child's."""
 
-        async def scene(net: Any, follower: Follower) -> None:
+        async def scenario(net: Any, follower: Follower) -> None:
             first = follower.parent
-            net.parents[first].cut_at = net.time()
+            net.parents[first].disconnected_at = net.time()
             await asyncio.sleep(0.5)
             net.put(Item("config", 2, b'{"gen": 2}'))
             await asyncio.sleep(MAX_AGE_S + 1.3)
@@ -104,10 +104,10 @@
 
         for seed in range(12):
             with self.subTest(seed):
-                self.play(scene, seed)
+                self.run_scenario(scenario, seed)
 
-    def test_a_silent_parent_is_left(self) -> None:
-        async def scene(net: Any, follower: Follower) -> None:
+    def test_an_unresponsive_parent_is_replaced(self) -> None:
+        async def scenario(net: Any, follower: Follower) -> None:
             first = follower.parent
             net.parents[first].answers = False
             net.put(Item("config", 2, b'{"gen": 2}'))
@@ -117,45 +117,45 @@
 
         for seed in range(12):
             with self.subTest(seed):
-                self.play(scene, seed)
+                self.run_scenario(scenario, seed)
 
-    def test_where_all_are_cut_off_alike_it_stays(self) -> None:
-        async def scene(net: Any, follower: Follower) -> None:
+    def test_the_parent_is_kept_if_all_are_disconnected(self) -> None:
+        async def scenario(net: Any, follower: Follower) -> None:
             first = follower.parent
             for parent in net.parents.values():
-                parent.cut_at = net.time()
+                parent.disconnected_at = net.time()
             await asyncio.sleep(6.0)
             self.assertEqual(follower.parent, first)
             self.assertGreater(follower.age_s(), 5.5)
 
-        self.play(scene, 1)
+        self.run_scenario(scenario, 1)
 
-    def test_an_answer_held_up_on_its_way_does_not_pass_for_new(self) -> None:
-        async def scene(net: Any, follower: Follower) -> None:
-            link, asked = net.links[follower.parent], int(net.time() * 1000)
-            held = net.parents[follower.parent].changes([], asked)
+    def test_a_delayed_answer_does_not_lower_the_age(self) -> None:
+        async def scenario(net: Any, follower: Follower) -> None:
+            link, probe_sent_ms = net.links[follower.parent], int(net.time() * 1000)
+            delayed = net.parents[follower.parent].changes([], probe_sent_ms)
             for parent in net.parents.values():
                 parent.answers = False
             await asyncio.sleep(4.0)
             follower.parent = link.address
-            await net.handlers[Changes](link, held)
+            await net.handlers[Changes](link, delayed)
             self.assertGreater(follower.age_s(), 4.0)
 
-        self.play(scene, 1)
+        self.run_scenario(scenario, 1)
 
-    def test_a_large_state_comes_in_pieces(self) -> None:
-        """10 MB over 30 Mbit/s take 2.7 s: one answer with 0.6 s to it never came."""
+    def test_a_large_state_is_sent_in_chunks(self) -> None:
+        """10 MB over 30 Mbit/s take 2.7 s, so a single answer never arrived within the call time-out of 0.6 s."""
         store = ReplicatedStore()
         store.apply([Item("config", 1, b'{"gen": 1}')])
         store.apply(Item(f"server/{n}", n + 2, b'"' + b"x" * 1000 + b'"') for n in range(10_000))
         largest = 0
 
-        async def scene(net: Any, follower: Follower) -> None:
+        async def scenario(net: Any, follower: Follower) -> None:
             relay = Relay(cast(Any, SimpleNamespace(on=lambda kind, handler: None)), store, lambda: 0.1)
 
-            async def call(address: str, ask: Any, timeout_s: float) -> Any:
+            async def call(address: str, request: Any, timeout_s: float) -> Any:
                 nonlocal largest
-                reply = await relay.handle_follow(net.links[address], ask)
+                reply = await relay.handle_follow(net.links[address], request)
                 size = len(encode(reply))
                 largest = max(largest, size)
                 try:
@@ -169,14 +169,14 @@
             for parent in net.parents.values():
                 parent.store = store
             follower.parent = ""
-            began = net.time()
+            started_at = net.time()
             while follower.store.digest != store.digest:
                 await asyncio.sleep(0.05)
-                self.assertLess(net.time() - began, 10.0)
+                self.assertLess(net.time() - started_at, 10.0)
             self.assertLess(follower.age_s(), 1.0)
             self.assertLess(largest, 250_000)
 
-        self.play(scene, 1)
+        self.run_scenario(scenario, 1)
 
 
 if __name__ == "__main__":
--- a/tests/runtime/test_rpc.py
+++ b/tests/runtime/test_rpc.py
@@ -1,4 +1,4 @@
-"""Connections between own processes: what ends them, and that silence leaves none behind (runtime/rpc.py)."""
+"""RPC connections: retirement after time-outs, calls in flight on retired connections, unknown result codes."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 class Pair:
-    """Two endpoints; `far` answers each call after `wait_s`."""
+    """Two endpoints, which answer each call after `wait_s`; `far` listens."""
 
     def __init__(self) -> None:
         self.near, self.far = Endpoint(), Endpoint()
         self.wait_s = 0.0
-        self.asked = 0
+        self.handled = 0
         self.far.on(MemberShutdown, self._answer)
         self.near.on(MemberShutdown, self._answer)
 
     async def _answer(self, link: Link, request: MemberShutdown) -> Done:
-        self.asked += 1
+        self.handled += 1
         await asyncio.sleep(self.wait_s)
         return Done()
 
@@ -39,7 +39,7 @@
         return len(self.near.links), len(self.far.links)
 
 
-def play(main: Callable[[Pair], Awaitable[None]]) -> None:
+def run_pair(main: Callable[[Pair], Awaitable[None]]) -> None:
     async def body() -> None:
         pair = Pair()
         await pair.far.listen("10.0.0.2", 5)
@@ -48,7 +48,7 @@
     virtual.run(body, MemoryLoop())
 
 
-def test_silence_after_silence_leaves_no_connection_behind() -> None:
+def test_repeated_timeouts_leave_no_connection_open() -> None:
     async def main(pair: Pair) -> None:
         pair.wait_s = 3600.0
         for _ in range(200):
@@ -58,10 +58,10 @@
         await asyncio.sleep(RETIRED_MAX_S + 1.0)
         assert pair.open == (0, 0)
 
-    play(main)
+    run_pair(main)
 
 
-def test_what_is_under_way_ends_on_the_old_connection() -> None:
+def test_a_call_in_flight_completes_on_the_retired_connection() -> None:
     async def main(pair: Pair) -> None:
         pair.wait_s = 4.0
         long = asyncio.ensure_future(pair.call(6.0))
@@ -72,10 +72,10 @@
         await asyncio.sleep(1.0)
         assert pair.open == (0, 0)
 
-    play(main)
+    run_pair(main)
 
 
-def test_a_call_of_the_other_end_ends_on_the_old_connection() -> None:
+def test_a_call_of_the_peer_completes_on_the_retired_connection() -> None:
     async def main(pair: Pair) -> None:
         await pair.call()
         pair.wait_s = 4.0
@@ -86,10 +86,10 @@
         assert isinstance(reply, Failure)
         assert await long == Done()
 
-    play(main)
+    run_pair(main)
 
 
-def test_an_answer_after_the_time_reaches_nobody() -> None:
+def test_a_reply_after_the_timeout_is_discarded() -> None:
     async def main(pair: Pair) -> None:
         pair.wait_s = 0.2
         first = await pair.call(0.1)
@@ -97,9 +97,9 @@
         assert isinstance(first, Failure)
         assert await pair.call() == Done()
         await asyncio.sleep(0.5)
-        assert pair.asked == 2
+        assert pair.handled == 2
 
-    play(main)
+    run_pair(main)
 
 
 def test_a_code_of_a_newer_process_is_a_failure_of_that_call_alone() -> None:
@@ -112,14 +112,14 @@
         assert isinstance(reply, Failure) and reply.maybe_done
         assert pair.open == (1, 1)
 
-    play(main)
+    run_pair(main)
 
 
-def test_the_connection_that_serves_is_kept() -> None:
+def test_a_working_connection_is_kept() -> None:
     async def main(pair: Pair) -> None:
         for _ in range(5):
             assert await pair.call() == Done()
             await asyncio.sleep(20.0)
         assert pair.open == (1, 1)
 
-    play(main)
+    run_pair(main)
