--- a/tests/runtime/test_codes.py
+++ b/tests/runtime/test_codes.py
@@ -1,4 +1,4 @@
-"""docs/codes.md holds the numbers of otterreach.runtime.codes; `python3 -m tests.runtime.test_codes` writes it."""
+"""docs/codes.md matches otterreach.runtime.codes. `python3 -m tests.runtime.test_codes` writes it."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
         numbers = [row[1] for row in rows()]
         self.assertEqual(len(numbers), len(set(numbers)))
 
-    def test_page_is_the_enum(self) -> None:
+    def test_page_matches_the_enum(self) -> None:
         self.assertEqual(page(), PAGE.read_text())
 
     def test_failure_is_false_but_not_none(self) -> None:
--- a/tests/runtime/test_compaction.py
+++ b/tests/runtime/test_compaction.py
@@ -1,4 +1,4 @@
-"""When a journal is rewritten (otterreach/runtime/compaction.py), and that on a slow, full or cut off virtual disk."""
+"""Compaction of a journal (otterreach/runtime/compaction.py): thresholds, retries, power losses and a full disk."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class CountingJournal:
-    """Counts the rewrites; each takes a second and ends as told."""
+    """A journal that counts the rewrites; each takes a second and succeeds according to `succeeds`."""
 
     def __init__(self, size: int) -> None:
         self.size, self.rewrites, self.succeeds = size, 0, True
@@ -35,7 +35,7 @@
 
 class CompactionTest(unittest.TestCase):
     def test_only_a_long_file_that_is_mostly_out_of_date(self) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             for size, live, due in ((100, 0, False), (101, 0, True), (400, 100, False), (401, 100, True)):
                 journal = CountingJournal(size)
                 compaction = Compaction(journal, lambda: [], lambda live=live: live, Limits(100, 4.0))  # type: ignore[misc]
@@ -43,10 +43,10 @@
                 await asyncio.sleep(2.0)
                 self.assertEqual(due, journal.rewrites == 1, f"{size} {live}")
 
-        run(scene)
+        run(scenario)
 
     def test_one_at_a_time_and_not_again_soon_without_room(self) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             journal = CountingJournal(1000)
             journal.succeeds = False
             compaction = Compaction(journal, lambda: [], lambda: 0, Limits(100, 4.0))
@@ -59,20 +59,20 @@
             await asyncio.sleep(0.1)
             self.assertEqual(2, journal.rewrites)
 
-        run(scene)
+        run(scenario)
 
 
 class VirtualDiskTest(unittest.TestCase):
-    """The virtual disk keeps to the same promises as the real one, so that the simulation tests what relies on them."""
+    """The virtual disk gives the same guarantees as the real one: the simulation tests code that relies on them."""
 
     def test_power_goes_while_the_file_is_rewritten(self) -> None:
-        """Nothing acknowledged is lost, nothing is there twice, whenever it goes."""
+        """A power loss at any time neither loses an acknowledged record nor duplicates one."""
         replaced = 0
         for seed in range(300):
             disk, random = Disk(Random(seed)), Random(seed)
             acknowledged: list[int] = []
 
-            async def scene(disk: Disk = disk, random: Random = random, told: list[int] = acknowledged) -> None:
+            async def scenario(disk: Disk = disk, random: Random = random, synced: list[int] = acknowledged) -> None:
                 journal = VirtualJournal(disk)
                 journal.append(9, b"old")
                 await journal.sync()
@@ -81,12 +81,12 @@
                     for number in range(1000):
                         journal.append(2, str(number).encode())
                         if await journal.sync():
-                            told.append(number)
+                            synced.append(number)
 
                 work = [asyncio.ensure_future(journal.rewrite(lambda: SLICES)), asyncio.ensure_future(appends())]
                 await asyncio.wait(work, timeout=random.uniform(0.0, 0.03))
 
-            run(scene)
+            run(scenario)
             disk.power_lost()
             records = VirtualJournal(disk).read()
             replaced += (9, b"old") not in records
@@ -99,7 +99,7 @@
         self.assertLess(replaced, 250)
 
     def test_a_full_disk_ends_the_rewrite_and_not_the_log(self) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             disk = Disk(Random(1))
             journal = VirtualJournal(disk)
             journal.append(1, b"x" * 100)
@@ -122,7 +122,7 @@
             self.assertIsNotNone(journal.failed)
             self.assertEqual([(1, b"x" * 100), (2, b"z" * 60)], VirtualJournal(disk).read())
 
-        run(scene)
+        run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/runtime/test_configuration_ends.py
+++ b/tests/runtime/test_configuration_ends.py
@@ -1,4 +1,4 @@
-"""Every number that a configuration may hold, at its ends: refused by name, or of use to those that decide by it."""
+"""Boundary values of all numbers of a configuration: rejected with the field's name, or usable by the processes."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
 
 
 async def work_with(raw: dict[str, Any]) -> None:
-    """What proxies and job store nodes do with the numbers of a configuration."""
+    """Use the numbers of a configuration as proxies and job store nodes do."""
     configuration = read(ConfigurationRecord(raw))
     route = configuration.routes[0]
     times = (route.timeout_s, route.target_s, route.due_s, route.max_wait_s)
--- a/tests/runtime/test_environment.py
+++ b/tests/runtime/test_environment.py
@@ -1,4 +1,4 @@
-"""scripts.environment: an installation is made once, and again when what it was made from has changed."""
+"""scripts.environment: an environment is installed once, and again after its sources have changed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def commands(monkeypatch: pytest.MonkeyPatch) -> list[list[str]]:
-    """The commands that would have run."""
+    """Replace the execution of commands; return the list of the recorded ones."""
     seen: list[list[str]] = []
 
     def record(command: Sequence[str | Path]) -> None:
@@ -71,7 +71,9 @@
     monkeypatch.setattr(environment, "run", fail)
     with pytest.raises(SystemExit):
         create_virtual_environment(directory, source, [])
-    source.write_text("one==1\n")  # back again: what is there may be half of the other
+    source.write_text(
+        "one==1\n"
+    )  # the first source again, but the failed installation may have left a part of the second one
     assert not is_current(directory / STAMP, source)
 
 
--- a/tests/runtime/test_ignore_hangup.py
+++ b/tests/runtime/test_ignore_hangup.py
@@ -1,4 +1,4 @@
-"""A SIGHUP to a process that is still starting does not end it."""
+"""A SIGHUP must not terminate a process that is still starting."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("role", ["controller", "jobstore", "proxy"])
 def test_each_role_imports_it_before_any_other_module_of_ours(role: str) -> None:
-    """A controller that got a SIGHUP in the first 0.2 s after its start ended with -1."""
+    """Guards against a controller that a SIGHUP within the first 0.2 s after its start terminated with status -1."""
     source = (ROOT / "otterreach" / role / "__main__.py").read_text()
     names: list[str] = []
     for node in ast.parse(source).body:
--- a/tests/runtime/test_journal.py
+++ b/tests/runtime/test_journal.py
@@ -1,4 +1,4 @@
-"""otterreach.runtime.journal: what a loss of power, a damaged file and a failing disk leave behind."""
+"""otterreach.runtime.journal: power loss, damaged files, full and failing disks, and rewrites."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 RECORDS: list[Record] = [(1, b"one"), (2, b""), (3, bytes(range(256)) * 3), (255, b"last" * 9)]
 
 
-class InTurn(Executor):
-    """Runs each step at once, so that a test repeats to the letter."""
+class SynchronousExecutor(Executor):
+    """An executor that runs each step synchronously, which makes tests deterministic."""
 
     def submit(self, step: Any, /, *args: Any, **kwargs: Any) -> Future[Any]:
         future: Future[Any] = Future()
@@ -40,21 +40,22 @@
 
 
 class PowerCut(BaseException):
-    """The machine stops at this call of the disk."""
+    """The machine loses power at a call to the disk."""
 
 
 class FakePower:
-    """Stands before `os`: counts the calls that reach the disk, stops at one, knows what had been synced by then.
+    """A fake of `os` that counts the calls to the disk, stops at one of them, and tracks what had been synced by then.
 
-    A new file lasts with its own sync, names last with their folder's; what is not synced may be there or not.
+    A file's contents are durable once the file is synced, and names once their directory is synced. A sync of a new
+    file makes its name durable as well. Anything else may or may not survive the power loss.
     """
 
     CALLS = ("open", "write", "fsync", "ftruncate", "rename", "unlink")
 
     def __init__(self, folder: Path, stop_at: int) -> None:
         self.folder, self.stop_at, self.steps = folder, stop_at, 0
-        self.contents: dict[int, bytes] = {}  # inode -> as synced
-        self.names: dict[str, int] = {}  # as synced
+        self.contents: dict[int, bytes] = {}  # synced contents by inode
+        self.names: dict[str, int] = {}  # synced inodes by name
         for file in folder.iterdir():
             self.names[file.name] = file.stat().st_ino
             self.contents[file.stat().st_ino] = file.read_bytes()
@@ -88,7 +89,7 @@
                     self.names.setdefault(name, inode)
 
     def after(self, folder: Path, names_last: bool, random: Random) -> None:
-        """Fill a new folder with what the power left; each unsynced byte range is there, missing or torn."""
+        """Fill a new directory with what survives the power loss; unsynced bytes are present, missing, torn or zero."""
         current = {path.name: path.stat().st_ino for path in self.folder.iterdir()}
         for name, inode in (current if names_last else self.names).items():
             synced = self.contents.get(inode, b"")
@@ -104,17 +105,17 @@
         self.addCleanup(shutil.rmtree, self.folder)
         self.path = self.folder / "disk" / "file"
         self.path.parent.mkdir()
-        silence = mock.patch.object(journal, "log")
-        self.told = silence.start()
-        self.addCleanup(silence.stop)
+        patch = mock.patch.object(journal, "log")
+        self.log_mock = patch.start()
+        self.addCleanup(patch.stop)
 
     async def written(self, records: Iterable[Record] = RECORDS) -> Journal:
-        made = Journal(self.path)
-        made.read()
+        opened = Journal(self.path)
+        opened.read()
         for kind, payload in records:
-            made.append(kind, payload)
-        self.assertTrue(await made.sync())
-        return made
+            opened.append(kind, payload)
+        self.assertTrue(await opened.sync())
+        return opened
 
     def reread(self, data: bytes) -> list[Record]:
         path = self.folder / "again"
@@ -123,11 +124,11 @@
 
 
 class TornTest(JournalCase):
-    def test_what_was_synced_is_there(self) -> None:
+    def test_synced_records_are_read(self) -> None:
         asyncio.run(self.written())
         self.assertEqual(RECORDS, Journal(self.path).read())
 
-    def test_cut_at_every_byte(self) -> None:
+    def test_truncation_at_every_byte(self) -> None:
         asyncio.run(self.written())
         data = self.path.read_bytes()
         ends = [scan(data)[1]]
@@ -146,22 +147,22 @@
             bad = data[:at] + bytes([data[at] ^ (1 + random.randrange(255))]) + data[at + 1 :]
             self.assertEqual(RECORDS[:-1], self.reread(bad), at)
 
-    def test_goes_on_behind_a_cut_tail(self) -> None:
+    def test_appends_after_a_truncated_tail(self) -> None:
         async def run() -> None:
-            made = await self.written()
+            opened = await self.written()
             with self.path.open("ab") as file:
                 file.write(pack(9, b"torn", 0)[:-1])
             again = Journal(self.path)
             self.assertEqual(RECORDS, again.read())
             again.append(7, b"next")
             self.assertTrue(await again.sync())
-            self.assertEqual(made.size + len(pack(7, b"next", 0)), again.size)
+            self.assertEqual(opened.size + len(pack(7, b"next", 0)), again.size)
 
         asyncio.run(run())
         self.assertEqual([*RECORDS, (7, b"next")], Journal(self.path).read())
 
-    def test_missing_write_before_one_that_is_there(self) -> None:
-        """Two unsynced writes, of which the first is lost: no damage, both go."""
+    def test_a_lost_write_before_a_present_one(self) -> None:
+        """Of two unsynced writes the first is lost: the file is not damaged, and both records are dropped."""
         asyncio.run(self.written())
         data = self.path.read_bytes()
         lost, there = pack(4, b"lost", len(data)), pack(5, b"there", len(data))
@@ -169,12 +170,12 @@
 
 
 class DamageTest(JournalCase):
-    def test_damaged_middle_is_told(self) -> None:
+    def test_a_damaged_synced_record_is_reported(self) -> None:
         async def run() -> int:
-            made = await self.written()
-            made.append(8, b"later")
-            self.assertTrue(await made.sync())
-            return made.size
+            opened = await self.written()
+            opened.append(8, b"later")
+            self.assertTrue(await opened.sync())
+            return opened.size
 
         size = asyncio.run(run())
         data = self.path.read_bytes()
@@ -184,8 +185,8 @@
             with self.assertRaises(JournalDamagedError, msg=str(at)):
                 self.reread(bad)
 
-    def test_looking_past_a_bad_record_is_quick(self) -> None:
-        """Bytes that look like lengths everywhere must not each cost a checksum of much."""
+    def test_the_search_past_a_bad_record_is_fast(self) -> None:
+        """Bytes that look like record lengths at every offset must not each cause a checksum of a large range."""
         data = bytes(8) + b"\0\0\4\0" * 100_000
         start = time.process_time()
         self.assertEqual(([], 0), scan(data))
@@ -201,28 +202,28 @@
         with mock.patch.object(journal, "os", fake):
             yield fake
 
-    async def changed(self, work: Callable[[Journal], Any], stop_at: int) -> tuple[FakePower, bool]:
-        """A fresh journal on which `work` runs until the power goes; whether it came to its end."""
+    async def run_until(self, work: Callable[[Journal], Any], stop_at: int) -> tuple[FakePower, bool]:
+        """Run `work` on a new journal until the power loss. Return the disk, and True if the work ended before."""
         shutil.rmtree(self.path.parent)
         self.path.parent.mkdir()
-        made = await self.written()
-        made._thread = made._rewrite_thread = InTurn()
+        opened = await self.written()
+        opened._thread = opened._rewrite_thread = SynchronousExecutor()
         with self.power(stop_at) as fake:
             try:
-                await work(made)
+                await work(opened)
             except PowerCut:
                 return fake, False
         return fake, True
 
-    def test_power_goes_at_each_step(self) -> None:
-        async def work(made: Journal) -> None:
-            self.assertTrue(await made.rewrite(lambda: [self.NEW]))
+    def test_power_loss_at_each_step(self) -> None:
+        async def work(opened: Journal) -> None:
+            self.assertTrue(await opened.rewrite(lambda: [self.NEW]))
 
         async def run() -> int:
             stop_at, ended = 0, False
             while not ended:
                 stop_at += 1
-                fake, ended = await self.changed(work, stop_at)
+                fake, ended = await self.run_until(work, stop_at)
                 for names_last in (False, True):
                     for seed in range(8):
                         self._check(fake, names_last, seed, ended)
@@ -237,33 +238,33 @@
         allowed = [list(self.NEW)] if ended else [list(self.NEW), RECORDS]
         self.assertIn(records, allowed, f"{names_last} {seed}")
 
-    def test_appends_after_it(self) -> None:
+    def test_appends_after_a_rewrite(self) -> None:
         async def run() -> None:
-            made = await self.written()
-            made.append(5, b"pending")
-            self.assertTrue(await made.rewrite(lambda: [self.NEW, [(5, b"pending")]]))
-            made.append(6, b"after")
-            self.assertTrue(await made.sync())
-            self.assertEqual(self.path.stat().st_size, made.size)
+            opened = await self.written()
+            opened.append(5, b"pending")
+            self.assertTrue(await opened.rewrite(lambda: [self.NEW, [(5, b"pending")]]))
+            opened.append(6, b"after")
+            self.assertTrue(await opened.sync())
+            self.assertEqual(self.path.stat().st_size, opened.size)
 
         asyncio.run(run())
         self.assertEqual([*self.NEW, (5, b"pending"), (6, b"after")], Journal(self.path).read())
 
-    def test_waits_for_what_is_being_synced(self) -> None:
+    def test_a_rewrite_waits_for_a_sync_in_progress(self) -> None:
         async def run() -> None:
-            made = await self.written()
-            made.append(5, b"under way")
-            syncing = asyncio.ensure_future(made.sync())
+            opened = await self.written()
+            opened.append(5, b"under way")
+            syncing = asyncio.ensure_future(opened.sync())
             await asyncio.sleep(0)
-            self.assertTrue(await made.rewrite(lambda: [self.NEW]))
+            self.assertTrue(await opened.rewrite(lambda: [self.NEW]))
             self.assertTrue(await syncing)
 
         asyncio.run(run())
         self.assertEqual(list(self.NEW), Journal(self.path).read())
 
 
-class RewriteBesideTheLogTest(JournalCase):
-    """Appends and syncs go on while the file is rewritten."""
+class ConcurrentRewriteTest(JournalCase):
+    """Appends and syncs continue while the file is rewritten."""
 
     SLICES: tuple[tuple[Record, ...], ...] = (((1, b"a" * 40), (1, b"b" * 40)), ((1, b"c" * 40),), ((1, b"d" * 40),))
 
@@ -274,38 +275,38 @@
             patch.start()
             self.addCleanup(patch.stop)
 
-    async def _play(self, made: Journal, acknowledged: list[int]) -> None:
-        """A rewrite, and records 1, 2, 3 ... appended and synced one after the other meanwhile and a little longer."""
-        rewriting = asyncio.ensure_future(made.rewrite(lambda: self.SLICES))
+    async def _rewrite_and_append(self, opened: Journal, acknowledged: list[int]) -> None:
+        """Rewrite the file, and meanwhile and for two more records append and sync records 1, 2, 3 ... one by one."""
+        rewriting = asyncio.ensure_future(opened.rewrite(lambda: self.SLICES))
         rewriting.add_done_callback(lambda done: done.cancelled() or done.exception())
         await asyncio.sleep(0)
         self.appended = left = 0
         while left < 2:
             self.appended += 1
-            made.append(2, str(self.appended).encode())
-            if not await self._synced(made):
+            opened.append(2, str(self.appended).encode())
+            if not await self._synced(opened):
                 rewriting.result()
             acknowledged.append(self.appended)
             left += rewriting.done()
         self.assertTrue(rewriting.result())
 
-    async def _synced(self, made: Journal) -> bool:
-        """A sync that ends when the machine stops, too."""
-        syncing = asyncio.ensure_future(made.sync())
+    async def _synced(self, opened: Journal) -> bool:
+        """Sync; also end, with an error, when the machine loses power."""
+        syncing = asyncio.ensure_future(opened.sync())
         await asyncio.sleep(0)
-        assert made._flush_task is not None
-        await made._flush_task
+        assert opened._flush_task is not None
+        await opened._flush_task
         return await syncing
 
-    async def _until(self, stop_at: int) -> tuple[FakePower, list[int], bool]:
+    async def _run_until(self, stop_at: int) -> tuple[FakePower, list[int], bool]:
         shutil.rmtree(self.path.parent)
         self.path.parent.mkdir()
-        made = await self.written()
-        made._thread = made._rewrite_thread = InTurn()
+        opened = await self.written()
+        opened._thread = opened._rewrite_thread = SynchronousExecutor()
         fake = FakePower(self.path.parent, stop_at)
         acknowledged: list[int] = []
         with mock.patch.object(journal, "os", fake):
-            task = asyncio.ensure_future(self._play(made, acknowledged))
+            task = asyncio.ensure_future(self._rewrite_and_append(opened, acknowledged))
             await asyncio.wait([task])
             others = asyncio.all_tasks() - {asyncio.current_task()}
             for other in others:
@@ -315,12 +316,12 @@
         self.assertTrue(error is None or isinstance(error, PowerCut), repr(error))
         return fake, acknowledged, error is None
 
-    def test_power_goes_at_each_step(self) -> None:
+    def test_power_loss_at_each_step(self) -> None:
         async def run() -> int:
             stop_at, ended = 0, False
             while not ended:
                 stop_at += 1
-                fake, acknowledged, ended = await self._until(stop_at)
+                fake, acknowledged, ended = await self._run_until(stop_at)
                 for names_last in (False, True):
                     for seed in range(8):
                         self._check(fake, names_last, seed, acknowledged)
@@ -341,25 +342,25 @@
         self.assertGreaterEqual(len(numbers), len(acknowledged))
         self.assertLessEqual(len(numbers), self.appended)
 
-    def test_the_log_goes_on_while_the_new_file_waits_for_the_disk(self) -> None:
-        """Provoked before: 0.92 s without a turn of the loop on a disk with slow syncs."""
+    def test_appends_continue_while_the_new_file_is_synced(self) -> None:
+        """Slow syncs of the new file blocked the event loop for 0.92 s."""
 
         async def run() -> None:
-            made, release, blocked = await self.written(), threading.Event(), asyncio.Event()
+            opened, release, blocked = await self.written(), threading.Event(), asyncio.Event()
             loop, real = asyncio.get_running_loop(), os.fsync
 
             def slow(file: int) -> None:
-                if file != made._file and not release.is_set():
+                if file != opened._file and not release.is_set():
                     loop.call_soon_threadsafe(blocked.set)
                     release.wait(20)
                 real(file)
 
             with mock.patch.object(os, "fsync", slow):
-                rewriting = asyncio.ensure_future(made.rewrite(lambda: self.SLICES))
+                rewriting = asyncio.ensure_future(opened.rewrite(lambda: self.SLICES))
                 await blocked.wait()
                 for number in range(5):
-                    made.append(2, str(number).encode())
-                    self.assertTrue(await made.sync())
+                    opened.append(2, str(number).encode())
+                    self.assertTrue(await opened.sync())
                 self.assertFalse(rewriting.done())
                 release.set()
                 self.assertTrue(await rewriting)
@@ -368,26 +369,26 @@
         live = [record for part in self.SLICES for record in part]
         self.assertEqual([*live, *((2, str(n).encode()) for n in range(5))], Journal(self.path).read())
 
-    def test_slices_and_appends_stand_in_the_order_of_time(self) -> None:
+    def test_slices_and_appends_are_in_chronological_order(self) -> None:
         async def run() -> None:
-            made = await self.written()
+            opened = await self.written()
 
             def slices() -> Iterator[list[Record]]:
                 yield [(1, b"first")]
-                made.append(2, b"between")
+                opened.append(2, b"between")
                 yield [(1, b"second")]
 
-            self.assertTrue(await made.rewrite(slices))
-            self.assertTrue(await made.sync())
-            self.assertEqual(self.path.stat().st_size, made.size)
+            self.assertTrue(await opened.rewrite(slices))
+            self.assertTrue(await opened.sync())
+            self.assertEqual(self.path.stat().st_size, opened.size)
 
         asyncio.run(run())
         self.assertEqual([(1, b"first"), (2, b"between"), (1, b"second")], Journal(self.path).read())
 
     def test_one_rewrite_at_a_time(self) -> None:
         async def run() -> None:
-            made = await self.written()
-            both = await asyncio.gather(made.rewrite(lambda: self.SLICES), made.rewrite(lambda: []))
+            opened = await self.written()
+            both = await asyncio.gather(opened.rewrite(lambda: self.SLICES), opened.rewrite(lambda: []))
             self.assertEqual([True, False], both)
 
         asyncio.run(run())
@@ -397,65 +398,65 @@
 class FullDiskTest(JournalCase):
     LIVE: tuple[Record, ...] = ((1, b"x" * 100),)
 
-    def _full_for(self, made: Journal, name: str, calls: int) -> Any:
-        """The disk has no room for the second file; later calls of the same kind, on the first, succeed."""
+    def _no_space_for(self, opened: Journal, name: str, calls: int) -> Any:
+        """Fail the first `calls` calls on files other than the journal with ENOSPC; all others succeed."""
         real, left = getattr(os, name), [calls]
 
         def call(first: Any, *rest: Any) -> Any:
-            if first != made._file and left[0] > 0:
+            if first != opened._file and left[0] > 0:
                 left[0] -= 1
                 raise OSError(errno.ENOSPC, "no space left on device")
             return real(first, *rest)
 
         return mock.patch.object(os, name, call)
 
-    def test_no_room_for_the_second_file_leaves_the_log_working(self) -> None:
+    def test_no_space_for_the_new_file_leaves_the_journal_usable(self) -> None:
         async def run() -> None:
             for name in ("open", "write", "fsync"):
                 self.path.unlink(missing_ok=True)
-                made = await self.written()
-                with self._full_for(made, name, 1):
-                    self.assertFalse(await made.rewrite(lambda: [self.LIVE]), name)
-                    self.assertIsNone(made.failed)
-                    made.append(7, b"next")
-                    self.assertTrue(await made.sync())
-                await asyncio.wrap_future(made._rewrite_thread.submit(lambda: None))
+                opened = await self.written()
+                with self._no_space_for(opened, name, 1):
+                    self.assertFalse(await opened.rewrite(lambda: [self.LIVE]), name)
+                    self.assertIsNone(opened.failed)
+                    opened.append(7, b"next")
+                    self.assertTrue(await opened.sync())
+                await asyncio.wrap_future(opened._rewrite_thread.submit(lambda: None))
                 self.assertEqual(["file"], [p.name for p in self.path.parent.iterdir()])
                 self.assertEqual([*RECORDS, (7, b"next")], Journal(self.path).read())
-                self.assertTrue(await made.rewrite(lambda: [self.LIVE]))
+                self.assertTrue(await opened.rewrite(lambda: [self.LIVE]))
                 self.assertEqual(list(self.LIVE), Journal(self.path).read())
 
         asyncio.run(run())
 
-    def test_a_log_that_needs_the_room_has_it_from_the_rewrite(self) -> None:
+    def test_an_append_without_space_abandons_the_rewrite(self) -> None:
         async def run() -> None:
-            made, real, full = await self.written(), os.write, [False]
+            opened, real, full = await self.written(), os.write, [False]
 
             def write(file: int, data: Any) -> int:
-                if file == made._file and full[0] and (self.path.parent / "file.new").exists():
+                if file == opened._file and full[0] and (self.path.parent / "file.new").exists():
                     raise OSError(errno.ENOSPC, "no space left on device")
                 return real(file, data)
 
             def slices() -> Iterator[tuple[Record, ...]]:
                 yield self.LIVE
                 full[0] = True
-                made.append(7, b"next")
-                syncing.append(asyncio.ensure_future(made.sync()))
+                opened.append(7, b"next")
+                syncing.append(asyncio.ensure_future(opened.sync()))
                 for _ in range(1000):
                     yield self.LIVE
 
             syncing: list[asyncio.Future[bool]] = []
             with mock.patch.object(os, "write", write), mock.patch.object(journal, "CHUNK_BYTES", 1):
-                self.assertFalse(await made.rewrite(slices))
+                self.assertFalse(await opened.rewrite(slices))
                 self.assertTrue(await syncing[0])
-            self.assertIsNone(made.failed)
+            self.assertIsNone(opened.failed)
 
         asyncio.run(run())
         self.assertEqual([*RECORDS, (7, b"next")], Journal(self.path).read())
 
 
 class StartTest(JournalCase):
-    def test_a_long_file_is_not_held_in_memory(self) -> None:
+    def test_a_large_file_is_not_read_into_memory(self) -> None:
         payload, count = bytes(64 * 1024), 320  # 20 MB
         asyncio.run(self.written((3, payload) for _ in range(count)))
         tracemalloc.start()
@@ -472,37 +473,37 @@
     def test_failed_sync_is_final(self) -> None:
         async def run() -> None:
             for name in ("write", "fsync"):
-                made = await self.written()
-                made.append(1, b"x")
+                opened = await self.written()
+                opened.append(1, b"x")
                 with self._failing(name):
-                    first, second = await asyncio.gather(made.sync(), made.sync())
+                    first, second = await asyncio.gather(opened.sync(), opened.sync())
                 self.assertEqual((False, False), (first, second))
-                assert made.failed is not None
-                self.assertEqual(Code.DISK_FAILED, made.failed.code)
-                made.append(1, b"y")
-                self.assertFalse(await made.sync())
-                self.assertFalse(await made.rewrite(lambda: []))
+                assert opened.failed is not None
+                self.assertEqual(Code.DISK_FAILED, opened.failed.code)
+                opened.append(1, b"y")
+                self.assertFalse(await opened.sync())
+                self.assertFalse(await opened.rewrite(lambda: []))
 
         asyncio.run(run())
 
     def test_failed_rewrite_is_final(self) -> None:
         async def run() -> None:
             for name in ("open", "write", "fsync", "rename"):
-                made = await self.written([])
+                opened = await self.written([])
                 with self._failing(name):
-                    self.assertFalse(await made.rewrite(lambda: [[(1, b"x")]]), name)
-                self.assertFalse(await made.sync())
+                    self.assertFalse(await opened.rewrite(lambda: [[(1, b"x")]]), name)
+                self.assertFalse(await opened.sync())
 
         asyncio.run(run())
 
-    def test_failed_cut_of_a_torn_tail_is_told(self) -> None:
+    def test_a_failed_truncation_of_a_torn_tail_is_raised(self) -> None:
         for name in ("open", "ftruncate", "fsync"):
             with self._failing(name), self.assertRaises(OSError):
                 Journal(self.path).read()
 
     def test_full_disk_in_the_middle_of_a_write(self) -> None:
         async def run() -> None:
-            made = await self.written()
+            opened = await self.written()
             real, calls = os.write, 0
 
             def short(file: int, data: Any) -> int:
@@ -512,9 +513,9 @@
                     raise OSError(errno.ENOSPC, "no space left on device")
                 return real(file, bytes(data)[:5])
 
-            made.append(4, b"does not fit")
+            opened.append(4, b"does not fit")
             with mock.patch.object(os, "write", short):
-                self.assertFalse(await made.sync())
+                self.assertFalse(await opened.sync())
 
         asyncio.run(run())
         self.assertEqual(RECORDS, Journal(self.path).read())
--- a/tests/runtime/test_metrics.py
+++ b/tests/runtime/test_metrics.py
@@ -1,4 +1,4 @@
-"""Figures over HTTP: names, kinds, labels, and a process that goes on without them."""
+"""Metrics over HTTP: names, types, labels, and a process that works without them."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 def samples(sources: list[FigureSource]) -> dict[tuple[str, tuple[tuple[str, str], ...]], float]:
     found = {}
     for family in text_string_to_metric_families(render(sources).decode()):
-        for one in family.samples:
-            found[one.name, tuple(sorted(one.labels.items()))] = one.value
+        for item in family.samples:
+            found[item.name, tuple(sorted(item.labels.items()))] = item.value
     return found
 
 
@@ -58,7 +58,7 @@
 
 
 class ServerTest(unittest.TestCase):
-    def ask(self, method: bytes, target: bytes) -> http1.Response:
+    def request(self, method: bytes, target: bytes) -> http1.Response:
         async def work() -> http1.Response:
             server = MetricsListener(lambda: [sample])
             port = await server.listen("127.0.0.1", 0)
@@ -82,10 +82,10 @@
             (b"GET", b"/other", 404),
             (b"POST", METRICS_PATH, 405),
         ):
-            self.assertEqual(status, self.ask(method, target).status)
-        self.assertIn(b"otterreach_epoch 7", self.ask(b"GET", METRICS_PATH).body)
+            self.assertEqual(status, self.request(method, target).status)
+        self.assertIn(b"otterreach_epoch 7", self.request(b"GET", METRICS_PATH).body)
 
-    def test_a_port_that_is_taken_stops_nobody(self) -> None:
+    def test_a_port_in_use_does_not_stop_the_process(self) -> None:
         async def work() -> tuple[int, int]:
             first = MetricsListener(list)
             port = await first.listen("127.0.0.1", 0)
@@ -95,9 +95,9 @@
         self.assertGreater(port, 0)
         self.assertEqual(0, second)
 
-    def test_the_library_is_not_loaded_before_it_is_asked(self) -> None:
-        late = ("prometheus_client", "otterreach.runtime.figures", "otterreach.proxy.figures")
-        code = f"import sys, otterreach.proxy.__main__; sys.exit(any(name in sys.modules for name in {late}))"
+    def test_the_library_is_not_imported_before_the_first_request(self) -> None:
+        lazy_modules = ("prometheus_client", "otterreach.runtime.figures", "otterreach.proxy.figures")
+        code = f"import sys, otterreach.proxy.__main__; sys.exit(any(name in sys.modules for name in {lazy_modules}))"
         for module in ("otterreach.proxy", "otterreach.controller", "otterreach.jobstore"):
             done = subprocess.run([sys.executable, "-c", code.replace("otterreach.proxy", module)], check=False)
             self.assertEqual(0, done.returncode, module)
--- a/tests/runtime/test_repeated_work.py
+++ b/tests/runtime/test_repeated_work.py
@@ -1,4 +1,4 @@
-"""Steps repeated without progress are counted, and told at each doubling; progress begins the count anew."""
+"""Steps repeated without progress are counted and logged at each doubling; progress resets the count."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
     def warnings(self, times: int) -> list[int]:
         with mock.patch.object(repeated_work, "log") as log:
-            for _ in range(times + 1):  # the first one repeats nothing
+            for _ in range(times + 1):  # the first call is not a repetition
                 self.work.note("a", 1)
         return [call.kwargs["times"] for call in log.call_args_list]
 
-    def test_told_at_each_doubling(self) -> None:
+    def test_logged_at_each_doubling(self) -> None:
         self.assertEqual([FIRST_WARNING, 2 * FIRST_WARNING, 4 * FIRST_WARNING], self.warnings(5 * FIRST_WARNING))
         self.assertEqual((5 * FIRST_WARNING, 5 * FIRST_WARNING), (self.work.total, self.work.most()))
 
-    def test_progress_is_no_repetition(self) -> None:
+    def test_progress_is_not_a_repetition(self) -> None:
         with mock.patch.object(repeated_work, "log") as log:
             for number in range(1000):
                 self.work.note("a", number)
         log.assert_not_called()
         self.assertEqual((0, 0), (self.work.total, self.work.most()))
 
-    def test_each_subject_by_itself(self) -> None:
+    def test_subjects_are_independent(self) -> None:
         for number in range(FIRST_WARNING):
             self.work.note(f"subject {number}", 1)
         self.assertEqual(0, self.work.total)
 
-    def test_what_is_remembered_is_bounded(self) -> None:
+    def test_recorded_subjects_are_bounded(self) -> None:
         for number in range(3 * MAX_SUBJECTS):
             self.work.note(f"subject {number}", 1)
         self.assertEqual(MAX_SUBJECTS, len(self.work._subjects))
--- a/tests/runtime/test_schemas.py
+++ b/tests/runtime/test_schemas.py
@@ -1,4 +1,4 @@
-"""The files of otterreach/schemas are what the codec says. `python3 -m tests.runtime.test_schemas` writes them."""
+"""The files of otterreach/schemas match the message classes. `python3 -m tests.runtime.test_schemas` writes them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def modules() -> Iterator[str]:
-    """The modules that define messages."""
+    """Return the modules that define messages."""
     for package in PACKAGES:
         for file in sorted((ROOT / "otterreach" / package).glob("*.py")):
             if "@message(" in file.read_text() and file.stem != "codec":
@@ -92,7 +92,7 @@
         self._read(codec.NUMBERS[type(value)], bytes(whole[: cut or len(whole)]))
 
     def _read(self, number: int, data: bytes) -> None:
-        """Either a message of the right shape or a MessageError, and no more memory than the bytes call for."""
+        """Decoding returns a message of the right type or raises MessageError, with memory bounded by the input."""
         try:
             value = codec.decode(number, data)
         except codec.MessageError:
--- a/tests/runtime/test_settings.py
+++ b/tests/runtime/test_settings.py
@@ -1,4 +1,4 @@
-"""otterreach.runtime.settings: the file as the platform writes it, and the key named when one can't be used."""
+"""otterreach.runtime.settings: the file as the platform writes it, and errors that name the invalid key."""
 
 from __future__ import annotations
 
--- a/tests/runtime/test_store.py
+++ b/tests/runtime/test_store.py
@@ -1,4 +1,4 @@
-"""Copies of the control state that follow one another while tombstones are collected (otterreach/runtime/store.py)."""
+"""Replicas of the control state that synchronize while tombstones are collected (otterreach/runtime/store.py)."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass
 class Answer:
-    """What a parent tells: Changes of otterreach.runtime.relay."""
+    """The answer of a parent, like Changes of otterreach.runtime.relay."""
 
     items: list[Item]
     digest: int
@@ -28,7 +28,7 @@
     ranges: list[int] = field(default_factory=list)
 
 
-def tell(parent: ReplicatedStore, items: list[Item]) -> Answer:
+def answer_with(parent: ReplicatedStore, items: list[Item]) -> Answer:
     return Answer(items, parent.digest, parent.collected_up_to)
 
 
@@ -37,22 +37,23 @@
     return Answer(parent.in_ranges(ranges), parent.digest, parent.collected_up_to, ranges)
 
 
-def take(child: ReplicatedStore, told: Answer) -> list[Item]:
-    taken = child.replace_ranges(told.ranges, told.items, told.collected)
-    child.matches(told.digest, told.collected)
-    return taken
+def apply_answer(child: ReplicatedStore, answer: Answer) -> list[Item]:
+    newer = child.replace_ranges(answer.ranges, answer.items, answer.collected)
+    child.matches(answer.digest, answer.collected)
+    return newer
 
 
 class Copies(RuleBasedStateMachine):
-    """One root at a time, followers that sync from any other copy, miss what they miss, and get answers late."""
+    """One root at a time, and followers that sync from any replica, miss changes and receive answers late."""
 
     def __init__(self) -> None:
         super().__init__()
         self.root = ReplicatedStore()
         self.followers = [ReplicatedStore() for _ in range(FOLLOWERS)]
         self.revision = 0
-        self.live: dict[str, int] = {}  # what is so at the root: key -> rev
-        self.seen: list[dict[str, int]] = [{} for _ in range(FOLLOWERS)]  # the newest rev of a key, or of its end
+        self.live: dict[str, int] = {}  # live items of the root: key -> revision
+        # By follower: the highest revision that it has seen of each key, deletions included.
+        self.seen: list[dict[str, int]] = [{} for _ in range(FOLLOWERS)]
         self.late: list[Answer] = []
         self.events: list[tuple[str, int, bool]] = []
 
@@ -67,27 +68,27 @@
             self.live.pop(name, None)
         return item
 
-    def get(self, child: int, told: Answer) -> None:
-        take(self.followers[child], told)
+    def get(self, child: int, answer: Answer) -> None:
+        apply_answer(self.followers[child], answer)
 
-    @rule(name=key, heard=st.sets(copy))
-    def put(self, name: str, heard: set[int]) -> None:
+    @rule(name=key, receivers=st.sets(copy))
+    def put(self, name: str, receivers: set[int]) -> None:
         item = self.change(name, b"{}")
-        for child in heard:
-            self.get(child, tell(self.root, [item]))
+        for child in receivers:
+            self.get(child, answer_with(self.root, [item]))
 
-    @rule(name=key, heard=st.sets(copy))
-    def delete(self, name: str, heard: set[int]) -> None:
+    @rule(name=key, receivers=st.sets(copy))
+    def delete(self, name: str, receivers: set[int]) -> None:
         item = self.change(name, b"")
-        for child in heard:
-            self.get(child, tell(self.root, [item]))
+        for child in receivers:
+            self.get(child, answer_with(self.root, [item]))
 
-    @rule(back=st.integers(0, 4), heard=st.sets(copy))
-    def collect(self, back: int, heard: set[int]) -> None:
-        """The root drops its tombstones but for the newest few revs."""
-        self.root.collect(max(0, self.revision - back))
-        for child in heard:
-            self.get(child, tell(self.root, []))
+    @rule(revisions_kept=st.integers(0, 4), receivers=st.sets(copy))
+    def collect(self, revisions_kept: int, receivers: set[int]) -> None:
+        """The root drops its tombstones except those of the newest few revisions."""
+        self.root.collect(max(0, self.revision - revisions_kept))
+        for child in receivers:
+            self.get(child, answer_with(self.root, []))
 
     @rule(child=copy)
     def follow_root(self, child: int) -> None:
@@ -98,27 +99,27 @@
         self.get(child, follow(self.followers[parent], self.followers[child]))
 
     @rule(child=copy, parent=copy)
-    def ask_and_hear_late(self, child: int, parent: int) -> None:
+    def ask_for_late_answer(self, child: int, parent: int) -> None:
         self.late.append(follow(self.followers[parent], self.followers[child]))
 
     @rule(child=copy, data=st.data())
-    def hear_late(self, child: int, data: st.DataObject) -> None:
+    def get_late_answer(self, child: int, data: st.DataObject) -> None:
         if self.late:
             self.get(child, self.late.pop(data.draw(st.integers(0, len(self.late) - 1))))
 
     @rule(child=copy, name=key)
     def relayed(self, child: int, name: str) -> None:
-        """Another copy's item alone, with all that it tells of itself."""
+        """A single item of another replica, with the replica's digest and collected revision."""
         for parent in self.followers:
             if name in parent.items:
-                self.get(child, tell(parent, [parent.items[name]]))
+                self.get(child, answer_with(parent, [parent.items[name]]))
 
     @rule(child=copy)
     def new_primary(self, child: int) -> None:
-        """A controller that had followed becomes the root: it publishes the whole state that it was given as backup."""
+        """A controller that was a follower becomes the root and publishes the state that it holds as a backup."""
         state = self.root
         store = self.followers[child]
-        take(store, Answer(list(state.items.values()), state.digest, state.collected_up_to, list(range(128))))
+        apply_answer(store, Answer(list(state.items.values()), state.digest, state.collected_up_to, list(range(128))))
         assert store.digest == state.digest
         self.followers[child], self.root = state, store
         self.seen[child] = {}
@@ -129,8 +130,8 @@
         self.seen[child] = {}
 
     @invariant()
-    def nothing_goes_back(self) -> None:
-        """No copy has an item again of which it has known something newer, its end among that."""
+    def no_replica_goes_back(self) -> None:
+        """No replica returns to an older revision of an item than it has seen, deletions included."""
         for store, seen in zip(self.followers, self.seen, strict=True):
             for item in store.items.values():
                 assert item.revision >= seen.get(item.key, 0), f"{item} after {seen[item.key]}"
@@ -140,7 +141,7 @@
                     seen[name] = max(seen.get(name, 0), store.collected_up_to)
 
     @invariant()
-    def nothing_is_there_that_never_was(self) -> None:
+    def no_replica_has_an_item_that_never_existed(self) -> None:
         ended = {(name, revision) for name, revision, gone in self.events if gone}
         for store in self.followers:
             for item in store.items.values():
@@ -149,17 +150,17 @@
                     assert any(e[:2] == (item.key, item.revision) for e in self.events)
 
     @invariant()
-    def the_root_is_right(self) -> None:
+    def the_root_has_the_live_items(self) -> None:
         assert {i.key: i.revision for i in self.root.items.values() if not i.is_tombstone} == self.live
 
     @invariant()
-    def one_answer_of_the_root_is_enough(self) -> None:
-        """A copy that follows the root once has what the root has, whatever it held before."""
+    def one_answer_of_the_root_is_sufficient(self) -> None:
+        """A replica that syncs with the root once equals the root, whatever its previous state."""
         for store in self.followers:
             fresh = ReplicatedStore()
             fresh.apply(store.items.values())
             fresh.collected_up_to = store.collected_up_to
-            take(fresh, follow(self.root, fresh))
+            apply_answer(fresh, follow(self.root, fresh))
             assert fresh.digest == self.root.digest
             assert fresh.items == self.root.items
 
@@ -169,8 +170,8 @@
 
 
 class DigestTest(unittest.TestCase):
-    def test_two_missed_changes_do_not_hide_one_another(self) -> None:
-        """Provoked: sums of CRCs are linear, and two revs that changed alike cancelled each other out."""
+    def test_two_missed_changes_do_not_cancel_out(self) -> None:
+        """Digests were sums of CRCs, which are linear: two revisions that changed alike cancelled each other out."""
         for first, second in ((10, 12), (100, 104), (1000, 1064)):
             older, newer = ReplicatedStore(), ReplicatedStore()
             older.apply([Item("server/a", first, b"{}"), Item("server/b", second, b"{}")])
@@ -179,7 +180,7 @@
 
 
 class CollectTest(unittest.TestCase):
-    def test_an_item_older_than_what_was_collected_is_not_taken(self) -> None:
+    def test_an_item_older_than_the_collected_revision_is_ignored(self) -> None:
         store = ReplicatedStore()
         store.apply([Item("server/a", 1, b"{}"), Item("server/a", 2, b""), Item("server/b", 3, b"{}")])
         store.collect(2)
@@ -187,7 +188,7 @@
         self.assertEqual([], store.apply([Item("server/a", 1, b"{}")]))
         self.assertEqual(["server/b"], list(store.items))
 
-    def test_a_copy_that_lacks_something_keeps_its_tombstones(self) -> None:
+    def test_an_incomplete_replica_keeps_its_tombstones(self) -> None:
         root, child = ReplicatedStore(), ReplicatedStore()
         root.apply([Item("server/a", 2, b""), Item("server/b", 3, b"{}")])
         child.apply([Item("server/a", 2, b"")])
@@ -195,15 +196,15 @@
         self.assertFalse(child.matches(root.digest, root.collected_up_to))
         self.assertEqual([], child.apply([Item("server/a", 1, b"{}")]))
 
-    def test_what_ended_meanwhile_is_told_to_watchers(self) -> None:
+    def test_watchers_are_notified_of_collected_deletions(self) -> None:
         root, child = ReplicatedStore(), ReplicatedStore()
-        told: list[Item] = []
-        child.watch(ServerRecord, told.append)
+        notified: list[Item] = []
+        child.watch(ServerRecord, notified.append)
         child.apply([Item("server/a", 1, b"{}")])
         root.apply([Item("server/a", 1, b"{}"), Item("server/a", 2, b""), Item("server/b", 3, b"{}")])
         root.collect(3)
-        take(child, follow(root, child))
-        self.assertEqual([("server/a", True), ("server/b", False)], [(i.key, i.is_tombstone) for i in told[1:]])
+        apply_answer(child, follow(root, child))
+        self.assertEqual([("server/a", True), ("server/b", False)], [(i.key, i.is_tombstone) for i in notified[1:]])
         self.assertIsNone(child.record(ServerRecord, "a"))
         self.assertEqual(root.items, child.items)
 
