--- a/otterreach/runtime/histogram.py
+++ b/otterreach/runtime/histogram.py
@@ -1,4 +1,4 @@
-"""A histogram of durations. Every process imports it at its start, so it imports nothing else of the system."""
+"""A histogram of durations. Every process imports it at its start, so it has no imports that take time."""
 
 from __future__ import annotations
 
--- a/otterreach/runtime/records.py
+++ b/otterreach/runtime/records.py
@@ -236,7 +236,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetirementRecord:
-    """An order to decommission a job store machine, by its node name. It applies only to the given disk."""
+    """An order to move all data off a job store machine, by its node name. It applies only to the given disk."""
 
     KIND: ClassVar[str] = "retire"
 
--- a/otterreach/runtime/settings.py
+++ b/otterreach/runtime/settings.py
@@ -59,9 +59,9 @@
     datadir: Path | None
     heartbeat_s: float
     contracts: frozenset[str]
-    survive_nodes: int  # number of machines that may be lost at once
-    survive_zones: int  # number of zones, independent of the other two
-    survive_regions: int  # number of regions, independent of the other two
+    survive_nodes: int  # machines that may be lost at once
+    survive_zones: int  # zones that may be lost at once, as an alternative to machines
+    survive_regions: int  # regions that may be lost at once, as an alternative to zones and machines
     bounds: Bounds = field(repr=False)
 
     @property
--- a/otterreach/runtime/store.py
+++ b/otterreach/runtime/store.py
@@ -125,7 +125,10 @@
         self._watchers.setdefault(kind.KIND, []).append(watcher)
 
     def apply(self, items: Iterable[Item]) -> list[Item]:
-        """Apply the items that are newer than the ones here, and return them."""
+        """Apply the items that are newer than the ones here, and return them.
+
+        Every change of an item goes through this method, except in a replica that is still being built.
+        """
         newer = [item for item in items if self._apply_item(item)]
         self._notify_watchers(newer)
         return newer
--- a/tests/runtime/test_journal.py
+++ b/tests/runtime/test_journal.py
@@ -215,7 +215,7 @@
                 return fake, False
         return fake, True
 
-    def test_power_loss_at_each_step(self) -> None:
+    def test_power_goes_at_each_step(self) -> None:
         async def work(opened: Journal) -> None:
             self.assertTrue(await opened.rewrite(lambda: [self.NEW]))
 
@@ -316,7 +316,7 @@
         self.assertTrue(error is None or isinstance(error, PowerCut), repr(error))
         return fake, acknowledged, error is None
 
-    def test_power_loss_at_each_step(self) -> None:
+    def test_power_goes_at_each_step(self) -> None:
         async def run() -> int:
             stop_at, ended = 0, False
             while not ended:
