--- a/otterreach/runtime/node_figures.py
+++ b/otterreach/runtime/node_figures.py
@@ -36,7 +36,7 @@
     for work in works:
         labels = {"work": work.name}
         yield Figure("repeated_work_total", "Steps repeated without progress.", work.total, labels, COUNTER)
-        yield Figure("repeated_work_most", "Repetitions of one subject, at most.", work.most(), labels)
+        yield Figure("repeated_work_most", "Repetitions of one subject, at most.", work.max_repetitions(), labels)
 
 
 def journal_figures(journal: Journal) -> Iterable[Figure | Histogram]:
--- a/otterreach/runtime/repeated_work.py
+++ b/otterreach/runtime/repeated_work.py
@@ -47,6 +47,6 @@
         if known.times >= FIRST_WARNING and known.times & (known.times - 1) == 0:
             log("no_progress", level="WARNING", work=self.name, subject=subject, times=known.times)
 
-    def most(self) -> int:
+    def max_repetitions(self) -> int:
         """Return the highest number of repetitions of a single subject."""
         return max((known.times for known in self._subjects.values()), default=0)
--- a/otterreach/runtime/settings.py
+++ b/otterreach/runtime/settings.py
@@ -58,7 +58,7 @@
     disk_mb: int
     datadir: Path | None
     heartbeat_s: float
-    contracts: frozenset[str]
+    contracts_in_force: frozenset[str]
     survive_nodes: int  # machines that may be lost at once
     survive_zones: int  # zones that may be lost at once, as an alternative to machines
     survive_regions: int  # regions that may be lost at once, as an alternative to zones and machines
@@ -144,7 +144,7 @@
         disk_mb=caps.integer("diskMb", 0),
         datadir=Path(datadir) if datadir else None,
         heartbeat_s=row.number("heartbeatMs", 1000.0) / 1000,
-        contracts=frozenset(str(name) for name in row.items("inForce")),
+        contracts_in_force=frozenset(str(name) for name in row.items("inForce")),
         survive_nodes=max(0, survive.integer("nodes", 1)),
         survive_zones=max(0, survive.integer("zones", 0)),
         survive_regions=max(0, survive.integer("regions", 0)),
--- a/tests/runtime/test_repeated_work.py
+++ b/tests/runtime/test_repeated_work.py
@@ -21,14 +21,14 @@
 
     def test_logged_at_each_doubling(self) -> None:
         self.assertEqual([FIRST_WARNING, 2 * FIRST_WARNING, 4 * FIRST_WARNING], self.warnings(5 * FIRST_WARNING))
-        self.assertEqual((5 * FIRST_WARNING, 5 * FIRST_WARNING), (self.work.total, self.work.most()))
+        self.assertEqual((5 * FIRST_WARNING, 5 * FIRST_WARNING), (self.work.total, self.work.max_repetitions()))
 
     def test_progress_is_not_a_repetition(self) -> None:
         with mock.patch.object(repeated_work, "log") as log:
             for number in range(1000):
                 self.work.note("a", number)
         log.assert_not_called()
-        self.assertEqual((0, 0), (self.work.total, self.work.most()))
+        self.assertEqual((0, 0), (self.work.total, self.work.max_repetitions()))
 
     def test_subjects_are_independent(self) -> None:
         for number in range(FIRST_WARNING):
--- a/tests/runtime/test_settings.py
+++ b/tests/runtime/test_settings.py
@@ -112,7 +112,7 @@
         self.assertEqual({"front": ("10.9.0.7", 6100), "readyz": ("10.9.0.7", 6101)}, found.binds)
         self.assertIsNone(found.datadir)
         self.assertEqual((True, False, 2), (found.bootstrap, found.counted, found.survive_nodes))
-        self.assertEqual(frozenset({"base", "batch"}), found.contracts)
+        self.assertEqual(frozenset({"base", "batch"}), found.contracts_in_force)
         self.assertEqual((2.5, 4.7, 1.5), (found.bounds.contact_s, found.bounds.sync_s, found.bounds.drain_s))
         self.assertTrue(found.bounds.fenced)
         self.assertEqual(0.9, found.heartbeat_s)
