--- a/otterreach/loadtest/__init__.py
+++ b/otterreach/loadtest/__init__.py
@@ -1,1 +1,1 @@
-"""The whole system on one machine, with stand-ins for servers, clients, trainers and the operator."""
+"""Load test of the whole system on one machine, with simulated servers, clients, trainers and operator."""
--- a/otterreach/loadtest/__main__.py
+++ b/otterreach/loadtest/__main__.py
@@ -1,4 +1,4 @@
-"""python3 -m otterreach.loadtest: plays the whole system on this machine."""
+"""Command line of the load test: python3 -m otterreach.loadtest."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 from otterreach.loadtest import report
 from otterreach.loadtest.plan import Plan, load
-from otterreach.loadtest.play import Play, Played
+from otterreach.loadtest.play import Play, PlayResult
 from otterreach.runtime.codes import Failure
 
-BROKEN_OFF = 130
+EXIT_INTERRUPTED = 130
 
-app = App(name="loadtest", help="Plays the whole system on this machine, against stand-ins for all around it.")
+app = App(name="loadtest", help="Load-test the whole system on this machine with simulated clients and servers.")
 
 
-async def _play(plan: Plan, folder: Path, seconds: float, quiet: bool) -> Played:
+async def _play(plan: Plan, folder: Path, seconds: float, quiet: bool) -> PlayResult:
     task = asyncio.current_task()
     assert task is not None
-    # Danger: ended at once, it would leave the system's processes behind.
+    # Without cancellation, SIGTERM would end this process before it has stopped the system's processes.
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     return await Play(plan, folder, seconds, quiet).run()
 
@@ -40,16 +40,16 @@
     seed: int | None = None,
     quiet: Annotated[bool, Parameter(negative="")] = False,
 ) -> int:
-    """Start the system, play a plan against it, check what came of it, stop it all.
+    """Start the system, run a plan against it, verify the results and stop all processes.
 
     Parameters
     ----------
-    plan: a TOML file, or the name of a ready plan (default, troubles).
-    seconds: of traffic; else as the plan says.
-    out: a folder for results, report.html, logs, settings and disks. Plays into one folder are gathered.
-    compare: a folder with the results of other plays, shown beside these.
-    seed: of all chance; else as the plan says.
-    quiet: only the table at the end.
+    plan: a TOML file, or the name of a built-in plan (default, troubles).
+    seconds: duration of traffic; defaults to that of the plan.
+    out: a folder for results, report.html, logs, settings and disks. Repeated runs add to the same folder.
+    compare: a folder with the results of other runs, for comparison.
+    seed: seed of the random numbers; defaults to that of the plan.
+    quiet: print only the final table.
     """
     found = load(plan)
     if isinstance(found, Failure):
@@ -62,8 +62,8 @@
     try:
         played = asyncio.run(_play(found, folder / f"play-{number:03}", seconds or found.seconds, quiet))
     except (asyncio.CancelledError, KeyboardInterrupt):
-        print("broken off; everything it started has been stopped", file=sys.stderr)
-        return BROKEN_OFF
+        print("interrupted; all processes that it started have been stopped", file=sys.stderr)
+        return EXIT_INTERRUPTED
     result = report.result_of(played)
     report.write(folder, number, result)
     print(report.table(result))
@@ -75,7 +75,7 @@
 
 @app.command
 def compare(here: Path, there: Path) -> None:
-    """The figures of two folders with results side by side, with their spread."""
+    """Compare the results in two folders: the mean and range of each figure."""
     print(report.comparison(here, there))
 
 
--- a/otterreach/loadtest/callers.py
+++ b/otterreach/loadtest/callers.py
@@ -1,4 +1,4 @@
-"""Clients and the operator. Clients come at random, however the system answers."""
+"""Simulated clients and operator. Clients arrive at random, whatever the answers (open loop)."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 from otterreach.loadtest.ground_truth import body_of
 from otterreach.loadtest.latency import Latencies
 from otterreach.loadtest.plan import HOST, Clients, configuration
-from otterreach.loadtest.scene import Scene
+from otterreach.loadtest.scene import PlayContext
 from otterreach.runtime.codes import Failure
 from otterreach.sidecar import http1
 
-FINAL = (400, 401, 404, 413, 431)  # besides a success: not asked again
-PROMISES = (408, 421, 429, 503)
+FINAL_STATUSES = (400, 401, 404, 413, 431)  # not retried, as a success
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # guarantee that the request has not run
 RETRY_S = 0.05
 
 
 @dataclass
 class Tally:
-    """What came of the requests of one kind. `by_second`: asked, served in time, by the second they were asked in."""
+    """Outcomes of the requests of one route. `by_second`: numbers sent and served in time, by second of sending."""
 
     name: str
     latencies: Latencies = field(default_factory=Latencies)
     asked: int = 0
     served: int = 0
     late: int = 0
-    statuses: dict[str, int] = field(default_factory=dict)  # the last word where it was no success
+    statuses: dict[str, int] = field(default_factory=dict)  # final status of the requests without success
     by_second: dict[int, list[int]] = field(default_factory=dict)
 
-    def record(self, second: int, took_s: float, target_s: float, word: str) -> None:
-        """One request is over; `word`: nothing for a success."""
+    def record(self, second: int, took_s: float, target_s: float, failure: str) -> None:
+        """Count a finished request; `failure` is empty for a success."""
         self.asked += 1
         row = self.by_second.setdefault(second, [0, 0])
         row[0] += 1
-        if word:
-            self.statuses[word] = self.statuses.get(word, 0) + 1
+        if failure:
+            self.statuses[failure] = self.statuses.get(failure, 0) + 1
             return
         self.served += 1
         self.latencies.add(took_s)
@@ -48,23 +48,23 @@
 
 
 class Callers:
-    """The clients of one row of the plan."""
+    """The clients of one `clients` row of the plan."""
 
-    def __init__(self, scene: Scene, row: Clients, started_at: float, faults: list[str]) -> None:
-        self.scene = scene
+    def __init__(self, context: PlayContext, row: Clients, started_at: float, faults: list[str]) -> None:
+        self.context = context
         self.row = row
         self.started_at = started_at
         self.faults = faults
-        self.route = scene.plan.route_named(row.route)
+        self.route = context.plan.route_named(row.route)
         self.tally = Tally(row.route)
-        self.sent: dict[str, bool] = {}  # on a mutating route: by id, whether it was refused
+        self.sent: dict[str, bool] = {}  # requests of a mutating route: id -> whether it was refused
         self._open: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Until the play stops; then until the last one has its answer."""
+        """Send requests until the play stops, then wait for the outstanding answers."""
         count = 0
-        while not self.scene.stopping:
-            await asyncio.sleep(self.scene.random.expovariate(self.row.rate))
+        while not self.context.stopping:
+            await asyncio.sleep(self.context.random.expovariate(self.row.rate))
             count += 1
             task = asyncio.ensure_future(self._client(f"client-{count % 50}"))
             self._open.add(task)
@@ -73,75 +73,75 @@
             await asyncio.wait(self._open)
 
     async def _client(self, client: str) -> None:
-        scene = self.scene
-        begun = self.scene.now()
-        zone = scene.random.choice(scene.plan.zones)
+        context = self.context
+        begun = self.context.now()
+        zone = context.random.choice(context.plan.zones)
         end = begun + self.row.deadline_ms / 1000
-        word = ""
-        path = f"{self.route.prefix}{scene.random.getrandbits(24):x}"
-        for turn in range(self.row.retries + 1):
-            ident = scene.ident()
-            body = scene.random.randbytes(self.row.body_bytes)
-            left = end - scene.now()
-            if left <= 0:
+        failure = ""
+        path = f"{self.route.prefix}{context.random.getrandbits(24):x}"
+        for attempt in range(self.row.retries + 1):
+            ident = context.ident()
+            body = context.random.randbytes(self.row.body_bytes)
+            remaining_s = end - context.now()
+            if remaining_s <= 0:
                 break
-            headers = {b"Request-Id": ident.encode(), b"Deadline-Ms": b"%d" % (left * 1000)}
-            address = scene.entry.pick(zone, f"{client} {turn}")
-            answer = await ask(address, "POST", path, body, headers, left, HOST)
-            word = self._judge(ident, body, answer)
+            headers = {b"Request-Id": ident.encode(), b"Deadline-Ms": b"%d" % (remaining_s * 1000)}
+            address = context.entry.pick(zone, f"{client} {attempt}")
+            answer = await ask(address, "POST", path, body, headers, remaining_s, HOST)
+            failure = self._classify(ident, body, answer)
             if self.route.kind == "mutating":
-                self.sent[ident] = not isinstance(answer, Failure) and answer.status in PROMISES
-            if not word or not self._again(answer):
+                self.sent[ident] = not isinstance(answer, Failure) and answer.status in NOT_RUN_STATUSES
+            if not failure or not self._may_retry(answer):
                 break
-            await asyncio.sleep(min(self._pause(answer), max(0.0, (end - scene.now()) / 3)))
+            await asyncio.sleep(min(self._retry_delay_s(answer), max(0.0, (end - context.now()) / 3)))
         second = int(begun - self.started_at)
-        self.tally.record(second, scene.now() - begun, self.route.target_ms / 1000, word)
+        self.tally.record(second, context.now() - begun, self.route.target_ms / 1000, failure)
 
-    def _pause(self, answer: http1.Response | Failure) -> float:
-        told = b"" if isinstance(answer, Failure) else answer.headers.get(b"retry-after", b"")
+    def _retry_delay_s(self, answer: http1.Response | Failure) -> float:
+        retry_after = b"" if isinstance(answer, Failure) else answer.headers.get(b"retry-after", b"")
         try:
-            return float(told or RETRY_S)
+            return float(retry_after or RETRY_S)
         except ValueError:
             return RETRY_S
 
-    def _again(self, answer: http1.Response | Failure) -> bool:
+    def _may_retry(self, answer: http1.Response | Failure) -> bool:
         if isinstance(answer, Failure):
             return self.route.kind == "idem"
-        return answer.status in PROMISES or self.route.kind == "idem" and answer.status not in FINAL
+        return answer.status in NOT_RUN_STATUSES or self.route.kind == "idem" and answer.status not in FINAL_STATUSES
 
-    def _judge(self, ident: str, body: bytes, answer: http1.Response | Failure) -> str:
-        """Nothing for a success that is what a server made of this request; a wrong one is a fault of the system."""
+    def _classify(self, ident: str, body: bytes, answer: http1.Response | Failure) -> str:
+        """Return the failure, or "" for a success. Record a fault if no server made the body or seal for it."""
         if isinstance(answer, Failure):
             return answer.code.name.lower()
         if not 200 <= answer.status < 300:
             return str(answer.status)
-        sealed = self.scene.ground_truth.seals.get(answer.headers.get(b"reply-seal", b"").decode("latin-1"))
+        sealed = self.context.ground_truth.seals.get(answer.headers.get(b"reply-seal", b"").decode("latin-1"))
         if sealed is None or sealed.request != ident or answer.body != body_of(ident, body):
-            self.faults.append(f"{self.row.route}: {ident} was answered with what is not its server's answer")
+            self.faults.append(f"{self.row.route}: {ident} was answered with a body or seal that no server made for it")
             return "wrong"
         return ""
 
 
 class Operator:
-    """Sends the configuration, and reads it back at the end."""
+    """Simulated operator: puts the configuration, and reads it back at the end."""
 
-    def __init__(self, scene: Scene) -> None:
-        self.scene = scene
-        self.sent = configuration(scene.plan)
+    def __init__(self, context: PlayContext) -> None:
+        self.context = context
+        self.sent = configuration(context.plan)
 
     async def put(self, within_s: float) -> bool:
-        """The first configuration: sent until it is taken."""
+        """Put the first configuration; retry until it is accepted. Return whether it was."""
         body = json.dumps(self.sent).encode()
         headers = {b"If-Match": b"0", b"Content-Type": b"application/json"}
-        answer = await self.scene.ctl.call("PUT", "/config", body, headers, within_s)
+        answer = await self.context.ctl.call("PUT", "/config", body, headers, within_s)
         return not isinstance(answer, Failure) and answer.status == 200
 
     async def read_back(self) -> str:
-        """What is wrong with the configuration that comes back; nothing if it is the one that was sent."""
-        answer = await self.scene.ctl.call("GET", "/config", within_s=self.scene.seconds("contactMs") + 3)
+        """Return how the configuration read back differs from the one sent; empty if it does not."""
+        answer = await self.context.ctl.call("GET", "/config", within_s=self.context.seconds("contactMs") + 3)
         if isinstance(answer, Failure):
-            return f"the configuration does not come back: {answer.reason}"
+            return f"configuration cannot be read back: {answer.reason}"
         if answer.status != 200:
-            return f"the configuration does not come back: {answer.status}"
+            return f"configuration cannot be read back: expected status 200, got {answer.status}"
         got: dict[str, Any] = json.loads(answer.body)
-        return "" if got == self.sent else f"the configuration that comes back is another one, gen {got.get('gen')}"
+        return "" if got == self.sent else f"configuration read back differs from the one sent: gen {got.get('gen')}"
--- a/otterreach/loadtest/connection.py
+++ b/otterreach/loadtest/connection.py
@@ -1,4 +1,4 @@
-"""A connection at a server of the load test."""
+"""Server side of an HTTP/1.1 connection to a simulated server."""
 
 from __future__ import annotations
 
@@ -9,45 +9,45 @@
 from typing import Protocol
 
 from otterreach.loadtest.plan import Service
-from otterreach.loadtest.scene import Scene
+from otterreach.loadtest.scene import PlayContext
 from otterreach.sidecar import http1
 
-MOST_BODY = 64 * 1024 * 1024
-MOST_HEAD = 64 * 1024
-Pairs = tuple[tuple[str, str], ...]
+MAX_BODY_BYTES = 64 * 1024 * 1024
+MAX_HEAD_BYTES = 64 * 1024
+HeaderPairs = tuple[tuple[str, str], ...]
 
 
-class Owner(Protocol):
-    """What a connection uses of its server."""
+class RequestHandler(Protocol):
+    """Interface that a connection needs of its server."""
 
-    scene: Scene
+    context: PlayContext
     spec: Service
     dark: bool
     connections: set[Connection]
 
     def on_request(self, connection: Connection, request: http1.Request) -> None:
-        """A whole request has come."""
+        """Handle a complete request."""
 
-    def load(self) -> Pairs:
-        """The headers that tell the server's load."""
+    def load(self) -> HeaderPairs:
+        """Return the headers that report the server's load."""
 
 
 class Connection(asyncio.Protocol):
-    """One connection at a server: one request at a time; when it closes, what is on it is dropped."""
+    """A client's connection; serves one request at a time. Closing it cancels the request in progress."""
 
-    def __init__(self, server: Owner) -> None:
+    def __init__(self, server: RequestHandler) -> None:
         self.server = server
         self.request: http1.Request | None = None
-        self.dropped: Callable[[], None] | None = None  # called if it closes before the answer is whole
+        self.on_dropped: Callable[[], None] | None = None  # called on a close before the response is complete
         self._queue: deque[http1.Request] = deque()
-        self._parser = http1.RequestParser(bounds=http1.Bounds(body=MOST_BODY, head=MOST_HEAD))
+        self._parser = http1.RequestParser(bounds=http1.Bounds(body=MAX_BODY_BYTES, head=MAX_HEAD_BYTES))
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection, or reset it if there are too many."""
+        """Accept the connection, or reset it if the server has reached its connection limit."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self.server.scene.counts["connections"] += 1
+        self.server.context.counts["connections"] += 1
         if len(self.server.connections) >= self.server.spec.max_conns:
             transport.abort()
             return
@@ -56,16 +56,16 @@
             transport.pause_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drop the work for it."""
+        """Cancel the request in progress."""
         self.server.connections.discard(self)
         self._parser.close()
-        dropped = self.dropped
-        self.dropped = None
+        dropped = self.on_dropped
+        self.on_dropped = None
         if dropped:
             dropped()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come, and start the next request."""
+        """Parse the received bytes and start the next request."""
         self._queue.extend(self._parser.feed(data))
         if self._parser.error:
             self.abort()
@@ -78,21 +78,21 @@
             self.server.on_request(self, self.request)
 
     def pause(self, on: bool) -> None:
-        """Read nothing more, or go on reading."""
+        """Pause or resume reading."""
         if self._transport and not self._transport.is_closing():
             (self._transport.pause_reading if on else self._transport.resume_reading)()
 
     def abort(self) -> None:
-        """Close with a reset."""
+        """Close the connection with a TCP reset."""
         if self._transport:
             self._transport.abort()
 
     def header(self, name: bytes) -> str:
-        """A header of the open request; empty if it has none."""
+        """Return a header of the current request; empty if it is absent."""
         assert self.request
         return self.request.headers.get(name, b"").decode("latin-1")
 
-    def _head(self, status: int, headers: Pairs, framing: str) -> bytes:
+    def _head(self, status: int, headers: HeaderPairs, framing: str) -> bytes:
         pairs = [*headers, *self.server.load()]
         if ident := self.header(b"request-id"):
             pairs.append(("Request-Id", ident))
@@ -103,26 +103,26 @@
         if self._transport and not self._transport.is_closing():
             self._transport.write(data)
 
-    def respond(self, status: int, headers: Pairs = (), body: bytes = b"") -> None:
-        """The whole answer."""
+    def respond(self, status: int, headers: HeaderPairs = (), body: bytes = b"") -> None:
+        """Write a complete response."""
         self._write(self._head(status, headers, f"Content-Length: {len(body)}") + body)
         self._done()
 
-    def begin(self, headers: Pairs) -> None:
-        """The head of a stream."""
+    def begin_stream(self, headers: HeaderPairs) -> None:
+        """Write the head of a streamed response."""
         self._write(self._head(HTTPStatus.OK, headers, "Transfer-Encoding: chunked"))
 
-    def event(self, text: str) -> None:
+    def send_event(self, text: str) -> None:
         """Write one event of a stream."""
         data = text.encode()
         self._write(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def end(self) -> None:
-        """End the stream in order."""
+    def end_stream(self) -> None:
+        """Write the last chunk of the stream."""
         self._write(b"0\r\n\r\n")
         self._done()
 
     def _done(self) -> None:
         self.request = None
-        self.dropped = None
+        self.on_dropped = None
         self._next()
--- a/otterreach/loadtest/ground_truth.py
+++ b/otterreach/loadtest/ground_truth.py
@@ -1,4 +1,4 @@
-"""What the stand-ins have seen: the books against which the system's answers are checked."""
+"""Ground truth recorded by the simulated servers, against which the system's answers are verified."""
 
 from __future__ import annotations
 
@@ -10,40 +10,40 @@
 _DATA = re.compile(r"(\d+):([0-9a-f]{12}) v(\d+) (\S+)")
 
 
-def mark(item: str, ident: int) -> str:
-    """What event `ident` of a request holds, whichever server makes it."""
-    return hashlib.blake2s(f"{item} {ident}".encode(), digest_size=6).hexdigest()
+def mark(item: str, number: int) -> str:
+    """Return the content of event `number` of a request; it is the same on all servers."""
+    return hashlib.blake2s(f"{item} {number}".encode(), digest_size=6).hexdigest()
 
 
-def event_data(item: str, ident: int, version: int, run: str) -> str:
-    """The data of an event: besides its mark, under which version and in which run it was made."""
-    return f"{ident}:{mark(item, ident)} v{version} {run}"
+def event_data(item: str, number: int, version: int, run: str) -> str:
+    """Return the data of an event: its number, mark, version of weights and run."""
+    return f"{number}:{mark(item, number)} v{version} {run}"
 
 
 def body_of(request_id: str, body: bytes) -> bytes:
-    """A plain server's answer."""
+    """Return the body of a plain server's response."""
     return hashlib.blake2s(body, key=request_id.encode()[:32]).hexdigest().encode() * 8
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """An event as its data tells it."""
+class EventData:
+    """An event parsed from its data."""
 
-    ident: int
+    number: int
     mark: str
     version: int
     run: str
 
 
-def read_line(data: str) -> Line | None:
-    """The data of an event; None if it is of another form."""
+def parse_event_data(data: str) -> EventData | None:
+    """Parse the data of an event; None if it is malformed."""
     found = _DATA.fullmatch(data)
-    return Line(int(found[1]), found[2], int(found[3]), found[4]) if found else None
+    return EventData(int(found[1]), found[2], int(found[3]), found[4]) if found else None
 
 
 @dataclass(slots=True)
-class Made:
-    """One run at an engine: of which request, after which event it was asked to go on, when it last made one."""
+class StreamRecord:
+    """A run at an engine: its request, the event after which it resumed, and the time of its last event."""
 
     request: str
     after: int
@@ -52,8 +52,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
-    """A request that reached a server and was not turned away."""
+class RunRecord:
+    """A request that a server started to execute."""
 
     request: str
     service: str
@@ -61,17 +61,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sealed:
-    """A success of a server."""
+class SealRecord:
+    """A successful response of a server."""
 
     request: str
     body: bytes
-    came_at: float
+    received_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Ordered:
-    """An order as it came to a server."""
+class OrderRecord:
+    """An order as a server received it."""
 
     server: str
     owner: str
@@ -82,13 +82,13 @@
 
 @dataclass(slots=True)
 class GroundTruth:
-    """What the stand-ins did, for the check of what the system said."""
+    """Records of the simulated servers, for verification of the system's answers."""
 
-    runs: dict[str, Made] = field(default_factory=dict)
-    ran: list[Ran] = field(default_factory=list)
-    seals: dict[str, Sealed] = field(default_factory=dict)
-    failures: Counter[str] = field(default_factory=Counter)  # answers of 500, by request
-    never: set[str] = field(default_factory=set)  # answered 422
+    runs: dict[str, StreamRecord] = field(default_factory=dict)
+    ran: list[RunRecord] = field(default_factory=list)
+    seals: dict[str, SealRecord] = field(default_factory=dict)
+    failures: Counter[str] = field(default_factory=Counter)  # responses with status 500, by request
+    never: set[str] = field(default_factory=set)  # requests answered 422
     refused_count: int = 0
-    after_leave: list[str] = field(default_factory=list)  # requests at a server that had left the list
-    orders: list[Ordered] = field(default_factory=list)
+    after_drain: list[str] = field(default_factory=list)  # faults: requests that came after a server's drain period
+    orders: list[OrderRecord] = field(default_factory=list)
--- a/otterreach/loadtest/machines.py
+++ b/otterreach/loadtest/machines.py
@@ -1,6 +1,6 @@
-"""The system's own processes on loopback addresses: settings, start, troubles, end.
+"""The system's processes on loopback addresses: settings, start, fault injection, stop.
 
-Only processes started here are signalled, by their id.
+Only processes started here are signalled, by their process id.
 """
 
 from __future__ import annotations
@@ -28,21 +28,21 @@
 PORTS = [7380, 7395]
 SEEDS = 3
 REGION = "here"
-FIRST = {"front": 40, "core": 10, "store": 20}  # last part of the addresses of a class
+FIRST_OCTET = {"front": 40, "core": 10, "store": 20}  # last octet of the first address of each class
 STOP_MARGIN_S = 2.0
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(slots=True)
-class Use:
-    """What a process has used."""
+class ResourceUse:
+    """Resources that a machine's processes have used."""
 
     cpu_s: float = 0.0
     peak_mb: float = 0.0
 
 
 class Machine:
-    """One machine: its address, its settings file, its disk and its process."""
+    """A simulated machine: an address, a settings file, a folder as its disk and a process."""
 
     def __init__(self, name: str, kind: str, ip: str, zone: str, folder: Path) -> None:
         self.name = name
@@ -51,9 +51,9 @@
         self.zone = zone
         self.folder = folder
         self.first = True
-        self.wanted = False  # it should be running
-        self.ends = 0  # by itself
-        self.used = Use()
+        self.wanted = False  # the process is expected to run
+        self.unexpected_exits = 0  # number of unexpected exits
+        self.used = ResourceUse()
         self._process: asyncio.subprocess.Process | None = None
         self._watch: asyncio.Task[None] | None = None
 
@@ -64,26 +64,26 @@
 
     @property
     def file(self) -> Path:
-        """Its settings file."""
+        """The machine's settings file."""
         return self.folder / "settings" / f"{self.name}.yaml"
 
     @property
     def disk(self) -> Path:
-        """The folder that stands for its disk."""
+        """The folder used as the machine's disk."""
         return self.folder / "disk" / self.name
 
     @property
     def running(self) -> bool:
-        """Whether its process is there."""
+        """True if the machine's process is running."""
         return self._process is not None and self._process.returncode is None
 
     @property
     def exit_code(self) -> int | None:
-        """How the last process ended; None while it runs, or before the first one."""
+        """Exit code of the last process; None while it runs, or before the first start."""
         return self._process.returncode if self._process else None
 
     def settings(self, plan: Plan, seeds: list[str], bounds: dict[str, Any]) -> dict[str, Any]:
-        """What its process is told."""
+        """Return the settings of the machine's process."""
         binds = {
             "front": {"front": f"{self.ip}:{FRONT_PORT}", "readyz": f"{self.ip}:{READYZ_PORT}"},
             "core": {"ctl": self.ctl},
@@ -114,7 +114,7 @@
         }
 
     def write_settings(self, plan: Plan, seeds: list[str], bounds: dict[str, Any]) -> None:
-        """Write the settings file, whole at any moment: a process may start and read it meanwhile."""
+        """Write the settings file atomically: a process may start and read it meanwhile."""
         self.file.parent.mkdir(parents=True, exist_ok=True)
         new = self.file.with_suffix(".new")
         new.write_text(yaml.safe_dump(self.settings(plan, seeds, bounds), sort_keys=False))
@@ -147,16 +147,16 @@
     async def _wait(self, process: asyncio.subprocess.Process) -> None:
         await process.wait()
         if self.wanted and process is self._process:
-            self.ends += 1
+            self.unexpected_exits += 1
 
     def send_signal(self, number: int) -> None:
-        """Signal the present process, if there is one."""
+        """Send a signal to the running process, if there is one."""
         if self.running and self._process:
             with suppress(ProcessLookupError):
                 self._process.send_signal(number)
 
     def measure(self) -> None:
-        """Add up what the present process has used; before it ends."""
+        """Add the resource use of the running process; to be called before it ends."""
         if not self.running or self._process is None:
             return
         with suppress(OSError, IndexError, ValueError):
@@ -167,7 +167,7 @@
             self.used.peak_mb = max(self.used.peak_mb, int(peak.split()[1]) / 1024)
 
     async def kill(self) -> None:
-        """SIGKILL; it is not started again."""
+        """Send SIGKILL and wait for the exit. The process is not restarted."""
         self.measure()
         self.wanted = False
         self.send_signal(signal.SIGKILL)
@@ -175,17 +175,17 @@
             await self._process.wait()
 
     def wipe(self) -> None:
-        """Lose the disk."""
+        """Delete the contents of the disk."""
         shutil.rmtree(self.disk, ignore_errors=True)
 
     async def freeze(self, for_s: float) -> None:
-        """SIGSTOP for a time."""
+        """Pause the process with SIGSTOP for a time."""
         self.send_signal(signal.SIGSTOP)
         await asyncio.sleep(for_s)
         self.send_signal(signal.SIGCONT)
 
     async def stop(self, grace_s: float) -> None:
-        """SIGTERM, and SIGKILL after the time of grace."""
+        """Send SIGTERM, and SIGKILL after the grace period."""
         self.measure()
         self.wanted = False
         self.send_signal(signal.SIGCONT)
@@ -198,7 +198,7 @@
 
 
 class System:
-    """All machines of a play. `net`: the first two parts of their addresses, 127.x."""
+    """All machines of a play. `net`: the first two octets of their addresses, 127.x."""
 
     def __init__(self, plan: Plan, folder: Path, net: str, bounds: dict[str, Any]) -> None:
         self.plan = plan
@@ -210,17 +210,17 @@
             ("front", plan.machines.front),
         ):
             for n in range(count):
-                place = n % len(plan.zones)
-                ip = f"{net}.{place + 1}.{FIRST[kind] + n}"
-                self.machines.append(Machine(f"{kind}-{n}", kind, ip, plan.zones[place], folder))
+                zone_index = n % len(plan.zones)
+                ip = f"{net}.{zone_index + 1}.{FIRST_OCTET[kind] + n}"
+                self.machines.append(Machine(f"{kind}-{n}", kind, ip, plan.zones[zone_index], folder))
         self.seeds = [m.ctl for m in self.of("core")][:SEEDS]
 
     def of(self, kind: str) -> list[Machine]:
-        """The machines of a class."""
+        """Return the machines of a class."""
         return [m for m in self.machines if m.kind == kind]
 
     def named(self, name: str) -> Machine | None:
-        """The machine of this name, if there is one."""
+        """Return the machine with this name, or None."""
         return next((m for m in self.machines if m.name == name), None)
 
     async def start(self, machine: Machine) -> None:
@@ -232,7 +232,7 @@
         await asyncio.gather(*(self.start(machine) for machine in self.machines))
 
     async def stop_all(self) -> None:
-        """Everything started here ends, in the order in which it depends on each other."""
+        """Stop all machines in order of dependency: front, store, core."""
         grace = float(self.bounds["graceS"]) + STOP_MARGIN_S
         for kind in ("front", "store", "core"):
             await asyncio.gather(*(m.stop(grace) for m in self.of(kind)))
--- a/otterreach/loadtest/plain_server.py
+++ b/otterreach/loadtest/plain_server.py
@@ -1,4 +1,4 @@
-"""A server that answers each request at once, after some work: no stream, no weights."""
+"""Simulated server with unary responses: no streams, no weights."""
 
 from __future__ import annotations
 
@@ -15,36 +15,36 @@
 
 
 class _Call:
-    """A request at a plain server."""
+    """A request queued or running at a plain server."""
 
-    def __init__(self, connection: Connection, ident: str, body: bytes, came_at: float, deadline: float) -> None:
+    def __init__(self, connection: Connection, ident: str, body: bytes, received_at: float, deadline: float) -> None:
         self.connection = connection
         self.ident = ident
         self.body = body
-        self.came_at = came_at
+        self.received_at = received_at
         self.deadline = deadline
         self.timer: asyncio.TimerHandle | None = None
 
 
 class PlainServer(Server):
-    """So many requests at a time, each for about its work; a few wait."""
+    """A server with `cap` concurrent requests of about `work_ms` each, and a bounded queue."""
 
-    def fresh(self) -> None:
-        """Nothing running, nothing waiting."""
+    def reset_state(self) -> None:
+        """Start with no running and no queued calls."""
         self.working: set[_Call] = set()
         self.queued: deque[_Call] = deque()
 
-    def figures(self) -> tuple[int, int]:
-        """Calls that are running and waiting."""
+    def load_counts(self) -> tuple[int, int]:
+        """Return the numbers of running and queued calls."""
         return len(self.working), len(self.queued)
 
     def on_call(self, connection: Connection, request: http1.Request) -> None:
-        """Run a call, let it wait, or refuse it."""
-        now = self.scene.now()
-        told = connection.header(b"deadline-ms")
-        deadline = now + (int(told) / 1000 if told.isdigit() else NO_DEADLINE_S)
+        """Start a call, queue it or refuse it."""
+        now = self.context.now()
+        deadline_ms = connection.header(b"deadline-ms")
+        deadline = now + (int(deadline_ms) / 1000 if deadline_ms.isdigit() else NO_DEADLINE_S)
         call = _Call(connection, connection.header(b"request-id"), request.body, now, deadline)
-        connection.dropped = lambda: self._drop(call)
+        connection.on_dropped = lambda: self._drop(call)
         if len(self.working) < self.spec.cap:
             self._start(call)
         elif len(self.queued) < self.spec.queue:
@@ -54,32 +54,34 @@
 
     def _start(self, call: _Call) -> None:
         self.working.add(call)
-        self.began(call.ident)
-        work_s = self.spec.work_ms / 1000 * self.slow * self.scene.random.uniform(0.6, 1.4)
-        late = self.scene.now() + work_s > call.deadline
-        wait_s = max(0.0, call.deadline - self.scene.now()) if late else work_s
+        self.record_start(call.ident)
+        work_s = self.spec.work_ms / 1000 * self.slow * self.context.random.uniform(0.6, 1.4)
+        late = self.context.now() + work_s > call.deadline
+        wait_s = max(0.0, call.deadline - self.context.now()) if late else work_s
         call.timer = asyncio.get_running_loop().call_later(wait_s, self._finish, call, late)
 
     def _finish(self, call: _Call, late: bool) -> None:
         self.working.discard(call)
         if not self.dark and self.state != "down":
             self._answer(call, late)
-        self._go_on()
+        self._start_queued()
 
     def _answer(self, call: _Call, late: bool) -> None:
         if late:
             call.connection.respond(HTTPStatus.GATEWAY_TIMEOUT)
-        elif self.fails():
-            self.scene.ground_truth.failures[call.ident] += 1
+        elif self.draw_failure():
+            self.context.ground_truth.failures[call.ident] += 1
             call.connection.respond(HTTPStatus.INTERNAL_SERVER_ERROR)
         else:
             body = body_of(call.ident, call.body)
-            call.connection.respond(HTTPStatus.OK, (("Reply-Seal", self.seal(call.ident, body, call.came_at)),), body)
+            call.connection.respond(
+                HTTPStatus.OK, (("Reply-Seal", self.seal(call.ident, body, call.received_at)),), body
+            )
 
-    def _go_on(self) -> None:
+    def _start_queued(self) -> None:
         while self.queued and len(self.working) < self.spec.cap:
             call = self.queued.popleft()
-            if self.scene.now() > call.deadline:
+            if self.context.now() > call.deadline:
                 self.refuse(call.connection, HTTPStatus.SERVICE_UNAVAILABLE)
             else:
                 self._start(call)
@@ -89,6 +91,6 @@
             self.working.discard(call)
             if call.timer:
                 call.timer.cancel()
-            self._go_on()
+            self._start_queued()
         elif call in self.queued:
             self.queued.remove(call)
--- a/otterreach/loadtest/plan.py
+++ b/otterreach/loadtest/plan.py
@@ -1,4 +1,4 @@
-"""What is played: machines, services, routes, callers and faults, from a TOML file."""
+"""Plan of a load test, read from TOML: machines, services, routes, clients, trainers and faults."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 @dataclass
 class _Row(DataClassDictMixin):
     class Config(BaseConfig):
-        """mashumaro: an unknown key is an error."""
+        """Options of mashumaro: unknown keys are rejected."""
 
         forbid_extra_keys = True
 
 
 @dataclass
 class Machines(_Row):
-    """How many of each class, spread over the zones in turn."""
+    """Number of machines of each class, spread over the zones round-robin."""
 
     front: int = 3
     store: int = 3
@@ -40,7 +40,7 @@
 
 @dataclass
 class Service(_Row):
-    """A service and its servers. `errors`: share of requests answered with 500."""
+    """A service and its servers. `errors`: fraction of requests answered with 500."""
 
     name: str
     kind: Literal["engine", "plain"] = "plain"
@@ -50,13 +50,13 @@
     max_conns: int = 120
     errors: float = 0.0
     tells_load: bool = False
-    work_ms: float = 20.0  # plain: for each request
-    kv: int = 20_000  # engine: tokens of memory
-    token_ms: float = 2.0  # engine: between two tokens of a request that runs alone
-    busy_ms: float = 0.2  # engine: more, for each request that runs
-    read_per_ms: float = 100.0  # engine: prompt tokens
-    stride: int = 4  # engine: tokens in an event
-    load_s: float = 0.4  # engine: a change of version
+    work_ms: float = 20.0  # plain: work per request
+    kv: int = 20_000  # engine: capacity of the KV cache in tokens
+    token_ms: float = 2.0  # engine: time per token with one running request
+    busy_ms: float = 0.2  # engine: additional time per token for each running request
+    read_per_ms: float = 100.0  # engine: prefill rate in prompt tokens
+    stride: int = 4  # engine: tokens per event
+    load_s: float = 0.4  # engine: time to load a version
     models: list[str] = field(default_factory=list)
 
 
@@ -79,10 +79,10 @@
 
 @dataclass
 class Clients(_Row):
-    """Callers of a route whose number does not depend on the answers."""
+    """Open-loop clients of a route: their rate does not depend on the answers."""
 
     route: str
-    rate: float = 10.0  # a second
+    rate: float = 10.0  # requests per second
     deadline_ms: int = 1500
     retries: int = 2
     body_bytes: int = 200
@@ -90,7 +90,7 @@
 
 @dataclass
 class Trainer(_Row):
-    """One batch job for each step. `lag`: how many versions older than the newest one a text may be made under."""
+    """A trainer with one batch job per step. `lag`: maximum number of versions that a text may be behind the newest."""
 
     route: str
     scorer: str
@@ -104,23 +104,23 @@
     tail: int = 16
     out: int = 40
     lag: int = 1
-    never: float = 0.0  # share of items that are answered 422
+    never: float = 0.0  # fraction of items that are answered 422
 
 
 @dataclass
 class Fault(_Row):
-    """A trouble. On a machine (kill, wipe, freeze, restart) or on a server (crash, dark, slow, drain)."""
+    """A fault of a machine (kill, wipe, freeze, restart) or of a server (crash, dark, slow, drain)."""
 
-    at: float  # seconds from the start of traffic
+    at: float  # seconds after the start of traffic
     kind: Literal["kill", "wipe", "freeze", "restart", "crash", "dark", "slow", "drain"]
-    target: str  # front-1, core-0, store-2, or a service with the number of its server
+    target: str  # a machine (front-1, core-0, store-2), or a service and the index of its server (reader-0)
     for_s: float = 1.0
     x: float = 3.0
 
 
 @dataclass
 class Plan(_Row):
-    """All of a play."""
+    """A complete load test."""
 
     name: str
     seconds: float
@@ -129,7 +129,7 @@
     survive: int = 1
     heartbeat_ms: int = 1000
     seed: int = 1
-    bounds: dict[str, Any] = field(default_factory=dict)  # over those of BOUNDS
+    bounds: dict[str, Any] = field(default_factory=dict)  # override those of BOUNDS
     service: list[Service] = field(default_factory=list)
     route: list[Route] = field(default_factory=list)
     clients: list[Clients] = field(default_factory=list)
@@ -137,11 +137,11 @@
     fault: list[Fault] = field(default_factory=list)
 
     def route_named(self, name: str) -> Route:
-        """The route of this name, which has to be there."""
+        """Return the route with this name; it must exist."""
         return next(route for route in self.route if route.name == name)
 
     def service_named(self, name: str) -> Service:
-        """The service of this name, which has to be there."""
+        """Return the service with this name; it must exist."""
         return next(service for service in self.service if service.name == name)
 
 
@@ -170,18 +170,18 @@
 
 
 def _unknown(plan: Plan) -> str:
-    """A name that a row uses and none has."""
+    """Return a reference to an undefined route or service; empty if there is none."""
     services = {s.name for s in plan.service}
     routes = {r.name for r in plan.route}
     used = [(f"route {r.name}: service", r.service, services) for r in plan.route]
     used += [("clients: route", c.route, routes) for c in plan.clients]
     for trainer in plan.trainer:
         used += [("trainer: route", trainer.route, routes), ("trainer: scorer", trainer.scorer, routes)]
-    return next((f"{where} {name!r} is not there" for where, name, known in used if name not in known), "")
+    return next((f"{where} {name!r} is not defined" for where, name, known in used if name not in known), "")
 
 
 def read(text: str) -> Plan | Failure:
-    """A plan from TOML; SETTINGS names what is wrong."""
+    """Parse a plan from TOML; a failure with SETTINGS names the invalid field."""
     try:
         plan = Plan.from_dict(tomllib.loads(text))
     except (tomllib.TOMLDecodeError, ExtraKeysError, InvalidFieldValue, MissingField) as error:
@@ -191,7 +191,7 @@
 
 
 def load(name: str) -> Plan | Failure:
-    """The plan in a file, or a ready one by its name."""
+    """Load a plan from a file, or a built-in plan by its name."""
     path = Path(name)
     ready = PLANS / f"{name}.toml"
     try:
@@ -201,7 +201,7 @@
 
 
 def configuration(plan: Plan, gen: int = 1) -> dict[str, Any]:
-    """What the operator sends."""
+    """Return the configuration that the operator puts for a plan."""
     routes = []
     backends = []
     for r in plan.route:
--- a/otterreach/loadtest/report.py
+++ b/otterreach/loadtest/report.py
@@ -1,4 +1,4 @@
-"""The results of a play: figures as JSON, a page with plots, a short table, and two folders side by side."""
+"""Results of plays: JSON, an HTML report with plots, a text table, and a comparison of two folders."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import Any
 
 from otterreach.loadtest.plan import Plan
-from otterreach.loadtest.play import Played
-from otterreach.loadtest.trainer import LATE
+from otterreach.loadtest.play import PlayResult
+from otterreach.loadtest.trainer import LATE_GRACE_S
 
 WIDTH = 640
 HEIGHT = 220
@@ -20,20 +20,20 @@
 
 
 def next_number(folder: Path) -> int:
-    """The number of the next play into a folder."""
+    """Return the number of the next result in a folder."""
     return 1 + max((int(p.stem.rpartition("-")[2]) for p in folder.glob("result-*.json")), default=0)
 
 
 def _trainer(part: Any) -> dict[str, Any]:
     jobs = [job for job in part.jobs if job.accepted_at]
-    limit = part.route.due_ms / 1000 + LATE
+    limit = part.route.due_ms / 1000 + LATE_GRACE_S
     wanted = sum(job.wanted for job in part.jobs)
     return {
         "steps": len(part.jobs),
         "taken": len(jobs),
-        "steps_whole": sum(job.whole(limit) >= job.wanted for job in jobs),
+        "steps_whole": sum(job.complete_groups(limit) >= job.wanted for job in jobs),
         "groups_wanted": wanted,
-        "groups_in_time": sum(min(job.wanted, job.whole(limit)) for job in jobs),
+        "groups_in_time": sum(min(job.wanted, job.complete_groups(limit)) for job in jobs),
         "groups": part.groups.points(),
         "accepts": part.accepts.points(),
         "step_s": [round(max(job.group_times.values(), default=0.0), 3) for job in jobs],
@@ -56,8 +56,8 @@
     return [name if names.count(name) == 1 else f"{name}-{n}" for n, name in enumerate(names)]
 
 
-def result_of(played: Played) -> dict[str, Any]:
-    """All figures of a play."""
+def result_of(played: PlayResult) -> dict[str, Any]:
+    """Return the result of a play as JSON data."""
     plan: Plan = played.plan
     callers = dict(zip(_unique([p.tally.name for p in played.callers]), map(_callers, played.callers), strict=True))
     names = _unique([p.row.route for p in played.trainers])
@@ -76,7 +76,7 @@
 
 
 def figures(result: dict[str, Any]) -> dict[str, float]:
-    """The figures that are compared, by name."""
+    """Return the figures of the table and the comparison, by name."""
     rows: dict[str, float] = {"ready after s": result["started_s"], "faults": len(result["faults"])}
     for name, c in result["callers"].items():
         rows[f"{name} served %"] = 100 * c["served"] / max(1, c["asked"])
@@ -106,19 +106,19 @@
 
 
 def table(result: dict[str, Any]) -> str:
-    """The figures and the faults of one play."""
+    """Format the figures and the faults of one play as a text table."""
     lines = ["", _columns([(name, f"{value:.1f}") for name, value in figures(result).items()])]
     lines += [f"FAULT: {fault}" for fault in result["faults"]] or ["", "no fault found"]
     return "\n".join(lines)
 
 
-def _gather(folder: Path) -> dict[str, list[float]]:
-    """Each figure of all plays in a folder."""
-    gathered: dict[str, list[float]] = {}
+def _collect(folder: Path) -> dict[str, list[float]]:
+    """Collect the values of each figure from all results in a folder."""
+    collected: dict[str, list[float]] = {}
     for file in sorted(folder.glob("result-*.json")):
         for name, value in figures(json.loads(file.read_text())).items():
-            gathered.setdefault(name, []).append(value)
-    return gathered
+            collected.setdefault(name, []).append(value)
+    return collected
 
 
 def _spread(values: list[float]) -> str:
@@ -129,25 +129,25 @@
 
 
 def comparison(here: Path, there: Path) -> str:
-    """Means of the plays in two folders, with the least and the most; * where the two do not overlap."""
-    ours = _gather(here)
-    theirs = _gather(there)
+    """Format the mean and range of each figure in two folders; * marks ranges that don't overlap."""
+    ours = _collect(here)
+    theirs = _collect(there)
     rows: list[tuple[str, ...]] = [("", str(here), str(there), "")]
     for name in dict.fromkeys([*ours, *theirs]):
         mine = ours.get(name, [])
         other = theirs.get(name, [])
-        known = min(len(mine), len(other)) > 1  # one play has no spread
+        known = min(len(mine), len(other)) > 1  # a single play has no range
         apart = known and (min(mine) > max(other) or max(mine) < min(other))
         rows.append((name, _spread(mine), _spread(other), "*" if apart else ""))
     counts = f"plays: {max(map(len, ours.values()), default=0)} and {max(map(len, theirs.values()), default=0)}"
     return "\n" + _columns(rows) + f"\n{counts}; * the spans do not overlap"
 
 
-# The page ------------------------------------------------------------------------------------------
+# HTML report -------------------------------------------------------------------------------------
 
 
 def _plot(title: str, lines: dict[str, Line], x_label: str, marks: list[tuple[float, str]] | None = None) -> str:
-    """Lines over a common pair of axes that begin at 0."""
+    """Return an SVG plot of lines on common axes that start at 0."""
     points = [p for line in lines.values() for p in line]
     if not points:
         return ""
@@ -155,7 +155,7 @@
     y_most = max(p[1] for p in points) or 1.0
 
     def place(x: float, y: float) -> str:
-        """The position of a point in the drawing."""
+        """Return the SVG coordinates of a point."""
         return f"{LEFT + x / x_most * (WIDTH - LEFT - 10):.1f},{(1 - y / y_most) * (HEIGHT - BOTTOM - 10) + 10:.1f}"
 
     parts = [f'<h3>{html.escape(title)}</h3><svg width="{WIDTH}" height="{HEIGHT}" font-size="11">']
@@ -191,7 +191,7 @@
 
 
 def page(result: dict[str, Any]) -> str:
-    """report.html."""
+    """Return the HTML report of a result."""
     faults = [(f["at"], f"{f['kind']} {f['target']}") for f in result["plan"]["fault"]]
     seconds: dict[str, Line] = {}
     for name, c in result["callers"].items():
@@ -219,7 +219,7 @@
 
 
 def write(folder: Path, number: int, result: dict[str, Any]) -> None:
-    """Write the result and the report of a play into a folder."""
+    """Write the result and the HTML report of a play into a folder."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / f"result-{number:03}.json").write_text(json.dumps(result, indent=1))
     (folder / "report.html").write_text(page(result))
--- a/otterreach/loadtest/scene.py
+++ b/otterreach/loadtest/scene.py
@@ -1,4 +1,4 @@
-"""What all stand-ins of a play share: time, chance, the books, where the system is."""
+"""State shared by the simulated parties of a play: clock, random numbers, ground truth, addresses."""
 
 from __future__ import annotations
 
@@ -15,54 +15,58 @@
 from otterreach.loadtest.plan import Plan
 from otterreach.runtime.codes import Failure
 
-READY_S = 1.0  # between two questions
-MISSES = 2  # then a front gets no new connections
+PROBE_INTERVAL_S = 1.0  # interval of readiness probes
+MAX_MISSED_PROBES = 2  # consecutive failed probes after which a front gets no new connections
 
 
 @dataclass(slots=True)
 class Front:
-    """A machine that takes clients' connections."""
+    """A front machine, which accepts clients' connections."""
 
     name: str
     zone: str
     address: str
     readyz: str
-    missed: int = MISSES
+    missed_probes: int = MAX_MISSED_PROBES
 
 
 class Entry:
-    """The platform's address: gives a new connection to a front of the client's zone."""
+    """The platform's entry address (VIP): assigns new connections to fronts, preferably in the client's zone."""
 
     def __init__(self, fronts: list[Front]) -> None:
         self.fronts = fronts
 
     async def watch(self) -> None:
-        """Probe the fronts; for ever."""
+        """Probe the fronts periodically; never returns."""
         while True:
-            await asyncio.gather(*(self._probe(front) for front in self.fronts), asyncio.sleep(READY_S))
+            await asyncio.gather(*(self._probe(front) for front in self.fronts), asyncio.sleep(PROBE_INTERVAL_S))
 
     async def _probe(self, front: Front) -> None:
         answer = await ask(front.readyz, "GET", "/readyz")
         ready = not isinstance(answer, Failure) and answer.status == 200
-        front.missed = 0 if ready else front.missed + 1
+        front.missed_probes = 0 if ready else front.missed_probes + 1
 
     @property
     def ready(self) -> int:
-        """How many fronts answer."""
-        return sum(front.missed < MISSES for front in self.fronts)
+        """Number of ready fronts."""
+        return sum(front.missed_probes < MAX_MISSED_PROBES for front in self.fronts)
 
     def pick(self, zone: str, key: str) -> str:
-        """By a hash of the client, among those that are in: of its zone if half of them are, else of all."""
+        """Pick a ready front by a hash of `key`: in `zone` if at least half of its fronts are ready, else anywhere."""
         near = [f for f in self.fronts if f.zone == zone]
-        good = [f for f in near if f.missed < MISSES]
-        group = good if good and 2 * len(good) >= len(near) else [f for f in self.fronts if f.missed < MISSES]
+        ready_near = [f for f in near if f.missed_probes < MAX_MISSED_PROBES]
+        group = (
+            ready_near
+            if ready_near and 2 * len(ready_near) >= len(near)
+            else [f for f in self.fronts if f.missed_probes < MAX_MISSED_PROBES]
+        )
         group = group or self.fronts
         return group[zlib.crc32(key.encode()) % len(group)].address
 
 
 @dataclass(slots=True)
-class Scene:
-    """One play."""
+class PlayContext:
+    """Shared state of one play."""
 
     plan: Plan
     bounds: dict[str, Any]
@@ -71,19 +75,19 @@
     now: Callable[[], float]
     random: Random
     ground_truth: GroundTruth = field(default_factory=GroundTruth)
-    versions: dict[str, int] = field(default_factory=dict)  # the newest that a trainer has named, by model
+    versions: dict[str, int] = field(default_factory=dict)  # newest published version, by model
     counts: Counter[str] = field(default_factory=Counter)
     stopping: bool = False
     print_line: Callable[[str], None] = lambda _: None
 
     def ident(self, prefix: str = "") -> str:
-        """A new id, 16 hex digits."""
+        """Return a new id: the prefix and 16 hex digits."""
         return f"{prefix}{self.random.getrandbits(64):016x}"
 
-    def named(self, model: str) -> int:
-        """The newest version of a model that a trainer has named."""
+    def newest_version(self, model: str) -> int:
+        """Return the newest version of a model that a trainer has published."""
         return self.versions.get(model, 1)
 
     def seconds(self, key: str) -> float:
-        """A bound that is told in ms."""
+        """Return a bound given in ms, in seconds."""
         return float(self.bounds[key]) / 1000
--- a/otterreach/loadtest/trainer.py
+++ b/otterreach/loadtest/trainer.py
@@ -1,4 +1,8 @@
-"""A trainer: one batch job a step, read until enough groups are whole, ended, then the next version is named."""
+"""Simulated trainer.
+
+Each step submits a batch job, reads results until enough groups are complete, ends the job and publishes the next
+version.
+"""
 
 from __future__ import annotations
 
@@ -11,17 +15,17 @@
 from otterreach.cli.caller import Headers, ask
 from otterreach.loadtest.latency import Latencies
 from otterreach.loadtest.plan import HOST, Route, Trainer
-from otterreach.loadtest.scene import Scene
+from otterreach.loadtest.scene import PlayContext
 from otterreach.runtime.codes import Failure
 from otterreach.sidecar import http1
 
 WAIT_MS = 1000
-WAITS_LONGER_S = 1.5  # than it allows the answer to be held
-PAUSE_S = 0.4  # between two reads
+READ_MARGIN_S = 1.5  # client time-out beyond the Wait-Ms of a long poll
+READ_INTERVAL_S = 0.4  # interval between reads
 RETRY_S = 0.15
-LATE = 0.7  # of a second after dueMs: so long a group earns its worth
-GIVE_UP = 2.0  # times dueMs
-BACK = 0.2  # share of reads from an earlier position
+LATE_GRACE_S = 0.7  # s after dueMs until which a group counts as in time
+GIVE_UP_FACTOR = 2.0  # multiple of dueMs after which a batch job is abandoned
+REREAD_FRACTION = 0.2  # fraction of reads from an earlier position, and of those followed by a read of a body
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +44,7 @@
     never: bool
 
     def row(self, model: str) -> dict[str, Any]:
-        """As in the JSON of a batch job."""
+        """Return the JSON of the item in a batch job."""
         headers = {"Model": model, "Tokens": f"{self.tokens_in},{self.tokens_out}", "Prompt-Prefix": self.parts}
         scorer = {
             "id": self.scorer,
@@ -61,7 +65,7 @@
 
 @dataclass
 class BatchJob:
-    """A batch job as its trainer knows it. `rows` are the results by position."""
+    """A batch job from its trainer's view. `rows` are the results by position."""
 
     id: str
     step: int
@@ -69,19 +73,19 @@
     min_version: int
     route: Route
     sent_at: float
-    wanted: int  # groups
+    wanted: int  # number of groups
     accepted_at: float = 0.0
-    maybe: bool = False  # a try had no clear answer
+    outcome_unknown: bool = False  # the outcome of an attempt is unknown
     end_sent_at: float = 0.0
-    ended_at: float = 0.0  # its end was acknowledged
+    ended_at: float = 0.0  # time of the acknowledgement of its end
     rows: list[dict[str, Any]] = field(default_factory=list)
     listed: set[str] = field(default_factory=set)
-    group_times: dict[str, float] = field(default_factory=dict)  # of whole groups: seconds after it was sent
+    group_times: dict[str, float] = field(default_factory=dict)  # completion of each group, in seconds since submission
     faults: list[str] = field(default_factory=list)
 
     @property
     def groups(self) -> dict[str, list[str]]:
-        """The ids of the items of each group."""
+        """Item ids by group."""
         groups: dict[str, list[str]] = {}
         for item in self.items.values():
             groups.setdefault(item.group, []).append(item.id)
@@ -89,13 +93,13 @@
 
     @property
     def refused(self) -> bool:
-        """Every try was refused: nothing of it may run."""
-        return not self.accepted_at and not self.maybe
+        """True if every attempt was refused, so that none of the items may run."""
+        return not self.accepted_at and not self.outcome_unknown
 
-    def take(self, past: int, body: bytes, now: float) -> int | None:
-        """An answer to a read from position `past`: what it shows must be what was there before, and more.
+    def add_results(self, past: int, body: bytes, now: float) -> int | None:
+        """Check and add the answer to a read from position `past`; earlier results must not have changed.
 
-        The position behind it, or None if it can't be read.
+        Return the position after its last result, or None if the answer is malformed.
         """
         try:
             answer = json.loads(body)
@@ -107,21 +111,21 @@
             return None
         if total != len(self.items) or cursor != past + len(rows):
             self.faults.append(f"read from {past}: total {total}, nextCursor {cursor}, {len(rows)} results")
-        for place, row in enumerate(rows, past):
-            self._row(place, row, now)
+        for position, row in enumerate(rows, past):
+            self._add_result(position, row, now)
         return past + len(rows)
 
-    def _row(self, place: int, row: dict[str, Any], now: float) -> None:
-        if place < len(self.rows):
-            if self.rows[place] != row:
-                self.faults.append(f"position {place} holds another result than before")
+    def _add_result(self, position: int, row: dict[str, Any], now: float) -> None:
+        if position < len(self.rows):
+            if self.rows[position] != row:
+                self.faults.append(f"position {position} holds another result than before")
             return
-        if place > len(self.rows):
-            self.faults.append(f"position {place} comes after {len(self.rows)} results")
+        if position > len(self.rows):
+            self.faults.append(f"position {position} comes after {len(self.rows)} results")
             return
         ident = row.get("id")
         if ident not in self.items:
-            self.faults.append(f"position {place}: {ident} is no item of it")
+            self.faults.append(f"position {position}: {ident} is no item of it")
             return
         if ident in self.listed:
             self.faults.append(f"{ident} is listed twice")
@@ -131,67 +135,67 @@
         if all(other in self.listed for other in self.groups[group]):
             self.group_times.setdefault(group, now - self.sent_at)
 
-    def whole(self, limit_s: float = float("inf")) -> int:
-        """Groups with all items listed, by so long after it was sent."""
+    def complete_groups(self, limit_s: float = float("inf")) -> int:
+        """Return the number of groups completed within `limit_s` after submission."""
         return sum(took <= limit_s for took in self.group_times.values())
 
 
-class TrainerPart:
-    """One trainer of the plan."""
+class TrainerRunner:
+    """Runs one trainer of the plan."""
 
-    def __init__(self, scene: Scene, row: Trainer, started_at: float) -> None:
-        self.scene = scene
+    def __init__(self, context: PlayContext, row: Trainer, started_at: float) -> None:
+        self.context = context
         self.row = row
         self.started_at = started_at
-        self.route = scene.plan.route_named(row.route)
-        self.scorer = scene.plan.route_named(row.scorer)
+        self.route = context.plan.route_named(row.route)
+        self.scorer = context.plan.route_named(row.scorer)
         self.jobs: list[BatchJob] = []
         self.groups = Latencies()
         self.accepts = Latencies()
         self.steps = 0
-        self._again: list[list[Item]] = []  # groups that weren't whole
+        self._incomplete_groups: list[list[Item]] = []  # incomplete groups of the last batch job
         self._count = 0
 
     async def run(self) -> None:
-        """Steps until the play stops; an open batch job is brought to its end."""
-        while not self.scene.stopping:
-            begun = self.scene.now()
-            job = self._draw()
+        """Run steps until the play stops; an open batch job is completed first."""
+        while not self.context.stopping:
+            begun = self.context.now()
+            job = self._new_job()
             self.jobs.append(job)
             await self._step(job)
-            rest = begun + self.row.every_s - self.scene.now()
-            if not self.scene.stopping and rest > 0:
+            rest = begun + self.row.every_s - self.context.now()
+            if not self.context.stopping and rest > 0:
                 await asyncio.sleep(rest)
 
-    def _draw(self) -> BatchJob:
+    def _new_job(self) -> BatchJob:
         wanted = max(1, round(self.row.groups * self.row.desired))
-        groups = [*self._again[: wanted // 2]]
-        self._again = []
+        groups = [*self._incomplete_groups[: wanted // 2]]
+        self._incomplete_groups = []
         while len(groups) < self.row.groups:
             groups.append(self._group())
         items = {item.id: item for group in groups for item in group}
-        version = max(1, self.scene.named(self.row.model) - self.row.lag)
+        version = max(1, self.context.newest_version(self.row.model) - self.row.lag)
         self.steps += 1
-        return BatchJob(self.scene.ident(), self.steps - 1, items, version, self.route, self.scene.now(), wanted)
+        return BatchJob(self.context.ident(), self.steps - 1, items, version, self.route, self.context.now(), wanted)
 
     def _group(self) -> list[Item]:
         self._count += 1
         name = f"g{self._count}"
-        prefix = f"{self.scene.random.getrandbits(32):x}"
+        prefix = f"{self.context.random.getrandbits(32):x}"
         return [self._item(name, prefix) for _ in range(self.row.items)]
 
     def _item(self, group: str, prefix: str) -> Item:
-        scene = self.scene
+        context = self.context
         row = self.row
-        ident = self.scene.ident()
-        never = scene.random.random() < row.never
+        ident = self.context.ident()
+        never = context.random.random() < row.never
         parts = f"{prefix}:{row.prompt},{ident}:{row.tail}"
-        body = (b"never " if never else b"read ") + scene.random.randbytes(64)
+        body = (b"never " if never else b"read ") + context.random.randbytes(64)
         return Item(
             ident,
             f"{self.route.prefix}{group}/{ident[:4]}",
             group,
-            scene.ident(),
+            context.ident(),
             f"{self.scorer.prefix}{ident[:6]}",
             body,
             row.prompt + row.tail,
@@ -201,124 +205,126 @@
         )
 
     async def _step(self, job: BatchJob) -> None:
-        scene = self.scene
+        context = self.context
         if not await self._submit(job):
-            scene.print_line(f"batch job {job.id}: not taken")
+            context.print_line(f"batch job {job.id}: not accepted")
             return
         took = job.accepted_at - job.sent_at
         self.accepts.add(took)
-        scene.print_line(
+        context.print_line(
             f"batch job {job.id} (step {job.step}): {len(job.items)} items in {len(job.groups)} groups, "
             f"taken after {took * 1000:.0f} ms"
         )
         await self._read(job)
-        await self._end(job)
+        await self._end_job(job)
         for took in job.group_times.values():
             self.groups.add(took)
-        scene.print_line(
-            f"batch job {job.id} (step {job.step}): {job.whole()} groups whole, {len(job.rows)} of "
-            f"{len(job.items)} results read after {scene.now() - job.sent_at:.2f} s"
+        context.print_line(
+            f"batch job {job.id} (step {job.step}): {job.complete_groups()} groups complete, {len(job.rows)} of "
+            f"{len(job.items)} results read after {context.now() - job.sent_at:.2f} s"
         )
         groups = job.groups
-        self._again = [[job.items[i] for i in ids] for name, ids in groups.items() if name not in job.group_times]
-        if job.whole() >= job.wanted and not scene.stopping:
+        self._incomplete_groups = [
+            [job.items[i] for i in ids] for name, ids in groups.items() if name not in job.group_times
+        ]
+        if job.complete_groups() >= job.wanted and not context.stopping:
             await asyncio.sleep(self.row.train_s)
-            await self._name_version()
+            await self._publish_version()
 
     async def _call(
         self, method: str, path: str, body: bytes = b"", headers: Headers | None = None, within_s: float = 1.0
     ) -> http1.Response | Failure:
-        address = self.scene.entry.pick(self.scene.random.choice(self.scene.plan.zones), self.scene.ident())
+        address = self.context.entry.pick(self.context.random.choice(self.context.plan.zones), self.context.ident())
         return await ask(address, method, path, body, headers, within_s, HOST)
 
     async def _submit(self, job: BatchJob) -> bool:
-        """Sent again, at another sidecar, until it is taken."""
+        """Submit a batch job, with retries at other fronts until it is accepted or due. Return whether it was."""
         head = {"step": job.step, "model": self.row.model, "minVersion": job.min_version, "desired": job.wanted}
         reqs = [item.row(self.row.model) for item in job.items.values()]
         body = json.dumps({**head, "reqs": reqs}).encode()
         headers = {b"Request-Id": job.id.encode(), b"Content-Type": b"application/json"}
-        while self.scene.now() < job.sent_at + self.route.due_ms / 1000:
+        while self.context.now() < job.sent_at + self.route.due_ms / 1000:
             answer = await self._call("POST", f"{self.route.prefix}{job.id[:6]}", body, headers, 1.5)
             if isinstance(answer, Failure) or answer.status not in (202, 429, 503, 408, 421):
-                job.maybe = True
+                job.outcome_unknown = True
             elif answer.status == 202:
-                job.accepted_at = self.scene.now()
+                job.accepted_at = self.context.now()
                 return True
-            self.scene.counts["submit again"] += 1
+            self.context.counts["submit again"] += 1
             await asyncio.sleep(RETRY_S)
         return False
 
     async def _read(self, job: BatchJob) -> None:
-        """Until enough groups are whole, or it is given up."""
-        end = job.sent_at + GIVE_UP * self.route.due_ms / 1000
-        while job.whole() < job.wanted and self.scene.now() < end:
-            behind = self.scene.random.random() < BACK
-            past = self.scene.random.randint(0, len(job.rows)) if behind else len(job.rows)
+        """Read results until enough groups are complete or the job is abandoned."""
+        end = job.sent_at + GIVE_UP_FACTOR * self.route.due_ms / 1000
+        while job.complete_groups() < job.wanted and self.context.now() < end:
+            behind = self.context.random.random() < REREAD_FRACTION
+            past = self.context.random.randint(0, len(job.rows)) if behind else len(job.rows)
             await self.read_once(job, past, WAIT_MS)
-            if self.scene.random.random() < BACK:
-                await self._body(job)
-            await asyncio.sleep(PAUSE_S)
+            if self.context.random.random() < REREAD_FRACTION:
+                await self._read_body(job)
+            await asyncio.sleep(READ_INTERVAL_S)
 
     async def read_once(self, job: BatchJob, past: int, wait_ms: int = 0) -> int | None:
-        """One read: the position after it, or None."""
+        """Read results once; return the position after the last one, or None on failure."""
         headers = {b"Wait-Ms": b"%d" % wait_ms} if wait_ms else {}
-        within = wait_ms / 1000 + WAITS_LONGER_S
+        within = wait_ms / 1000 + READ_MARGIN_S
         answer = await self._call("GET", f"/lots/{job.id}?past={past}", b"", headers, within)
         if isinstance(answer, Failure):
             return None
         if answer.status == 200:
-            return job.take(past, answer.body, self.scene.now())
+            return job.add_results(past, answer.body, self.context.now())
         self._missing(job, answer, f"read from {past}")
         return None
 
     def _missing(self, job: BatchJob, answer: http1.Response, what: str) -> None:
-        settled = self.scene.now() > job.accepted_at + self.scene.seconds("settleMs")
+        settled = self.context.now() > job.accepted_at + self.context.seconds("settleMs")
         if answer.status != 503 and settled:
             job.faults.append(f"{what} was answered {answer.status}")
 
-    async def _body(self, job: BatchJob) -> None:
-        """The body of an item that hasn't been seen listed."""
+    async def _read_body(self, job: BatchJob) -> None:
+        """Read the body of an item without a listed result and compare it."""
         waiting = [item for item in job.items.values() if item.id not in job.listed]
         if not waiting:
             return
-        item = self.scene.random.choice(waiting)
+        item = self.context.random.choice(waiting)
         answer = await self._call("GET", f"/items/{job.id}?id={item.id}")
         if isinstance(answer, Failure):
             return
         if answer.status == 200 and answer.body != item.body:
-            job.faults.append(f"the body of {item.id} comes back with other bytes")
+            job.faults.append(f"the body of {item.id} differs from the one submitted")
         elif answer.status != 200:
-            read = await self.read_once(job, len(job.rows))  # listed meanwhile, then
+            read = await self.read_once(job, len(job.rows))  # it may have been listed meanwhile
             if read is not None and item.id not in job.listed:
                 self._missing(job, answer, f"the body of {item.id}")
 
-    async def _end(self, job: BatchJob) -> None:
-        job.end_sent_at = self.scene.now()
+    async def _end_job(self, job: BatchJob) -> None:
+        job.end_sent_at = self.context.now()
         for _ in range(40):
             answer = await self._call("DELETE", f"/lots/{job.id}")
             if not isinstance(answer, Failure) and answer.status == 200:
-                job.ended_at = self.scene.now()
+                job.ended_at = self.context.now()
                 return
             await asyncio.sleep(RETRY_S)
-        job.faults.append("its end was never acknowledged")
+        job.faults.append("DELETE was never acknowledged")
 
-    async def _name_version(self) -> None:
-        """Servers may take the order from the first send on."""
-        gen = self.scene.named(self.row.model) + 1
-        self.scene.versions[self.row.model] = gen
+    async def _publish_version(self) -> None:
+        """Publish the next version. Servers may accept it as soon as it is sent, before the acknowledgement."""
+        gen = self.context.newest_version(self.row.model) + 1
+        self.context.versions[self.row.model] = gen
         body = json.dumps({"model": self.row.model, "gen": gen}).encode()
         headers = {b"Content-Type": b"application/json"}
-        answer = await self.scene.ctl.call("POST", "/version-put", body, headers, 10.0)
+        answer = await self.context.ctl.call("POST", "/version-put", body, headers, 10.0)
         taken = not isinstance(answer, Failure) and 200 <= answer.status < 300
-        self.scene.counts["versions" if taken else "versions not recorded"] += 1
-        self.scene.print_line(f"version {gen} of {self.row.model} named")
+        self.context.counts["versions" if taken else "versions not recorded"] += 1
+        self.context.print_line(f"version {gen} of {self.row.model} published")
 
     async def read_all(self, job: BatchJob, within_s: float) -> None:
-        """After traffic: from the start, page by page, as far as results were ever listed."""
-        end = self.scene.now() + within_s
+        """Read a batch job again after traffic, from the start up to the last position ever listed."""
+        end = self.context.now() + within_s
         known = len(job.rows)
         past = 0
-        while self.scene.now() < end:
+        while self.context.now() < end:
             cursor = await self.read_once(job, past)
             if cursor is None:
                 await asyncio.sleep(RETRY_S)
@@ -326,4 +332,4 @@
                 return
             else:
                 past = cursor
-        job.faults.append(f"it can't be read whole after the day: position {past} of {known}")
+        job.faults.append(f"results can't be read again in full after traffic: position {past} of {known}")
--- a/tests/loadtest/test_engine.py
+++ b/tests/loadtest/test_engine.py
@@ -1,4 +1,4 @@
-"""The engines of the load test as state machines: no clock, no network."""
+"""Tests of the load test's engine model, without clock and network."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from otterreach.loadtest.engine import Ask, End, Engine, Event, Key, Memory, Run, Stage, Why
+from otterreach.loadtest.engine import End, EndReason, Engine, Event, GenerationRequest, Key, KVCache, Run, Stage
 from otterreach.loadtest.plan import Service
 
 TICK_S = 0.01
@@ -36,8 +36,8 @@
     return Engine(spec(**more), {MODEL: 1}, lambda model: named)
 
 
-def ask(ident: str = "a", out: int = 8, prompt: int = 100, **more: Any) -> Ask:
-    return Ask(ident, MODEL, prompt, out, **more)
+def request(ident: str = "a", out: int = 8, prompt: int = 100, **more: Any) -> GenerationRequest:
+    return GenerationRequest(ident, MODEL, prompt, out, **more)
 
 
 def order(gen: int = 2, method: str = "wait", **more: Any) -> dict[str, Any]:
@@ -45,8 +45,8 @@
 
 
 class EngineTest(unittest.TestCase):
-    def accepted(self, one: Engine, question: Ask) -> Run:
-        run = one.submit(question)
+    def accepted(self, one: Engine, wanted: GenerationRequest) -> Run:
+        run = one.submit(wanted)
         assert isinstance(run, Run), run
         return run
 
@@ -59,30 +59,30 @@
         self.fail("never idle")
 
     def events(self, outcomes: list[Event | End], run: Run) -> list[int]:
-        return [o.ident for o in outcomes if isinstance(o, Event) and o.run is run]
+        return [o.number for o in outcomes if isinstance(o, Event) and o.run is run]
 
     def test_a_stream_has_each_event_once_and_a_last_one(self) -> None:
         one = engine()
-        run = self.accepted(one, ask(out=10))
+        run = self.accepted(one, request(out=10))
         outcomes = self.until_idle(one)
         self.assertEqual(self.events(outcomes, run), [1, 2, 3])
         self.assertEqual([o.last for o in outcomes if isinstance(o, Event)], [False, False, True])
-        self.assertEqual(run.stage, Stage.OVER)
+        self.assertEqual(run.stage, Stage.ENDED)
 
-    def test_it_goes_on_after_the_last_event_its_caller_has(self) -> None:
+    def test_it_resumes_after_the_last_event_of_the_client(self) -> None:
         one = engine()
-        run = self.accepted(one, ask(out=10, after=2))
+        run = self.accepted(one, request(out=10, after=2))
         self.assertEqual(self.events(self.until_idle(one), run), [3])
-        self.assertEqual(one.submit(ask(out=10, after=3)), 400)
+        self.assertEqual(one.submit(request(out=10, after=3)), 400)
 
     def test_a_batch_of_cap_then_a_queue_then_503(self) -> None:
         one = engine()
         for ident in "ab":
-            self.accepted(one, ask(ident, 80))
+            self.accepted(one, request(ident, 80))
         one.tick(TICK_S)
         for ident in "cd":
-            self.accepted(one, ask(ident, 80))
-        self.assertEqual(one.submit(ask("e", 80)), 503)
+            self.accepted(one, request(ident, 80))
+        self.assertEqual(one.submit(request("e", 80)), 503)
         self.assertEqual(one.report()["running"], 2)
         self.assertEqual(one.report()["queued"], 2)
 
@@ -91,7 +91,7 @@
         for count in (1, 4):
             one = engine(cap=4, busy_ms=1.0)
             for n in range(count):
-                self.accepted(one, ask(str(n), 40))
+                self.accepted(one, request(str(n), 40))
             steps = 0
             while not one.idle:
                 one.tick(TICK_S)
@@ -99,35 +99,35 @@
             ticks.append(steps)
         self.assertGreater(ticks[1], ticks[0] * 1.5)
 
-    def test_more_urgent_ones_are_let_in_first(self) -> None:
+    def test_more_urgent_runs_are_admitted_first(self) -> None:
         one = engine(cap=1, queue=5)
-        self.accepted(one, ask("first"))
+        self.accepted(one, request("first"))
         one.tick(TICK_S)
-        self.accepted(one, ask("later"))
-        self.accepted(one, ask("urgent", priority=0))
-        order_of_ends = [o.run.ask.id for o in self.until_idle(one) if isinstance(o, Event) and o.last]
+        self.accepted(one, request("later"))
+        self.accepted(one, request("urgent", priority=0))
+        order_of_ends = [o.run.request.id for o in self.until_idle(one) if isinstance(o, Event) and o.last]
         self.assertEqual(order_of_ends, ["first", "urgent", "later"])
 
-    def test_larger_than_its_memory_is_turned_away_as_if_full(self) -> None:
-        self.assertEqual(engine().submit(ask(prompt=995)), 503)
+    def test_a_request_larger_than_the_cache_is_503(self) -> None:
+        self.assertEqual(engine().submit(request(prompt=995)), 503)
 
     def test_another_version_is_421_and_an_unknown_model_400(self) -> None:
         one = engine()
-        self.assertEqual(one.submit(ask(expect=2)), 421)
-        self.assertEqual(one.submit(Ask("a", "other", 1, 1)), 400)
+        self.assertEqual(one.submit(request(expect=2)), 421)
+        self.assertEqual(one.submit(GenerationRequest("a", "other", 1, 1)), 400)
 
-    def test_a_shared_prefix_is_read_once(self) -> None:
+    def test_a_shared_prefix_is_prefilled_once(self) -> None:
         one = engine(read_per_ms=1.0)
-        self.accepted(one, ask("a", parts=(("p", 300), ("a", 10))))
+        self.accepted(one, request("a", parts=(("p", 300), ("a", 10))))
         self.until_idle(one)
-        run = self.accepted(one, ask("b", parts=(("p", 300), ("b", 10))))
+        run = self.accepted(one, request("b", parts=(("p", 300), ("b", 10))))
         one.tick(0.0)
-        self.assertEqual(run.unread, 10)
+        self.assertEqual(run.prefill_left, 10)
 
-    def test_the_least_urgent_and_newest_gives_way_and_loses_no_event(self) -> None:
+    def test_the_least_urgent_and_newest_is_preempted_and_loses_no_event(self) -> None:
         one = engine(kv=225, cap=2)
-        old = self.accepted(one, ask("old", 100, prompt=20))
-        new = self.accepted(one, ask("new", 200, prompt=20))
+        old = self.accepted(one, request("old", 100, prompt=20))
+        new = self.accepted(one, request("new", 200, prompt=20))
         preempted = False
         outcomes: list[Event | End] = []
         for _ in range(5000):
@@ -141,17 +141,17 @@
 
     def test_a_closed_connection_frees_all(self) -> None:
         one = engine()
-        run = self.accepted(one, ask(out=200))
+        run = self.accepted(one, request(out=200))
         one.tick(TICK_S)
         one.drop(run)
         one.drop(run)
         self.assertTrue(one.idle)
-        self.assertEqual(one.memory.pinned, 0)
+        self.assertEqual(one.kv_cache.pinned, 0)
 
 
 class OrdersTest(unittest.TestCase):
     def begun(self, one: Engine, out: int = 40) -> Run:
-        run = one.submit(ask(out=out))
+        run = one.submit(request(out=out))
         assert isinstance(run, Run)
         while not run.begun:
             one.tick(TICK_S)
@@ -166,12 +166,12 @@
     def test_statuses(self) -> None:
         one = engine(named=3)
         self.assertEqual(one.take_order(order(gen=1)), 200)
-        self.assertEqual(one.take_order(order(gen=4)), 400)  # wasn't named
+        self.assertEqual(one.take_order(order(gen=4)), 400)  # not published
         self.assertEqual(one.take_order(order() | {"owner": ""}), 400)
         self.assertEqual(one.take_order({k: v for k, v in order().items() if k != "fence"}), 400)
         self.assertEqual(one.take_order(order(expect=5)), 409)
         self.assertEqual(one.take_order(order(expect=0)), 202)
-        self.assertEqual(one.take_order(order()), 409)  # under way
+        self.assertEqual(one.take_order(order()), 409)  # in progress
         self.assertEqual(one.calls, 1)
 
     def test_a_lower_fence_is_412_where_fenced(self) -> None:
@@ -194,9 +194,9 @@
         one = engine()
         run = self.begun(one)
         one.take_order(order(method="trim"))
-        self.assertIn(End(run, Why.RESET), self.finish(one))
+        self.assertIn(End(run, EndReason.RESET), self.finish(one))
 
-    def test_retain_goes_on_under_the_new_version_and_tells(self) -> None:
+    def test_retain_continues_under_the_new_version_and_reports_it(self) -> None:
         one = engine()
         run = self.begun(one)
         one.take_order(order(method="retain"))
@@ -205,54 +205,54 @@
         self.assertEqual([o.version for o in changed], [2])
         self.assertTrue(made[-1].last)
 
-    def test_what_has_not_begun_is_turned_away_until_it_is_done(self) -> None:
+    def test_an_order_rejects_requests_that_have_not_begun(self) -> None:
         one = engine()
-        queued = one.submit(ask("q"))
+        queued = one.submit(request("q"))
         one.take_order(order())
-        self.assertEqual(one.submit(ask("r")), 503)
+        self.assertEqual(one.submit(request("r")), 503)
         outcomes = one.tick(TICK_S)
-        self.assertEqual(outcomes, [End(queued, Why.REFUSED)])  # type: ignore[arg-type]
+        self.assertEqual(outcomes, [End(queued, EndReason.REFUSED)])  # type: ignore[arg-type]
 
-    def test_it_drops_what_was_kept(self) -> None:
+    def test_an_order_empties_the_cache(self) -> None:
         one = engine(read_per_ms=1.0)
         self.begun(one, 4)
         self.finish(one)
-        self.assertTrue(one.memory.parts)
+        self.assertTrue(one.kv_cache.parts)
         one.take_order(order())
         self.finish(one)
-        self.assertFalse(one.memory.parts)
+        self.assertFalse(one.kv_cache.parts)
 
 
-class MemoryTest(unittest.TestCase):
-    def test_a_part_counts_only_if_every_part_before_it_is_kept(self) -> None:
-        memory = Memory(100)
+class KVCacheTest(unittest.TestCase):
+    def test_a_part_is_a_hit_only_if_all_parts_before_it_are_cached(self) -> None:
+        cache = KVCache(100)
         keys = [(("m", "a"), 10), (("m", "a", "b"), 20)]
-        memory.hold(keys, 0)
-        memory.ready(keys)
-        memory.let_go(keys, 0)
-        self.assertEqual(memory.unread(keys), 0)
-        del memory.parts[("m", "a")]
-        self.assertEqual(memory.unread(keys), 30)
-
-    def test_the_part_unused_for_longest_gives_way(self) -> None:
-        memory = Memory(30)
+        cache.pin(keys, 0)
+        cache.mark_ready(keys)
+        cache.release(keys, 0)
+        self.assertEqual(cache.uncached_tokens(keys), 0)
+        del cache.parts[("m", "a")]
+        self.assertEqual(cache.uncached_tokens(keys), 30)
+
+    def test_the_least_recently_used_part_is_evicted(self) -> None:
+        cache = KVCache(30)
         for name in "abc":
             keys: list[tuple[Key, int]] = [(("m", name), 10)]
-            memory.hold(keys, 0)
-            memory.ready(keys)
-            memory.let_go(keys, 0)
-        memory.hold([(("m", "a"), 10)], 0)
-        self.assertTrue(memory.hold([(("m", "d"), 10)], 0))
-        self.assertEqual({key[1] for key in memory.parts}, {"a", "c", "d"})
-        self.assertFalse(memory.hold([(("m", "e"), 20)], 0))
+            cache.pin(keys, 0)
+            cache.mark_ready(keys)
+            cache.release(keys, 0)
+        cache.pin([(("m", "a"), 10)], 0)
+        self.assertTrue(cache.pin([(("m", "d"), 10)], 0))
+        self.assertEqual({key[1] for key in cache.parts}, {"a", "c", "d"})
+        self.assertFalse(cache.pin([(("m", "e"), 20)], 0))
 
     @settings(max_examples=60, deadline=None)
     @given(st.lists(ROWS, max_size=25))
-    def test_memory_is_never_over_and_empty_at_the_end(self, rows: list[tuple[int, int, int, int]]) -> None:
+    def test_the_cache_never_overflows_and_ends_unpinned(self, rows: list[tuple[int, int, int, int]]) -> None:
         one = engine(kv=150, cap=3, queue=4)
         runs: list[Run] = []
         for n, (prompt, out, prefix, then) in enumerate(rows):
-            run = one.submit(ask(f"r{n}", out, parts=((f"p{prefix}", prompt), (f"r{n}", 2)), priority=then))
+            run = one.submit(request(f"r{n}", out, parts=((f"p{prefix}", prompt), (f"r{n}", 2)), priority=then))
             if isinstance(run, Run):
                 runs.append(run)
             if then == 0:
@@ -261,10 +261,10 @@
                 one.drop(runs[n % len(runs)])
             for _ in range(then):
                 one.tick(TICK_S)
-                self.assertLessEqual(one.memory.used, one.spec.kv + 1e-6)
+                self.assertLessEqual(one.kv_cache.used, one.spec.kv + 1e-6)
         for _ in range(20_000):
             if one.idle:
                 break
             one.tick(TICK_S)
         self.assertTrue(one.idle)
-        self.assertAlmostEqual(one.memory.pinned, 0)
+        self.assertAlmostEqual(one.kv_cache.pinned, 0)
