--- a/otterreach/loadtest/trainer.py
+++ b/otterreach/loadtest/trainer.py
@@ -213,7 +213,7 @@
         self.accepts.add(took)
         context.print_line(
             f"batch job {job.id} (step {job.step}): {len(job.items)} items in {len(job.groups)} groups, "
-            f"taken after {took * 1000:.0f} ms"
+            f"accepted after {took * 1000:.0f} ms"
         )
         await self._read(job)
         await self._end_job(job)
