--- a/otterreach/simulation/planted.py
+++ b/otterreach/simulation/planted.py
@@ -1,7 +1,7 @@
-"""Planted faults: the protocols' real code with a line changed, played until a check notices.
+"""Planted faults (mutation tests): the protocols run with changed source lines until a check detects the fault.
 
-A fault is a change of the text of one function (`old` becomes `new`), so that the table shows exactly what is taken
-out, and a change of the code that the fault no longer fits is told loudly.
+A fault replaces text in the source of functions (`old` by `new`), so that the table shows exactly what is changed. An
+`old` text that no longer occurs exactly once in its function raises an error.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
     "jobs": jobs.run,
     "coordination": coordination.run,
 }
-AFTER_S = 2.0  # a plan's run goes on behind its last fault
-EXPLORE_STATES = 12000  # a search without a find ends, and another order is tried
+MARGIN_AFTER_FAULTS_S = 2.0  # time that a run continues after the end of its plan's last fault
+MAX_EXPLORED_STATES = 12000  # limit of a search, after which the next seed's order is tried
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Text of one function. `where`: module:qualified name."""
+    """A replacement in the source of one function. `where`: module:qualified name."""
 
     where: str
     old: str
@@ -42,29 +42,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Planted:
-    """A fault, and what finds it: a scenario of the explored small model, or seeds of a simulation."""
+    """A fault, and what detects it: a scenario of the explored small model, or seeds of a simulation."""
 
     name: str
     what: str
     changes: tuple[Change, ...]
     found_by: str  # a scenario of the small model, or one of RUNS
-    plan: tuple[Fault, ...] = ()  # what goes wrong meanwhile, instead of what the seed draws
-    rule: str = ""  # that it breaks
-    seed: int = 0  # known to find it
+    plan: tuple[Fault, ...] = ()  # injected faults, instead of those drawn from the seed
+    rule: str = ""  # the violated rule
+    seed: int = 0  # a seed that detects it
 
 
 @dataclass(frozen=True, slots=True)
 class Find:
-    """How a planted fault was noticed."""
+    """Result of the search for a planted fault."""
 
-    rule: str  # empty: it was not
+    rule: str  # the violated rule; empty if nothing detected the fault
     seed: int
-    seeds: int  # played
-    steps: int  # callbacks of the run that found it, or events of the search
+    seeds: int  # number of seeds tried
+    steps: int  # callbacks of the last run, or events of the search
 
 
 def _locate(where: str) -> tuple[Any, str, Any]:
-    """The module or class, the name in it, and what stands there."""
+    """Return the module or class, the attribute's name and its present value."""
     module_name, _, qualified = where.partition(":")
     owner: Any = importlib.import_module(module_name)
     *path, name = qualified.split(".")
@@ -73,19 +73,19 @@
     return owner, name, inspect.getattr_static(owner, name)
 
 
-def _function(known: Any) -> Any:
-    """The function itself, out of a property or a static method."""
-    return getattr(known, "fget", None) or getattr(known, "__func__", None) or known
+def _function(current: Any) -> Any:
+    """Return the function inside a property or a static method."""
+    return getattr(current, "fget", None) or getattr(current, "__func__", None) or current
 
 
 def changed(where: str, changes: list[Change]) -> Any:
-    """The function (or property) with the changes made. ValueError if a text isn't there exactly once."""
-    known = _locate(where)[2]
-    function = _function(known)
+    """Return the function with the changes applied. Raise ValueError if a text does not occur exactly once."""
+    current = _locate(where)[2]
+    function = _function(current)
     source = textwrap.dedent(inspect.getsource(function))
     for change in changes:
         if source.count(change.old) != 1:
-            raise ValueError(f"{where}: {change.old!r} stands there {source.count(change.old)} times")
+            raise ValueError(f"{where}: {change.old!r} occurs {source.count(change.old)} times")
         source = source.replace(change.old, change.new)
     names: dict[str, Any] = {}
     flags = __future__.annotations.compiler_flag
@@ -96,32 +96,32 @@
 
 @contextmanager
 def planted(fault: Planted) -> Iterator[None]:
-    """The fault is in force; a function is replaced in every module that has it by name."""
+    """Apply the fault; a module-level function is replaced in every module that imports it by name."""
     by_function: dict[str, list[Change]] = {}
     for change in fault.changes:
         by_function.setdefault(change.where, []).append(change)
     with ExitStack() as stack:
         for where, changes in by_function.items():
-            owner, name, known = _locate(where)
+            owner, name, current = _locate(where)
             new = changed(where, changes)
-            owners = [owner] if isinstance(owner, type) else _importers(name, known)
-            for one in owners:
-                stack.enter_context(mock.patch.object(one, name, new))
+            owners = [owner] if isinstance(owner, type) else _importers(name, current)
+            for target in owners:
+                stack.enter_context(mock.patch.object(target, name, new))
         yield
 
 
-def _importers(name: str, known: Any) -> list[Any]:
+def _importers(name: str, current: Any) -> list[Any]:
     modules = [m for key, m in list(sys.modules.items()) if key.startswith("otterreach.")]
-    return [m for m in modules if m.__dict__.get(name) is known]
+    return [m for m in modules if m.__dict__.get(name) is current]
 
 
 def find(fault: Planted, first: int, seeds: int) -> Find:
-    """Search the small model, or play seeds from `first` on, until the fault is noticed."""
+    """Search the small model, or run seeds from `first` on, until the fault is detected."""
     with planted(fault):
         steps = 0
         if fault.found_by in SCENARIOS:
             for seed in range(first, first + seeds):
-                found = explore(fault.found_by, most_states=EXPLORE_STATES, seed=seed)
+                found = explore(fault.found_by, most_states=MAX_EXPLORED_STATES, seed=seed)
                 steps += found.events
                 if found.rule:
                     return Find(found.rule, seed, seed - first + 1, steps)
@@ -135,14 +135,14 @@
 
 
 def plan_of(fault: Planted) -> Plan | None:
-    """Its own plan, without a span of calm that is checked; None: what the seed draws."""
+    """Return the fault's own plan, without a checked calm period; None if the seed draws the plan."""
     if not fault.plan:
         return None
-    return Plan(fault.plan, (), max(f.at + f.for_s for f in fault.plan) + AFTER_S)
+    return Plan(fault.plan, (), max(f.at + f.for_s for f in fault.plan) + MARGIN_AFTER_FAULTS_S)
 
 
 def passes(fault: Planted, seed: int) -> bool:
-    """Whether the code without the fault passes what found it."""
+    """Return True if the code without the fault passes the run that detected it."""
     if fault.found_by in SCENARIOS:
-        return not explore(fault.found_by, most_states=EXPLORE_STATES, seed=seed).rule
+        return not explore(fault.found_by, most_states=MAX_EXPLORED_STATES, seed=seed).rule
     return RUNS[fault.found_by](seed, plan_of(fault))[0].failure is None
--- a/otterreach/simulation/planted_controllers.py
+++ b/otterreach/simulation/planted_controllers.py
@@ -1,4 +1,4 @@
-"""Planted faults of the controllers' protocol, looked for by the search of the small model."""
+"""Planted faults of the controllers' protocol, detected by exploration of the small model."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 CONTROLLERS = (
     Planted(
         "backup-not-awaited",
-        "a change is acknowledged once it is on the primary's own disk",
+        "a change is acknowledged once it is on the primary's disk, before any backup has it",
         (
             Change(
                 f"{WRITES}._append_to_backups",
@@ -27,14 +27,14 @@
     ),
     Planted(
         "silent-backup-ignored",
-        "a change is acknowledged though a backup did not answer",
+        "a change is acknowledged although a backup has not answered",
         (Change(f"{WRITES}._append_to_backups", "if not isinstance(reply, Done):", "if False:"),),
         "write-time-out",
         rule="acknowledged is gone",
     ),
     Planted(
         "own-disk-not-awaited",
-        "a change is acknowledged before the primary's own disk has it",
+        "a change is acknowledged before it is on the primary's disk",
         (
             Change(
                 f"{WRITES}._append_to_backups",
@@ -47,7 +47,7 @@
     ),
     Planted(
         "confirm-always-yes",
-        "a primary answers reads without asking anybody whether the epoch holds",
+        "a primary answers reads without confirming its epoch with the witnesses",
         (
             Change(
                 f"{HEARTBEATS}._confirm_with_witnesses",
@@ -61,28 +61,28 @@
     ),
     Planted(
         "promise-not-synced",
-        "a witness answers a promise before its disk has it",
+        "a witness answers a prepare before its promise is on disk",
         (Change(f"{ACCEPTOR}.handle_prepare", "if not await replica.sync():", "if False:"),),
         "write-elect",
         rule="answered before it was synced",
     ),
     Planted(
         "accept-not-synced",
-        "a witness answers that it has a record before its disk has it",
+        "a witness acknowledges a configuration before it is on its disk",
         (Change(f"{ACCEPTOR}.handle_accept", "if not await replica.sync():", "if False:"),),
         "write-elect",
         rule="answered before it was synced",
     ),
     Planted(
         "append-not-synced",
-        "a backup answers before its disk has the change",
+        "a backup acknowledges a change before it is on its disk",
         (Change(f"{ACCEPTOR}.handle_append_items", "if not await replica.sync():", "if False:"),),
         "write-elect",
         rule="answered before it was synced",
     ),
     Planted(
         "backup-takes-lower-epoch",
-        "a backup that has promised a higher epoch still takes changes of the lower one",
+        "a backup that has promised a higher epoch still accepts changes of a lower one",
         (
             Change(f"{ACCEPTOR}.handle_append_items", "if request.number < replica.promised:", "if False:"),
             Change(
@@ -96,14 +96,14 @@
     ),
     Planted(
         "empty-disk-votes",
-        "a witness whose disk was emptied promises",
+        "a witness whose disk was wiped answers a prepare with a promise",
         (Change(f"{ACCEPTOR}._rejects", "not replica.accepted or ", ""),),
         "wipe-reform",
         rule="empty disk votes",
     ),
     Planted(
         "promise-forgotten",
-        "a restarted member does not read its promise from the disk",
+        "a restarted member does not load its promise from the disk",
         (Change(f"{REPLICA}._load_record", "self.promised = max(self.promised, int(payload))", "pass"),),
         "write-crash",
         rule="promise forgotten",
@@ -117,35 +117,35 @@
     ),
     Planted(
         "stands-after-a-promise",
-        "a candidate takes a number for itself that it promised to another while it asked whether it would be elected",
+        "a candidate takes a number that it promised to another candidate during its own probe",
         (Change(f"{ELECTION}._collect_promises", "if replica.promised >= number:", "if False:"),),
         "two-elections-reordered",
         rule="stands after a promise",
     ),
     Planted(
         "accept-of-lower-number",
-        "a witness takes a record lower than its promise",
+        "a witness accepts a configuration with a lower number than its promise",
         (Change(f"{ACCEPTOR}.handle_accept", "if configuration.number < replica.promised:", "if False:"),),
         "two-elections",
         rule="acts under a lower epoch",
     ),
     Planted(
         "leads-without-copy",
-        "a witness that holds no copy may stand for election",
+        "a witness without a replica of the state may stand for election",
         (Change(f"{ELECTION}.may_stand", "self.replica.id in configuration.members", "True"),),
         "write-elect",
         rule="acknowledged is gone",
     ),
     Planted(
         "state-not-installed",
-        "a new primary counts backups without giving them its state",
+        "a new primary counts backups that have not installed its state",
         (Change(f"{SNAPSHOT}.handle_commit", "replica.commit_staged(commit)", "replica.staged = None"),),
         "two-elections",
         rule="answered before it was synced",
     ),
     Planted(
         "install-not-synced",
-        "a backup to be answers before its disk has the state",
+        "a future backup acknowledges the snapshot before it is on its disk",
         (Change(f"{SNAPSHOT}.handle_commit", "Done() if await replica.sync() else", "Done() if True else"),),
         "write-elect",
         rule="answered before it was synced",
@@ -155,13 +155,13 @@
 UNNOTICED = (
     Planted(
         "former-majority-not-asked",
-        "a configuration comes into force without a majority of the former witnesses",
+        "a configuration comes into force without a majority of the previous witnesses",
         (Change(f"{ELECTION}._accept_configuration", "is_majority(accepted, base) and ", ""),),
         "wipe-reform",
     ),
     Planted(
         "snapshot-for-another-disk",
-        "a machine with another disk takes the state that was meant for the former one",
+        "a machine with a new disk accepts a snapshot that was sent to the former disk",
         (Change(f"{SNAPSHOT}._rejection", "request.target != replica.id or ", ""),),
         "wipe-reform",
     ),
@@ -173,7 +173,7 @@
     ),
     Planted(
         "backup-of-another-epoch-appends",
-        "a member takes changes of an epoch of which it is no backup",
+        "a member accepts changes of an epoch in which it is not a backup",
         (
             Change(
                 f"{ACCEPTOR}.handle_append_items",
@@ -185,13 +185,13 @@
     ),
     Planted(
         "own-promise-not-synced",
-        "a candidate asks others before its own promise is on disk",
+        "a candidate sends prepares before its own promise is on disk",
         (Change(f"{ELECTION}._collect_promises", "not await replica.sync() or ", ""),),
         "write-crash",
     ),
     Planted(
         "configuration-not-synced",
-        "a candidate proposes a configuration that is not on its own disk",
+        "a candidate proposes a configuration that is not yet on its own disk",
         (Change(f"{ELECTION}._run", "if not await replica.sync():", "if False:"),),
         "write-crash",
     ),
--- a/otterreach/simulation/planted_jobs.py
+++ b/otterreach/simulation/planted_jobs.py
@@ -1,14 +1,14 @@
-"""Planted faults of batch jobs: partitions, their copies, results and the proxies that run items."""
+"""Planted faults of batch jobs: partitions, their replicas, results and the proxies that run items."""
 
 from __future__ import annotations
 
 from otterreach.simulation.planted import Change, Planted
 from otterreach.simulation.planted_plans import (
     ALL_STORES_LOSE_POWER,
-    DEAD_THEN_WIPED,
-    PROXIES_CUT_OFF,
-    STORES_DIE,
-    STORES_UNHEARD,
+    POWER_LOSS_THEN_WIPE,
+    PROXIES_PARTITIONED,
+    STORES_LOSE_POWER,
+    STORES_PARTITIONED_ONE_WAY,
     STORES_WIPED,
 )
 
@@ -32,22 +32,22 @@
             ),
         ),
         "jobs",
-        plan=STORES_DIE,
+        plan=STORES_LOSE_POWER,
         rule="acknowledged with too few copies",
         seed=1,
     ),
     Planted(
         "result-visible-early",
-        "a primary lets readers see a result that is not yet at all copies",
+        "a primary shows readers a result that is not yet on all replicas",
         (Change(f"{REPLICA}._advance", "if not self.is_primary:", "if True:"),),
         "jobs",
-        plan=STORES_UNHEARD,
+        plan=STORES_PARTITIONED_ONE_WAY,
         rule="position is gone",
         seed=35,
     ),
     Planted(
         "jobs-append-not-synced",
-        "a backup tells where its copy stands before that is on disk",
+        "a backup reports its replica's position before the entries up to it are on disk",
         (Change(f"{BACKUP}._position_on_disk", "if not await self.context.disk.sync():", "if False:"),),
         "jobs",
         plan=ALL_STORES_LOSE_POWER,
@@ -56,7 +56,7 @@
     ),
     Planted(
         "part-of-a-snapshot-counts",
-        "the first piece of a whole copy is taken for all of it",
+        "the first chunk of a snapshot is installed as the complete one",
         (
             Change(f"{BACKUP}.handle_install", "if request.last:", "if True:"),
             Change("otterreach.jobstore.installation:chunks_of", "> CHUNK_BYTES", "> 1"),
@@ -68,25 +68,25 @@
     ),
     Planted(
         "item-sent-without-a-look",
-        "a proxy sends items without knowing of late that their batch job goes on",
+        "a proxy sends items without a recent confirmation that their batch job is still open",
         (Change(f"{DIRECTORY}.is_confirmed_recently", "self.loop.time() - owner.as_of < self.lease_s", "True"),),
         "jobs",
-        plan=PROXIES_CUT_OFF,
+        plan=PROXIES_PARTITIONED,
         rule="runs what was ended",
         seed=2,
     ),
     Planted(
         "dead-backup-dropped-at-once",
-        "a member that is lost leaves the record before another has all that it had",
+        "a dead member leaves the record before another replica has all its entries",
         (Change(f"{PLANNER}:_repair", "if member != primary]", "if member != primary and member in stores.domains]"),),
         "jobs",
-        plan=DEAD_THEN_WIPED,
+        plan=POWER_LOSS_THEN_WIPE,
         rule="in time",
         seed=1,
     ),
     Planted(
         "copy-emptied-at-a-new-epoch",
-        "a member begins each epoch with an empty copy",
+        "a member starts each epoch with an empty replica",
         (
             Change(
                 "otterreach.jobstore.replication:Replication._enter_epoch",
@@ -95,16 +95,16 @@
             ),
         ),
         "jobs",
-        plan=STORES_DIE,
+        plan=STORES_LOSE_POWER,
         rule="taken is gone",
         seed=1,
     ),
     Planted(
         "end-not-told-to-proxies",
-        "proxies that missed the message of a DELETE are not told of it with their next ping",
+        "proxies that missed the message about a DELETE are not notified in answer to their next ping",
         (Change(f"{ITEM_REQUESTS}.handle_ping", "[job for job in ping.jobs if self._has_ended(job)]", "[]"),),
         "jobs",
-        plan=PROXIES_CUT_OFF,
+        plan=PROXIES_PARTITIONED,
         rule="runs what was ended",
         seed=2,
     ),
@@ -113,7 +113,7 @@
 UNNOTICED = (
     Planted(
         "learner-in-sync-not-awaited",
-        "writes do not wait for a learner that the controller may make a member at any time",
+        "writes do not wait for an in-sync learner, which the controller may make a member at any time",
         (
             Change(
                 f"{LEADER}.required",
@@ -125,7 +125,7 @@
     ),
     Planted(
         "jobs-backup-takes-lower-epoch",
-        "a copy takes records of an epoch lower than its own",
+        "a replica accepts entries of a lower epoch than its own",
         (
             Change(f"{BACKUP}._admit", "if epoch < replica.epoch:", "if False:"),
             Change(f"{BACKUP}._position_on_disk", "if replica.epoch != epoch:", "if False:"),
@@ -134,7 +134,7 @@
     ),
     Planted(
         "jobs-read-without-contact",
-        "a primary answers reads without having heard from its backups of late",
+        "a primary answers reads without recent contact with its backups",
         (
             Change(
                 f"{LEADER}.is_confirmed",
@@ -146,7 +146,7 @@
     ),
     Planted(
         "end-at-the-primary-only",
-        "DELETE is acknowledged before all copies have it",
+        "a DELETE is acknowledged before it is on all replicas",
         (
             Change(
                 f"{JOB_REQUESTS}.handle_end",
@@ -158,13 +158,13 @@
     ),
     Planted(
         "refusal-of-what-may-be-taken",
-        "a submission without a clear answer is told as refused",
+        "a submission with an unknown outcome is reported as refused",
         (Change(f"{DIRECTORY}.ask", "unclear = reply if reply.maybe_done else unclear", "unclear = None"),),
         "jobs",
     ),
     Planted(
         "position-given-twice",
-        "an item that is listed already is listed once more",
+        "an item that is already listed is listed again",
         (
             Change("otterreach.jobstore.job_table:JobTable._list_result", " or item.state is ItemState.LISTED", ""),
             Change(f"{ITEM_REQUESTS}._closed_failure", "listed = item.state is ItemState.LISTED", "listed = False"),
@@ -173,7 +173,7 @@
     ),
     Planted(
         "learner-becomes-primary",
-        "a partition's next primary may be one without a whole copy",
+        "a member without a complete replica may become the partition's next primary",
         (
             Change(
                 f"{PLANNER}:_repair",
@@ -185,19 +185,19 @@
     ),
     Planted(
         "torn-record-taken",
-        "a record of the journal whose checksum is wrong is read",
+        "a journal record with a wrong checksum is loaded",
         (Change("otterreach.runtime.journal_format:_read_record", "!= crc:", "is None:"),),
         "jobs",
     ),
     Planted(
         "epoch-of-a-partition-forgotten",
-        "a copy's epoch is not written to its journal",
+        "a replica's epoch is not written to its journal",
         (Change(f"{REPLICA}.promise", "self._record_epoch()", "pass"),),
         "jobs",
     ),
     Planted(
         "other-history-extended",
-        "a backup appends to a copy that is as long as the primary's, but holds other records",
+        "a backup appends to a replica that has the length of the primary's but holds other entries",
         (
             Change(
                 f"{BACKUP}.handle_append",
--- a/otterreach/simulation/planted_keys.py
+++ b/otterreach/simulation/planted_keys.py
@@ -1,4 +1,4 @@
-"""Planted faults of keys and watches, looked for by the simulation of coordination."""
+"""Planted faults of keys and watches, detected by the simulation of coordination."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from otterreach.simulation.planted import Change, Planted
 from otterreach.simulation.planted_plans import (
     CORE_DISKS_STALL,
-    NOTHING_FOR_A_WHILE,
-    PRIMARIES_CUT_OFF,
+    NO_FAULTS_FOR_45_S,
     PRIMARIES_FREEZE,
     PRIMARIES_FREEZE_BRIEFLY,
     PRIMARIES_FREEZE_IN_A_WRITE,
     PRIMARIES_KILLED,
     PRIMARIES_LOSE_POWER_IN_A_WRITE,
+    PRIMARIES_PARTITIONED,
 )
 
 KEY_RESOURCE = "otterreach.controller.api.keys:KeyResource"
@@ -43,7 +43,7 @@
     ),
     Planted(
         "unavailable-after-accept",
-        "a write without a clear end is answered 503",
+        "a write with an unknown outcome is answered 503",
         (Change(f"{ANSWERS}:after_write", "else OUTCOME_UNKNOWN", "else UNAVAILABLE"),),
         COORDINATION,
         plan=PRIMARIES_FREEZE_IN_A_WRITE,
@@ -52,7 +52,7 @@
     ),
     Planted(
         "late-answer-is-unavailable",
-        "a call that takes too long is answered 503, though it goes on",
+        "a call that times out is answered 503 although it is still in progress",
         (Change(f"{ROUTER}._decide", "OUTCOME_UNKNOWN if changes_coordination(call) else UNAVAILABLE", "UNAVAILABLE"),),
         COORDINATION,
         plan=CORE_DISKS_STALL,
@@ -76,7 +76,7 @@
     ),
     Planted(
         "key-read-without-contact",
-        "a read is answered without asking whether the epoch holds, or whether the value is at all replicas",
+        "a read is answered without confirming the epoch and without waiting until the value is on all replicas",
         (
             Change(
                 f"{KEY_RESOURCE}._read",
@@ -91,16 +91,16 @@
     ),
     Planted(
         "conflict-on-uncommitted-state",
-        "a 412 names a revision that is not yet at all replicas, and may vanish",
+        "a 412 names a revision that is not yet on all replicas and may be lost",
         (Change(f"{KEY_RESOURCE}._put", "return await after_commit(self.control, conflict)", "return conflict"),),
         COORDINATION,
-        plan=PRIMARIES_CUT_OFF,
+        plan=PRIMARIES_PARTITIONED,
         rule=Rule.STALE.value,
         seed=7,
     ),
     Planted(
         "repeat-forgotten",
-        "a put that arrives again is not recognised once another came",
+        "a repeated put is not recognized once another put has followed",
         (Change(f"{KEYSPACE}:put", "if earlier is not None:", "if False:"),),
         COORDINATION,
         rule=Rule.REFUSED.value,
@@ -108,7 +108,7 @@
     ),
     Planted(
         "repeat-not-recognised-at-all",
-        "a put that arrives again is a new put",
+        "a repeated put is executed as a new one",
         (
             Change(f"{KEYSPACE}:put", "if earlier is not None:", "if False:"),
             Change(f"{KEYSPACE}:put", "if entry is not None and", "if False and"),
@@ -119,7 +119,7 @@
     ),
     Planted(
         "expectation-not-compared",
-        "a put is taken whatever revision it expects",
+        "a put is accepted whatever revision it expects",
         (Change(f"{KEYSPACE}:put", "call.expected is not None and call.expected != current", "False"),),
         COORDINATION,
         rule=Rule.ORDER.value,
@@ -127,7 +127,7 @@
     ),
     Planted(
         "revision-of-the-key",
-        "a put gets the revision after that of its key, not after that of its group",
+        "a put gets the revision after that of its key instead of that of its group",
         (Change(f"{KEYSPACE}:put", "history.revision + 1", "current + 1"),),
         COORDINATION,
         rule=Rule.ORDER.value,
@@ -135,7 +135,7 @@
     ),
     Planted(
         "history-not-loaded",
-        "a new primary begins with empty histories",
+        "a new primary starts with empty histories",
         (Change(f"{HISTORIES}.__init__", "self._store(name, record)", "pass"),),
         COORDINATION,
         plan=PRIMARIES_KILLED,
@@ -147,7 +147,7 @@
 WATCH_FAULTS = (
     Planted(
         "history-cut-by-count",
-        "a group keeps its last ten puts, however young they are",
+        "a group keeps its last ten puts, regardless of their age",
         (Change(f"{KEY_RESOURCE}._slot_for", "self.receipts.age_s(oldest) >= self.retention_s", "len(history) >= 10"),),
         COORDINATION,
         rule=Rule.LOST.value,
@@ -155,7 +155,7 @@
     ),
     Planted(
         "gap-in-place-of-410",
-        "a watch from a revision that is not kept any more gets the events that are",
+        "a watch from a revision that is no longer kept gets only the events that remain, instead of a 410",
         (
             Change(
                 f"{KEY_RESOURCE}._slot_for", "self.receipts.age_s(oldest) >= self.retention_s", "len(history) >= 10"
@@ -168,7 +168,7 @@
     ),
     Planted(
         "watch-skips-an-event",
-        "a watch that would tell of several puts leaves the last one out",
+        "an answer to a watch with several puts omits the last one",
         (
             Change(
                 f"{HISTORY}.between",
@@ -182,7 +182,7 @@
     ),
     Planted(
         "watch-of-uncommitted-puts",
-        "watches are told of a put as soon as the primary has it",
+        "watches are notified of a put as soon as the primary has it",
         (
             Change(
                 "otterreach.controller.node:ControllerNode.__init__",
@@ -191,13 +191,13 @@
             ),
         ),
         COORDINATION,
-        plan=PRIMARIES_CUT_OFF,
+        plan=PRIMARIES_PARTITIONED,
         rule=Rule.ORDER.value,
         seed=7,
     ),
     Planted(
         "present-revision-without-contact",
-        "a watch is let in without asking whether the epoch holds",
+        "a watch is accepted without confirming the epoch",
         (Change(f"{WATCH_RESOURCE}._watch", "not await self.control.confirm()", "False"),),
         COORDINATION,
         plan=PRIMARIES_FREEZE,
@@ -206,7 +206,7 @@
     ),
     Planted(
         "watch-not-woken",
-        "a watch that waits is not woken by a put",
+        "a pending watch is not woken by a put",
         (
             Change(
                 f"{WATCH_HUB}.items_committed",
@@ -215,7 +215,7 @@
             ),
         ),
         COORDINATION,
-        plan=NOTHING_FOR_A_WHILE,
+        plan=NO_FAULTS_FOR_45_S,
         rule=Rule.PROMPT.value,
         seed=1,
     ),
@@ -224,7 +224,7 @@
 UNNOTICED = (
     Planted(
         "commit-not-awaited",
-        "reads, conflicts and repeats are answered though what they rest on is not yet at all replicas",
+        "reads, conflicts and repeated calls are answered from state that is not yet on all replicas",
         (
             Change(
                 "otterreach.controller.writes:WritePipeline.committed",
@@ -242,7 +242,7 @@
     ),
     Planted(
         "empty-watch-of-an-old-primary",
-        "a watch whose time is over is answered without asking whether the epoch holds",
+        "a watch that times out is answered without confirming the epoch",
         (Change(f"{WATCH_RESOURCE}._after_wait", "not await self.control.confirm()", "False"),),
         COORDINATION,
         plan=PRIMARIES_FREEZE_BRIEFLY,
--- a/otterreach/simulation/planted_locks.py
+++ b/otterreach/simulation/planted_locks.py
@@ -1,4 +1,4 @@
-"""Planted faults of locks and numbers, looked for by the simulation of coordination."""
+"""Planted faults of locks and numbers, detected by the simulation of coordination."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from otterreach.simulation.planted import Change, Planted
 from otterreach.simulation.planted_plans import (
     ALL_CORES_LOSE_POWER_OFTEN,
-    NOTHING_FOR_A_WHILE,
+    NO_FAULTS_FOR_45_S,
     PRIMARIES_KILLED,
     PRIMARIES_LOSE_POWER_IN_A_WRITE,
 )
@@ -20,7 +20,7 @@
 LOCK_FAULTS = (
     Planted(
         "hold-ends-before-its-time",
-        "a hold ends when three quarters of its time have passed since the receipt",
+        "a hold expires after three quarters of its duration",
         (Change(f"{LOCKS}:is_expired", "hold.hold_ms / 1000", "hold.hold_ms * 0.75 / 1000"),),
         COORDINATION,
         rule=Rule.ONE.value,
@@ -28,7 +28,7 @@
     ),
     Planted(
         "renewal-does-not-move-the-receipt",
-        "a hold counts from the receipt of its first call, however often it was renewed",
+        "a hold's duration counts from the receipt of its first call, despite renewals",
         (Change(f"{RECEIPTS}._observe", "known is not None and known[0] == item.revision", "known is not None"),),
         COORDINATION,
         rule=Rule.ONE.value,
@@ -36,7 +36,7 @@
     ),
     Planted(
         "loaded-hold-begins-expired",
-        "what was loaded from the journal counts as received long ago",
+        "items loaded from the journal count as received long ago, so that their holds have expired",
         (
             Change("otterreach.controller.local_replica:LocalReplica.load", "self._notify_items", "len"),
             Change(f"{RECEIPTS}.age_s", "self._observe(item)", "self._received.get(item.key, (0, -1e9))[1]"),
@@ -48,7 +48,7 @@
     ),
     Planted(
         "fence-of-the-present-hold",
-        "a token is counted from the present hold: once that is released, tokens begin anew",
+        "the next token is derived from the present hold, so that tokens start again after a release",
         (
             Change(
                 f"{LOCK_RESOURCE}._acquire",
@@ -62,7 +62,7 @@
     ),
     Planted(
         "fence-not-written",
-        "the last token is not written",
+        "the last token is not stored",
         (Change(f"{LOCK_RESOURCE}._acquire", ", put(FenceRecord(fence))]", "]"),),
         COORDINATION,
         rule=Rule.ONE.value,
@@ -70,7 +70,7 @@
     ),
     Planted(
         "fence-reused-for-the-same-owner",
-        "an owner that asks again gets a new token, while the hold keeps the old one",
+        "an owner that acquires again gets a new token, but the hold keeps the old one",
         (Change(f"{LOCKS}:acquire", "replace(hold, fence=fence, ", "replace(hold, "),),
         COORDINATION,
         rule=Rule.PROTOCOL.value,
@@ -78,7 +78,7 @@
     ),
     Planted(
         "release-of-any-fence",
-        "a release of an earlier hold ends a later one of the same owner",
+        "a release of an earlier hold ends a later hold of the same owner",
         (
             Change(
                 f"{LOCKS}:release_ends_hold",
@@ -87,13 +87,13 @@
             ),
         ),
         COORDINATION,
-        plan=NOTHING_FOR_A_WHILE,
+        plan=NO_FAULTS_FOR_45_S,
         rule=Rule.ONE.value,
         seed=8,
     ),
     Planted(
         "release-by-anyone",
-        "a release ends whatever hold there is",
+        "a release ends the hold of any owner",
         (Change(f"{LOCKS}:release_ends_hold", " and (hold.owner, hold.fence) == (call.owner, call.fence)", ""),),
         COORDINATION,
         rule=Rule.ONE.value,
@@ -101,7 +101,7 @@
     ),
     Planted(
         "lost-hold-renewed",
-        "a renewal is accepted though another owner has the lock",
+        "a renewal succeeds although another owner has the lock",
         (
             Change(f"{LOCKS}:renew", "hold.owner != call.owner or ", ""),
             Change(f"{LOCKS}:renew", "not hold.first_fence <= call.fence <= hold.fence", "call.fence > hold.fence"),
@@ -112,7 +112,7 @@
     ),
     Planted(
         "held-lock-given",
-        "a lock goes to whoever asks once it was renewed",
+        "an acquisition is granted although another owner holds the lock",
         (Change(f"{LOCKS}:acquire", "hold.owner != call.owner", "hold.fence == hold.first_fence and False"),),
         COORDINATION,
         rule=Rule.ONE.value,
@@ -123,7 +123,7 @@
 NUMBER_FAULTS = (
     Planted(
         "number-not-awaited",
-        "a number is given before any replica has it",
+        "a number is returned before any replica has it",
         (
             Change(
                 f"{NUMBER_RESOURCE}._next",
@@ -138,7 +138,7 @@
     ),
     Planted(
         "number-from-memory",
-        "a primary gives numbers on from its memory, and writes every hundredth",
+        "a primary allocates numbers from memory and stores only every hundredth",
         (
             Change(
                 f"{NUMBER_RESOURCE}._next",
@@ -158,7 +158,7 @@
 UNNOTICED = (
     Planted(
         "release-not-written",
-        "a release is answered, and the hold goes on",
+        "a release is acknowledged, but the hold continues",
         (
             Change(
                 f"{LOCK_RESOURCE}._release",
@@ -167,6 +167,6 @@
             ),
         ),
         COORDINATION,
-        plan=NOTHING_FOR_A_WHILE,
+        plan=NO_FAULTS_FOR_45_S,
     ),
 )
--- a/otterreach/simulation/planted_operations.py
+++ b/otterreach/simulation/planted_operations.py
@@ -1,4 +1,4 @@
-"""Planted faults of what controllers answer to operators and servers, of copies of the control state and of duties."""
+"""Planted faults of the API for operators and servers, the replicas of the control state and the singleton roles."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from otterreach.simulation.planted_plans import (
     ALL_CORES_LOSE_POWER,
     CORES_KILLED,
-    CORES_UNHEARD,
-    FRONTS_CUT_OFF,
-    FRONTS_DIE,
+    CORES_PARTITIONED_ONE_WAY,
+    FRONTS_LOSE_POWER,
+    FRONTS_PARTITIONED,
     SLOW_LINKS,
 )
 
@@ -18,7 +18,7 @@
 OPERATIONS = (
     Planted(
         "disk-syncs-nothing",
-        "a sync answers before anything lasts",
+        "a sync reports success before the data is durable",
         (
             Change(
                 "otterreach.simulation.disk:VirtualJournal._write",
@@ -33,34 +33,34 @@
     ),
     Planted(
         "lease-not-checked",
-        "a holder of a duty orders whatever the age of what it knows",
+        "the holder of a singleton role sends orders whatever the age of its state",
         (Change(f"{ORDERS}:WeightOrders.fence", " and self.node.follower.age_s() < LEASE_S", ""),),
         "control",
-        plan=FRONTS_CUT_OFF,
+        plan=FRONTS_PARTITIONED,
         rule="fences rise",
         seed=11,
     ),
     Planted(
         "lease-not-waited-out",
-        "the next holder of a duty orders at once",
+        "the next holder of a singleton role sends orders without waiting for the lease to expire",
         (Change(f"{ORDERS}:takeover_wait_s", "return LEASE_S + lease_s + MARGIN_S", "return 0.0"),),
         "control",
-        plan=FRONTS_DIE,
+        plan=FRONTS_LOSE_POWER,
         rule="holders take turns",
         seed=6,
     ),
     Planted(
         "fence-does-not-rise",
-        "orders of all holders carry the same fence",
+        "the orders of all holders carry the same fencing token",
         (Change(f"{ORDERS}:WeightOrders.fence", "return revision if", "return 1 if"),),
         "control",
-        plan=FRONTS_DIE,
+        plan=FRONTS_LOSE_POWER,
         rule="one holder",
         seed=2,
     ),
     Planted(
         "acknowledged-without-copies",
-        "an operator's change is acknowledged though the copies did not take it",
+        "an operator's change is acknowledged although the replicas did not accept it",
         (Change(f"{CONFIG}._accept", "return UNAVAILABLE", "pass"),),
         "control",
         plan=SLOW_LINKS,
@@ -69,7 +69,7 @@
     ),
     Planted(
         "base-not-compared",
-        "a change is taken whatever version it was made on",
+        "a change is accepted whatever version it is based on",
         (Change("otterreach.controller.config:_check_order", "if if_match != version:", "if False:"),),
         "control",
         plan=CORES_KILLED,
@@ -81,7 +81,7 @@
 UNNOTICED = (
     Planted(
         "older-item-wins",
-        "a copy of the control state takes an older item",
+        "a replica of the control state accepts an older item",
         (
             Change(
                 "otterreach.runtime.store:ReplicatedStore._apply_item",
@@ -90,13 +90,13 @@
             ),
         ),
         "control",
-        plan=CORES_UNHEARD,
+        plan=CORES_PARTITIONED_ONE_WAY,
         rule="copy goes back",
         seed=8,
     ),
     Planted(
         "change-forgotten",
-        "a change that was taken is not remembered for when it is sent again",
+        "an accepted change is not remembered, so that its repetition is not recognized",
         (
             Change(
                 "otterreach.controller.change_history:ChangeHistory.has",
@@ -108,13 +108,13 @@
     ),
     Planted(
         "refused-on-uncommitted-state",
-        "a change is refused because of another that is not at all copies, and may vanish",
+        "a change is rejected because of another that is not yet on all replicas and may be lost",
         (Change(f"{CONFIG}._change", "await when_committed(self.control, rejection(result))", "rejection(result)"),),
         "control",
     ),
     Planted(
         "gone-server-comes-back",
-        "a late call of a server that is gone brings it back",
+        "a late call of a removed server registers it again",
         (
             Change(
                 "otterreach.controller.api.servers:ServerResource._register",
--- a/otterreach/simulation/planted_table.py
+++ b/otterreach/simulation/planted_table.py
@@ -5,7 +5,7 @@
 from otterreach.simulation import planted_controllers, planted_jobs, planted_keys, planted_locks, planted_operations
 from otterreach.simulation.planted import Planted
 
-# Each is found by its entry's scenario or seed.
+# Each is detected by its entry's scenario or seed.
 TABLE: tuple[Planted, ...] = (
     *planted_controllers.CONTROLLERS,
     *planted_operations.OPERATIONS,
@@ -16,8 +16,7 @@
     *planted_keys.WATCH_FAULTS,
 )
 
-# Tried, and noticed by nothing yet: either another line of the code stands in for the one that is taken out, or no
-# check and no plan of faults reaches it.
+# Not detected so far: either other code makes up for the changed line, or no check and no plan of faults reaches it.
 UNNOTICED: tuple[Planted, ...] = (
     *planted_controllers.UNNOTICED,
     *planted_operations.UNNOTICED,
