--- a/otterreach/client/__init__.py
+++ b/otterreach/client/__init__.py
@@ -1,4 +1,4 @@
-"""An asyncio client of the coordination service: locks, elections, numbers, small keys and watches."""
+"""Asyncio client for the coordination service: locks, elections, sequence numbers, small keys and watches."""
 
 from otterreach.client.cells import ABSENT_REVISION, Cell, Cells
 from otterreach.client.client import CoordinationClient
--- a/otterreach/client/client.py
+++ b/otterreach/client/client.py
@@ -1,4 +1,4 @@
-"""The client as an application uses it."""
+"""Entry point of the client for applications."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class CoordinationClient:
-    """Locks, numbers, cells and watches over one set of connections. Use as an asynchronous context manager.
+    """Locks, numbers, cells and watches that share one set of connections; an asynchronous context manager.
 
-    :param addresses: `ctl` addresses of controllers, host:port; any of them takes any call
-    :param owner: the name of this application's holds; no other process may use it
+    :param addresses: `ctl` addresses of controllers, host:port; each of them accepts every call
+    :param owner: the name under which this application holds locks; must be unique to this process
     """
 
     def __init__(self, addresses: Sequence[str], owner: str, random: Random | None = None) -> None:
@@ -36,5 +36,5 @@
         self.close()
 
     def close(self) -> None:
-        """Close the connections that are kept."""
+        """Close the pooled connections."""
         self._transport.close()
--- a/otterreach/client/errors.py
+++ b/otterreach/client/errors.py
@@ -1,22 +1,22 @@
-"""What a coordination call raises."""
+"""Exceptions raised by calls of the coordination service."""
 
 from __future__ import annotations
 
 
 class CoordinationError(Exception):
-    """Any failure of a call."""
+    """Base class of all failures of a call."""
 
 
 class UnavailableError(CoordinationError):
-    """No address took the call in time. It has not been done and never will be."""
+    """No address accepted the call in time. The call was not executed and never will be."""
 
 
 class OutcomeUnknownError(CoordinationError):
-    """No clear answer came in time. The call may have been done, or may be done later."""
+    """No conclusive answer arrived in time. The call may have been executed, or may still be executed later."""
 
 
 class RequestRejectedError(CoordinationError):
-    """The service does not accept the call as it stands. Nothing was done."""
+    """The service rejected the call as invalid. Nothing was executed."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(f"{status}: {reason}")
@@ -25,11 +25,11 @@
 
 
 class LockHeldError(CoordinationError):
-    """Another holder had the lock for the whole time that the caller was ready to wait."""
+    """Another owner held the lock until the wait time of the caller was over."""
 
 
 class LeaseLostError(CoordinationError):
-    """The lock is not held any more, or can't be held for long enough to go on."""
+    """The lease has expired or was lost, or too little of it remains to continue."""
 
 
 class RevisionConflictError(CoordinationError):
--- a/otterreach/client/numbers.py
+++ b/otterreach/client/numbers.py
@@ -1,4 +1,4 @@
-"""Numbers that never repeat."""
+"""Unique sequence numbers."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class Numbers:
-    """Rising numbers, one sequence for each name."""
+    """Increasing sequence numbers, one sequence per name."""
 
     def __init__(self, transport: Transport) -> None:
         self._transport = transport
 
     async def next(self, name: str, within_s: float = DEFAULT_WITHIN_S) -> int:
-        """A number above every one given before under this name. Numbers may be skipped.
+        """Return a number greater than all numbers returned before under this name. Numbers may be skipped.
 
-        A call without a clear answer is repeated: that can only skip a number. Raises UnavailableError,
+        A call whose outcome is unknown is retried, which at worst skips a number. Raises UnavailableError,
         OutcomeUnknownError or RequestRejectedError.
         """
         call = Call.to("numbers", name, "POST", EMPTY)
         answer = await self._transport.call(call, self._transport.now() + within_s)
         if answer.status != HTTPStatus.OK:
-            raise RequestRejectedError(answer.status, f"no number of {name}")
+            raise RequestRejectedError(answer.status, f"next number of {name} rejected")
         return answer.integer("value")
--- a/otterreach/client/watches.py
+++ b/otterreach/client/watches.py
@@ -1,4 +1,4 @@
-"""Watches: every put in a group of keys, in order, resumed across failures from the last revision seen."""
+"""Watches: report all puts in a group of keys in order, and resume after failures from the last reported revision."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from otterreach.client.errors import OutcomeUnknownError, RequestRejectedError, UnavailableError
 from otterreach.client.transport import Answer, Backoff, Call, Transport
 
-WAIT_S = 2.0  # one call waits at the service for so long
-ATTEMPTS_S = 10.0  # one round of attempts, before a pause
-EMPTY_GROUP_PAUSE_S = 0.5  # between two questions whether a group has its first put
+LONG_POLL_S = 2.0  # how long the service holds one call
+CALL_TIMEOUT_S = 10.0  # time-out of one call with its retries, before a backoff
+EMPTY_GROUP_POLL_S = 0.5  # interval of polling for the first put of a group
 MS_PER_S = 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Restarted:
-    """A watch begins anew: the keys as they were read, at `revision` or later.
+    """A (re)start of the watch: the values of the keys, read at `revision` or later.
 
-    Puts up to `revision` that were not reported before will not be. Those after it follow; one that a read already
-    shows is reported once more, which its revision tells.
+    Puts up to `revision` that were not reported before will not be reported. Later puts follow; one that the read
+    already includes is reported again, and can be recognized by its revision.
     """
 
     revision: int
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changed:
-    """All puts in the group after the former report and up to `revision`, in the order of their revisions."""
+    """All puts in the group after the previous report and up to `revision`, in order of their revisions."""
 
     revision: int
     cells: tuple[Cell, ...]
@@ -48,35 +48,35 @@
         self._cells = cells
 
     async def watch(self, group: str, keys: Sequence[str] = (), past: int = 0) -> AsyncIterator[Report]:
-        """Reports, for ever. The first one is Restarted unless the service still has all puts after `past`.
+        """Yield reports indefinitely. The first one is Restarted unless the service still has all puts after `past`.
 
-        Failures are retried with a growing pause; RequestRejectedError is raised.
+        Failures are retried with backoff, except RequestRejectedError, which is raised.
 
-        :param group: the beginning of the keys' names, with its dot
-        :param keys: the keys to read when the watch begins anew
-        :param past: the revision of the last report of an earlier watch; 0 for a new one
+        :param group: the common prefix of the keys' names, including the dot
+        :param keys: the keys to read when the watch (re)starts
+        :param past: the revision of the last report of an earlier watch; 0 for a new watch
         """
         if past == ABSENT_REVISION:
             restarted = await self._restart(group, keys)
             past = restarted.revision
             yield restarted
         while True:
-            answer = await self._ask(group, past, WAIT_S)
+            answer = await self._query(group, past, LONG_POLL_S)
             report: Report
             if answer.status == HTTPStatus.GONE:
                 report = await self._restart(group, keys)
             else:
-                report = _changed(answer, past)
+                report = _changed_from(answer, past)
             if isinstance(report, Restarted) or report.cells:
                 yield report
             past = report.revision
 
     async def _restart(self, group: str, keys: Sequence[str]) -> Restarted:
-        """Take the present revision first, then read: no put after the revision can be missed."""
-        revision = (await self._ask(group, ABSENT_REVISION, 0.0)).integer("rev")
-        while revision == ABSENT_REVISION:  # a watch can't wait for the first put: 0 asks for the revision alone
-            await asyncio.sleep(EMPTY_GROUP_PAUSE_S)
-            revision = (await self._ask(group, ABSENT_REVISION, 0.0)).integer("rev")
+        """Return the values of the keys. The revision is fetched before the values, so no later put is missed."""
+        revision = (await self._query(group, ABSENT_REVISION, 0.0)).integer("rev")
+        while revision == ABSENT_REVISION:  # the first put can't be waited for: past=0 returns the revision at once
+            await asyncio.sleep(EMPTY_GROUP_POLL_S)
+            revision = (await self._query(group, ABSENT_REVISION, 0.0)).integer("rev")
         cells = [cell for key in keys if (cell := await self._read(key)) is not None]
         return Restarted(revision, tuple(cells))
 
@@ -88,34 +88,34 @@
             except (UnavailableError, OutcomeUnknownError):
                 await asyncio.sleep(backoff.next_s())
 
-    async def _ask(self, group: str, past: int, wait_s: float) -> Answer:
-        """A clear answer, however long that takes."""
+    async def _query(self, group: str, past: int, wait_s: float) -> Answer:
+        """Return a conclusive answer; retry until there is one."""
         named = Call.to("watch", group, "GET")
         query = f"?past={past}&waitMs={round(wait_s * MS_PER_S)}"
         call = replace(named, path=named.path + query, wait_s=wait_s)
         backoff = Backoff(self._transport.random)
         while True:
             try:
-                answer = await self._transport.call(call, self._transport.now() + ATTEMPTS_S)
+                answer = await self._transport.call(call, self._transport.now() + CALL_TIMEOUT_S)
             except (UnavailableError, OutcomeUnknownError):
                 await asyncio.sleep(backoff.next_s())
                 continue
             if answer.status not in (HTTPStatus.OK, HTTPStatus.GONE):
-                raise RequestRejectedError(answer.status, f"no watch of {group}")
+                raise RequestRejectedError(answer.status, f"watch of {group} rejected")
             return answer
 
 
-def _changed(answer: Answer, past: int) -> Changed:
-    """The puts of an answer; those that the revision shows to be old are left out."""
+def _changed_from(answer: Answer, past: int) -> Changed:
+    """Return the puts in an answer, without those at or below revision `past`."""
     rows = answer.document.get("events")
-    cells = [_cell(row) for row in rows] if isinstance(rows, list) else []
+    cells = [_cell_from(row) for row in rows] if isinstance(rows, list) else []
     return Changed(max(past, answer.integer("rev")), tuple(cell for cell in cells if cell.revision > past))
 
 
-def _cell(row: object) -> Cell:
+def _cell_from(row: object) -> Cell:
     if not isinstance(row, dict):
-        raise OutcomeUnknownError("an event that is no object")
+        raise OutcomeUnknownError(f"event is not an object: {row!r}")
     name, value, revision = row.get("name"), row.get("value"), row.get("rev")
     if not isinstance(name, str) or not isinstance(value, str) or not isinstance(revision, int):
-        raise OutcomeUnknownError("an event that can't be read")
+        raise OutcomeUnknownError(f"event needs name (string), value (string) and rev (integer): {row!r}")
     return Cell(name, value, revision)
--- a/tests/client/test_locks.py
+++ b/tests/client/test_locks.py
@@ -10,7 +10,7 @@
 import pytest
 
 from otterreach.client import CoordinationClient, Lease, LeaseLostError, LockHeldError, OutcomeUnknownError
-from otterreach.client.lease import margin_of
+from otterreach.client.lease import safety_margin_s
 from otterreach.client.transport import Answer
 from tests.client.fake_service import ADDRESSES, ANSWER_LOST, SILENT, FakeService, Fault, Hold, play
 
@@ -40,7 +40,7 @@
         async with client.locks.hold("l1", HOLD_S) as lease:
             sent_at = service.calls[-1].at
             assert sent_at - 0.1 < service.loop.time() - 0.8
-            assert lease.remaining_s <= sent_at + HOLD_S - margin_of(HOLD_S) - service.loop.time()
+            assert lease.remaining_s <= sent_at + HOLD_S - safety_margin_s(HOLD_S) - service.loop.time()
 
     play(body)
 
@@ -107,8 +107,8 @@
             free_at = service.holds["l1"].ends_at
             service.faults.extend([SILENT] * 20)
             await lease.lost.wait()
-            assert service.loop.time() <= free_at - margin_of(HOLD_S) + 0.01
-            assert service.loop.time() > free_at - 3 * margin_of(HOLD_S)
+            assert service.loop.time() <= free_at - safety_margin_s(HOLD_S) + 0.01
+            assert service.loop.time() > free_at - 3 * safety_margin_s(HOLD_S)
             service.faults.clear()
 
     play(body)
@@ -162,7 +162,7 @@
             await lease.renew()
             sent_at = service.calls[-1].at
             await lease.lost.wait()
-            assert sent_at + HOLD_S / 2 < service.loop.time() <= sent_at + HOLD_S - margin_of(HOLD_S)
+            assert sent_at + HOLD_S / 2 < service.loop.time() <= sent_at + HOLD_S - safety_margin_s(HOLD_S)
             service.faults.clear()
 
     play(body)
--- a/tests/client/test_watches.py
+++ b/tests/client/test_watches.py
@@ -6,7 +6,7 @@
 from collections.abc import AsyncIterator
 
 from otterreach.client import Cell, Changed, CoordinationClient, Restarted
-from otterreach.client.watches import WAIT_S, Report
+from otterreach.client.watches import LONG_POLL_S, Report
 from tests.client.fake_service import ANSWER_LOST, SILENT, FakeService, Fault, play
 
 
@@ -35,7 +35,7 @@
         begun = service.loop.time()
         assert await next_report(reports) == Changed(2, (Cell("g1.a", "v2", 2),))
         assert service.loop.time() - begun < 5.6
-        assert len(service.calls) == 1 + 5.5 // WAIT_S, "it waits at the service and doesn't poll"
+        assert len(service.calls) == 1 + 5.5 // LONG_POLL_S, "it waits at the service and doesn't poll"
 
     play(body)
 
