--- a/otterreach/client/cells.py
+++ b/otterreach/client/cells.py
@@ -36,7 +36,7 @@
         if answer.status == HTTPStatus.NOT_FOUND:
             return None
         if answer.status != HTTPStatus.OK:
-            raise RequestRejectedError(answer.status, f"read of {name} rejected")
+            raise RequestRejectedError(answer.status, f"read rejected: {name}")
         return Cell(name, answer.text("value"), answer.integer("rev"))
 
     async def put(self, name: str, value: str, expect: int, within_s: float = DEFAULT_WITHIN_S) -> int:
@@ -54,5 +54,5 @@
         if answer.status == HTTPStatus.PRECONDITION_FAILED:
             raise RevisionConflictError(name, expect, answer.integer("rev"))
         if answer.status != HTTPStatus.OK:
-            raise RequestRejectedError(answer.status, f"put of {name} rejected")
+            raise RequestRejectedError(answer.status, f"put rejected: {name}")
         return answer.integer("rev")
--- a/otterreach/client/lease.py
+++ b/otterreach/client/lease.py
@@ -60,7 +60,7 @@
     def check(self) -> None:
         """Raise LeaseLostError unless the lock may be used now. Call it right before each protected action."""
         if not self.held:
-            raise LeaseLostError(f"lease on {self.name} has ended")
+            raise LeaseLostError(f"{self.name}: lease has ended")
 
     async def renew(self) -> None:
         """Extend the hold; raise LeaseLostError if no answer arrives before the local expiry of the lease.
@@ -76,11 +76,11 @@
             answer = await self._transport.call(call, self._usable_until)
         except CoordinationError as error:
             self._end()
-            raise LeaseLostError(f"lease on {self.name} could not be renewed: {error}") from error
+            raise LeaseLostError(f"{self.name}: lease could not be renewed: {error}") from error
         if answer.status != HTTPStatus.OK or not self.held:
             self._released = answer.status != HTTPStatus.OK
             self._end()
-            raise LeaseLostError(f"lease on {self.name} could not be renewed: rejected, or answered after its expiry")
+            raise LeaseLostError(f"{self.name}: lease could not be renewed: rejected, or answered after its expiry")
         self._usable_until = answer.sent_at + self.hold_s - safety_margin_s(self.hold_s)
         self._start_timer()
 
@@ -97,7 +97,7 @@
             await asyncio.wait((task, lost), return_when=asyncio.FIRST_COMPLETED)
             if task.done():
                 return task.result()
-            raise LeaseLostError(f"lease on {self.name} was lost while it was in use")
+            raise LeaseLostError(f"{self.name}: lease was lost while it was in use")
         finally:
             lost.cancel()
             await _cancel_and_wait(task)
--- a/otterreach/client/numbers.py
+++ b/otterreach/client/numbers.py
@@ -25,5 +25,5 @@
         call = Call.to("numbers", name, "POST", EMPTY)
         answer = await self._transport.call(call, self._transport.now() + within_s)
         if answer.status != HTTPStatus.OK:
-            raise RequestRejectedError(answer.status, f"next number of {name} rejected")
+            raise RequestRejectedError(answer.status, f"request for the next number rejected: {name}")
         return answer.integer("value")
--- a/otterreach/client/transport.py
+++ b/otterreach/client/transport.py
@@ -49,7 +49,8 @@
         """
         if not _NAME.fullmatch(name):
             raise RequestRejectedError(
-                HTTPStatus.BAD_REQUEST, f"invalid name {name!r}: must be printable ASCII without space, /, ? or #"
+                HTTPStatus.BAD_REQUEST,
+                f"{name!r} is not a valid name: expected printable ASCII without space, /, ? or #",
             )
         body = b"" if document is None else json.dumps(document).encode()
         return cls(method, f"/{kind}/{name}", body)
--- a/otterreach/client/watches.py
+++ b/otterreach/client/watches.py
@@ -101,7 +101,7 @@
                 await asyncio.sleep(backoff.next_s())
                 continue
             if answer.status not in (HTTPStatus.OK, HTTPStatus.GONE):
-                raise RequestRejectedError(answer.status, f"watch of {group} rejected")
+                raise RequestRejectedError(answer.status, f"watch rejected: {group}")
             return answer
 
 
@@ -114,8 +114,8 @@
 
 def _cell_from(row: object) -> Cell:
     if not isinstance(row, dict):
-        raise OutcomeUnknownError(f"event is not an object: {row!r}")
+        raise OutcomeUnknownError("event in the answer is not a JSON object")
     name, value, revision = row.get("name"), row.get("value"), row.get("rev")
     if not isinstance(name, str) or not isinstance(value, str) or not isinstance(revision, int):
-        raise OutcomeUnknownError(f"event needs name (string), value (string) and rev (integer): {row!r}")
+        raise OutcomeUnknownError("event in the answer lacks name (string), value (string) or rev (integer)")
     return Cell(name, value, revision)
