--- a/otterreach/cli/__init__.py
+++ b/otterreach/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's command line: configuration, state of the system, data files. `python3 -m otterreach.cli --help`."""
+"""Command line for operators: configuration, system state, data files. See `python3 -m otterreach.cli --help`."""
--- a/otterreach/cli/__main__.py
+++ b/otterreach/cli/__main__.py
@@ -1,4 +1,4 @@
-"""python3 -m otterreach.cli: the operator's command line. It ends with 0, or with the number of a result code."""
+"""Entry point of `python3 -m otterreach.cli`. The exit code is 0 or the number of a result code."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
     state_commands,
     coordination_commands,
     losses,
-)  # importing them adds their commands
+)  # importing a module registers its commands
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """The exit code."""
+    """Run the command line and return its exit code."""
     try:
         return int(app(arguments, exit_on_error=False, result_action="return_value") or 0)
     except SystemExit as ended:
         return int(ended.code) if isinstance(ended.code, int) else FAULT
     except Exception as error:
-        if type(error).__module__.startswith("cyclopts"):  # it has told what is wrong with the arguments
+        if type(error).__module__.startswith("cyclopts"):  # already printed: an error in the arguments
             return FAULT
         raise
 
 
 def run_command_line() -> None:
-    """The program."""
-    signal.signal(signal.SIGPIPE, signal.SIG_DFL)  # its output may go to `head`
+    """Run the command line as a program and exit with its code."""
+    signal.signal(signal.SIGPIPE, signal.SIG_DFL)  # exit quietly when the reader of a pipe, such as `head`, closes it
     sys.exit(main())
 
 
--- a/otterreach/cli/app.py
+++ b/otterreach/cli/app.py
@@ -1,4 +1,4 @@
-"""The command line's application, and what its commands share: how the system is reached, how a failure is shown."""
+"""The command line's application object and the helpers of its commands: connection options, calls, error output."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 app = App(
     name="otterreach",
-    help=f"The operator's command line. Where addresses are not given they come from --settings, "
-    f"or from the settings file that {VARIABLE} names.",
+    help=f"Command line for operators. Addresses that are not given are read from --settings, "
+    f"or from the settings file named by {VARIABLE}.",
 )
 
 
 def fail(failure: Failure) -> int:
-    """Tells of a failure: the reason goes to standard error, the number is the exit code."""
+    """Print a failure with its reason to standard error; return its code, which is the exit code."""
     print(f"{failure.code.name.lower()} ({int(failure.code)}): {failure.reason}", file=sys.stderr)
     return int(failure.code)
 
@@ -32,19 +32,19 @@
 @Parameter(name="*")
 @dataclass
 class Connection:
-    """How the system is reached."""
+    """Options for connecting to the system."""
 
     ctl: str = ""
-    "ctl addresses, host:port, split by commas."
+    "ctl addresses, host:port, separated by commas."
     controllers: str = ""
-    "Internal addresses of controllers, host:port, split by commas."
+    "Internal addresses of controllers, host:port, separated by commas."
     settings: Path | None = None
-    "A settings file of any process of the system."
+    "The settings file of any process of the system."
     within: float = 10.0
-    "Seconds to try for."
+    "Time-out of the call with its retries, in seconds."
 
     def _settings(self) -> dict[str, Any]:
-        """The settings file; ends the program if it can't be read."""
+        """Return the settings file's content; exit the program if it can't be read."""
         import yaml
 
         name = self.settings or os.environ.get(VARIABLE, "")
@@ -53,15 +53,15 @@
         except (OSError, yaml.YAMLError) as error:
             raise SystemExit(fail(Failure(Code.SETTINGS, f"{name}: {error}"))) from None
         if not isinstance(raw, dict):
-            raise SystemExit(fail(Failure(Code.SETTINGS, "neither addresses nor a settings file are given")))
+            raise SystemExit(fail(Failure(Code.SETTINGS, "no addresses given, and no settings file with a mapping")))
         return raw
 
     def ctl_addresses(self) -> list[str]:
-        """Where operators' calls go."""
+        """Return the addresses of the operators' API."""
         return self.ctl.split(",") if self.ctl else [str(peer) for peer in self._settings().get("peers") or ()]
 
     def controller_addresses(self) -> list[str]:
-        """Where controllers answer calls of the system itself."""
+        """Return the addresses at which controllers answer internal RPC calls."""
         if self.controllers:
             return self.controllers.split(",")
         raw = self._settings()
@@ -73,7 +73,7 @@
 
 
 def call_api(connection: Connection, method: str, path: str, body: bytes = b"", match: int | None = None) -> Any:
-    """A call of the operator's API; a response or a Failure."""
+    """Call the operators' API and return its response or a Failure."""
     from otterreach.cli.caller import Caller
 
     headers = {b"Content-Type": b"application/json"} if body else {}
@@ -83,7 +83,7 @@
 
 
 def current_configuration(connection: Connection) -> dict[str, Any] | None | Failure:
-    """The configuration in force; None if none has been taken yet."""
+    """Return the configuration in force; None if none has been accepted yet."""
     from otterreach.cli.caller import error_of
 
     answer = call_api(connection, "GET", "/config")
@@ -95,7 +95,7 @@
 
 
 def read_file(file: Path) -> bytes | Failure:
-    """A file that the command line names."""
+    """Return the content of a file named on the command line, or a Failure."""
     try:
         return file.read_bytes()
     except OSError as error:
--- a/otterreach/cli/caller.py
+++ b/otterreach/cli/caller.py
@@ -1,4 +1,4 @@
-"""HTTP calls as operators, servers and trainers make them: a connection each, and another address after a failure."""
+"""HTTP calls for operators, model servers and trainers: one connection per call, fail-over to another address."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 Headers = dict[bytes, bytes]
 Ask = Callable[..., Awaitable["http1.Response | Failure"]]
 BOUNDS = http1.Bounds(body=64 * 1024 * 1024, head=64 * 1024)
-ANSWER_TIMEOUT_S = 1.0  # then another address is asked; more for large bodies
+ANSWER_TIMEOUT_S = 1.0  # of one attempt, plus the body's length / BYTES_PER_S; then another address is called
 BYTES_PER_S = 4e6
-REDIRECTS = 2
+MAX_REDIRECTS = 2
 BACKOFF_S = 0.1
-MOST_BACKOFF_S = 1.0
-MOVE_ON = (408, 429)  # and every 5xx
+MAX_BACKOFF_S = 1.0
+RETRIED_STATUSES = (408, 429)  # in addition to every 5xx
 
 
-class _Answer(asyncio.Protocol):
+class _ResponseProtocol(asyncio.Protocol):
     def __init__(self, data: bytes) -> None:
         self.data = data
         self.done: asyncio.Future[http1.Response | None] = asyncio.get_running_loop().create_future()
@@ -34,13 +34,13 @@
         transport.write(self.data)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come of the answer."""
+        """Parse the received part of the response."""
         response = self._parser.feed(data)
         if (response is not None or self._parser.broken) and not self.done.done():
             self.done.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the call; an answer without a length is complete now."""
+        """End the call; the close of the connection completes a response without a length."""
         self._parser.close()
         if not self.done.done():
             self.done.set_result(None)
@@ -55,7 +55,7 @@
     timeout_s: float = ANSWER_TIMEOUT_S,
     host: str = "",
 ) -> http1.Response | Failure:
-    """One call to host:port. TIMED_OUT and CLOSED leave open whether it was done."""
+    """Make one call to host:port. After TIMED_OUT and CLOSED, the call may or may not have been executed."""
     name, _, port = address.rpartition(":")
     request = http1.Request(method.encode(), path.encode(), {}, body, True)
     data = http1.encode_request(request, (host or address).encode(), headers or {})
@@ -63,25 +63,25 @@
     try:
         async with asyncio.timeout(timeout_s):
             loop = asyncio.get_running_loop()
-            transport, answer = await loop.create_connection(lambda: _Answer(data), name, int(port))
+            transport, answer = await loop.create_connection(lambda: _ResponseProtocol(data), name, int(port))
             response = await answer.done
     except TimeoutError:
         code = Code.UNREACHABLE if transport is None else Code.TIMED_OUT
-        return Failure(code, f"{address}: no answer in {timeout_s:g} s")
+        return Failure(code, f"{address}: no answer within {timeout_s:g} s")
     except (OSError, ValueError) as error:
         return Failure(Code.UNREACHABLE, f"{address}: {type(error).__name__}")
     finally:
         if isinstance(transport, asyncio.Transport):
             transport.abort()
-    return response if response is not None else Failure(Code.CLOSED, f"{address}: no whole answer")
+    return response if response is not None else Failure(Code.CLOSED, f"{address}: incomplete or malformed response")
 
 
-def _moves_on(answer: http1.Response | Failure) -> bool:
-    return isinstance(answer, Failure) or answer.status >= 500 or answer.status in MOVE_ON
+def _is_retried(answer: http1.Response | Failure) -> bool:
+    return isinstance(answer, Failure) or answer.status >= 500 or answer.status in RETRIED_STATUSES
 
 
 class Caller:
-    """Calls whichever of several ctl addresses answers."""
+    """Calls any available one of several ctl addresses."""
 
     def __init__(self, addresses: Sequence[str], random: Random | None = None, asking: Ask = ask) -> None:
         self.addresses = list(addresses)
@@ -91,35 +91,35 @@
     async def call(
         self, method: str, path: str, body: bytes = b"", headers: Headers | None = None, within_s: float = 10.0
     ) -> http1.Response | Failure:
-        """The first clear answer; else the last Failure, or TIMED_OUT where one of the tries may have been taken."""
+        """Return the first conclusive answer; else the last Failure, or TIMED_OUT if an attempt may have succeeded."""
         loop = asyncio.get_running_loop()
-        end = loop.time() + within_s
-        pause = BACKOFF_S
-        maybe = False
-        order = self.random.sample(self.addresses, len(self.addresses))
-        if not order:
+        deadline = loop.time() + within_s
+        delay_s = BACKOFF_S
+        maybe_done = False
+        shuffled = self.random.sample(self.addresses, len(self.addresses))
+        if not shuffled:
             return Failure(Code.UNREACHABLE, "no address given")
         attempt = 0
         while True:
-            answer = await self._follow(order[attempt % len(order)], method, path, body, headers)
-            if not _moves_on(answer):
+            answer = await self._follow(shuffled[attempt % len(shuffled)], method, path, body, headers)
+            if not _is_retried(answer):
                 return answer
-            maybe = maybe or not isinstance(answer, Failure) or answer.maybe_done
-            if loop.time() + pause > end:
+            maybe_done = maybe_done or not isinstance(answer, Failure) or answer.maybe_done
+            if loop.time() + delay_s > deadline:
                 break
-            await asyncio.sleep(pause * (0.5 + self.random.random() / 2))
+            await asyncio.sleep(delay_s * (0.5 + self.random.random() / 2))
             attempt = attempt + 1
-            pause = min(MOST_BACKOFF_S, pause * 1.6)
-        if isinstance(answer, Failure) and (not maybe or answer.maybe_done):
+            delay_s = min(MAX_BACKOFF_S, delay_s * 1.6)
+        if isinstance(answer, Failure) and (not maybe_done or answer.maybe_done):
             return answer
-        status = "" if isinstance(answer, Failure) else f", the last one with {answer.status}"
-        return Failure(Code.TIMED_OUT, f"no clear answer in {within_s:g} s{status}")
+        status = "" if isinstance(answer, Failure) else f"; last status: {answer.status}"
+        return Failure(Code.TIMED_OUT, f"no conclusive answer within {within_s:g} s{status}")
 
     async def _follow(
         self, address: str, method: str, path: str, body: bytes, headers: Headers | None
     ) -> http1.Response | Failure:
         timeout_s = ANSWER_TIMEOUT_S + len(body) / BYTES_PER_S
-        for _ in range(REDIRECTS + 1):
+        for _ in range(MAX_REDIRECTS + 1):
             answer = await self._ask(address, method, path, body, headers, timeout_s)
             if isinstance(answer, Failure) or answer.status != 307:
                 return answer
@@ -128,11 +128,11 @@
                 break
             address = target.netloc
             path = target.path or path
-        return Failure(Code.NOT_PRIMARY, f"{address}: sent on too often")
+        return Failure(Code.NOT_PRIMARY, f"{address}: too many redirects")
 
 
 def error_of(answer: http1.Response) -> Failure:
-    """What a refusal of the operator's API says."""
+    """Return the Failure described by an error response of the operators' API."""
     import json
 
     with contextlib.suppress(ValueError, KeyError, TypeError):
--- a/otterreach/cli/configuration_commands.py
+++ b/otterreach/cli/configuration_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the configuration in force: read, change, compare."""
+"""Commands that read, change and compare the configuration in force."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @app.command
 def get(*, connection: Connection = DEFAULT_CONNECTION) -> int:
-    """The configuration in force, as JSON."""
+    """Print the configuration in force as JSON."""
     current = current_configuration(connection)
     if isinstance(current, Failure):
         return fail(current)
     if current is None:
-        print("no configuration has been taken yet", file=sys.stderr)
+        print("no configuration has been accepted yet", file=sys.stderr)
         return int(ExitCode.NOT_THERE)
     print(json.dumps(current, indent=1))
     return 0
@@ -43,30 +43,30 @@
         return fail(answer)
     if answer.status != HTTPStatus.OK:
         return fail(error_of(answer))
-    print(f"taken, on top of {match}")
+    print(f"accepted, on top of {match}")
     return 0
 
 
 @app.command
 def put(file: Path, *, match: int | None = None, connection: Connection = DEFAULT_CONNECTION) -> int:
-    """Send a whole configuration. Without --match it builds on the one in force."""
+    """Submit a complete configuration. Without --match it replaces the version in force."""
     return _change("PUT", file, match, connection)
 
 
 @app.command
 def patch(file: Path, *, match: int | None = None, connection: Connection = DEFAULT_CONNECTION) -> int:
-    """Change items of the configuration by name."""
+    """Change individual items of the configuration by name."""
     return _change("PATCH", file, match, connection)
 
 
 def lines_of(config: dict[str, Any] | None) -> list[str]:
-    """A configuration in an order of its own, so that only real differences show."""
+    """Return a configuration as lines with sorted keys, so that a diff doesn't show differences of order."""
     return json.dumps(config, indent=1, sort_keys=True).splitlines() if config else []
 
 
 @app.command
 def diff(file: Path, *, connection: Connection = DEFAULT_CONNECTION) -> int:
-    """What a file would change in the configuration in force."""
+    """Show the changes that a file would make to the configuration in force."""
     body = read_file(file)
     current = current_configuration(connection)
     for failure in (body, current):
--- a/otterreach/cli/coordination_commands.py
+++ b/otterreach/cli/coordination_commands.py
@@ -1,6 +1,6 @@
-"""Commands for locks, elections, numbers and keys, as an application or an engineer on call uses them.
+"""Commands for locks, elections, sequence numbers and keys, for scripts of applications and for engineers on call.
 
-`get`, `put` and `watch` are older commands, on the configuration and the control state; those on keys have `key` in
+`get`, `put` and `watch` are commands on the configuration and the control state; the commands on keys have `key` in
 their names.
 """
 
@@ -25,20 +25,20 @@
 
 Command = Annotated[str, Parameter(allow_leading_hyphen=True)]
 Use = Callable[["CoordinationClient"], Awaitable[int]]
-ELECTION_WAIT_S = 10 * 366 * 24 * 3600.0  # a candidate waits until it leads
+ELECTION_WAIT_S = 10 * 366 * 24 * 3600.0  # practically unlimited: a candidate waits until it is elected
 DEFAULT_LOCK_HOLD_S = 5.0
 DEFAULT_LOCK_WAIT_S = 10.0
-NO_COMMAND = "name a command after --"
+NO_COMMAND = "no command given: expected one after --"
 INTERRUPTED = 130
 
 
 def _owner(given: str) -> str:
-    """The owner that is given, or one that no other process has."""
+    """Return the given owner name, or generate a unique one."""
     return given or f"{socket.gethostname()}.{secrets.token_hex(6)}"
 
 
 def failure_of(error: CoordinationError) -> Failure:
-    """The numbered code of a client's error."""
+    """Return the Failure with the result code for an error of the client."""
     from otterreach.client import (
         LeaseLostError,
         LockHeldError,
@@ -56,7 +56,7 @@
 
 
 def _run(connection: Connection, owner: str, use: Use, interrupted: int = INTERRUPTED) -> int:
-    """Run a use of the client to its end; SIGTERM and SIGINT end it in order, with the exit code `interrupted`."""
+    """Run `use` with a client; SIGTERM and SIGINT shut it down gracefully, with the exit code `interrupted`."""
     from otterreach.client import CoordinationClient, CoordinationError, RevisionConflictError
 
     async def work() -> int:
@@ -90,13 +90,13 @@
         from otterreach.cli.held_command import HeldCommand
 
         async with client.locks.hold(name, hold_s, wait_s) as lease:
-            print(f"{name}: held with fence {lease.fence} as {lease.owner}", file=sys.stderr)
+            print(f"{name}: acquired with fencing token {lease.fence} as {lease.owner}", file=sys.stderr)
             try:
                 code = await HeldCommand(lease, command).run()
             except OSError as error:
                 return fail(Failure(Code.SETTINGS, f"{command[0]}: {error.strerror}"))
         if code is None:
-            return fail(Failure(Code.LOCK_LOST, f"{name} could not be kept: the command was ended"))
+            return fail(Failure(Code.LOCK_LOST, f"{name}: lease could not be kept; the command was terminated"))
         return code
 
     return _run(connection, _owner(owner), use)
@@ -111,13 +111,13 @@
     owner: str = "",
     connection: Connection = DEFAULT_CONNECTION,
 ) -> int:
-    """Run a command while a lock is held: otterreach lock NAME -- COMMAND. Ends with the command's exit code.
+    """Run a command while holding a lock: otterreach lock NAME -- COMMAND. Exits with the command's exit code.
 
     Parameters
     ----------
-    hold: seconds that the service keeps the lock after the last renewal.
-    wait: seconds to wait for the lock.
-    owner: the name of the holder; else one that no other process has.
+    hold: time for which the service keeps the lock after the last renewal, in seconds.
+    wait: time-out of the acquisition, in seconds.
+    owner: the name of the lock holder; default: a generated unique name.
     """
     return _hold_and_run(connection, owner, name, (hold, wait), command)
 
@@ -130,21 +130,22 @@
     owner: str = "",
     connection: Connection = DEFAULT_CONNECTION,
 ) -> int:
-    """Wait to lead, then run a command while leading: otterreach elect NAME -- COMMAND.
+    """Wait to be elected leader, then run a command while leading: otterreach elect NAME -- COMMAND.
 
-    The command gets SIGTERM and then SIGKILL before another can lead. Ends with the command's exit code.
+    If the leadership can't be kept, the command gets SIGTERM and then SIGKILL before another candidate can be elected.
+    Exits with the command's exit code.
 
     Parameters
     ----------
-    hold: seconds that the service keeps the leadership after the last renewal.
-    owner: the name of the candidate; else one that no other process has.
+    hold: time for which the service keeps the leadership after the last renewal, in seconds.
+    owner: the name of the candidate; default: a generated unique name.
     """
     return _hold_and_run(connection, owner, name, (hold, ELECTION_WAIT_S), command)
 
 
 @app.command
 def number(name: str, *, connection: Connection = DEFAULT_CONNECTION) -> int:
-    """A number above every one given before under this name."""
+    """Print a number greater than all numbers issued before under this name."""
 
     async def use(client: CoordinationClient) -> int:
         print(await client.numbers.next(name, connection.within))
@@ -154,13 +155,13 @@
 
 
 def key_line(cell: Cell) -> str:
-    """A key as it is printed: revision, name, value."""
+    """Return the output line of a key: revision, name, value."""
     return f"{cell.revision} {cell.name} {cell.value}"
 
 
 @app.command
 def get_key(name: str, *, connection: Connection = DEFAULT_CONNECTION) -> int:
-    """A key: its revision, name and value."""
+    """Print the revision, name and value of a key."""
 
     async def use(client: CoordinationClient) -> int:
         cell = await client.cells.get(name, connection.within)
@@ -175,11 +176,11 @@
 
 @app.command
 def put_key(name: str, value: str, *, expect: int, connection: Connection = DEFAULT_CONNECTION) -> int:
-    """Store a value in a key, which no earlier put may have used; prints the new revision.
+    """Store a value in a key and print the new revision. The value must not have been put to this key before.
 
     Parameters
     ----------
-    expect: the revision that the key has to be at; 0 if it may not have a value yet.
+    expect: the required current revision of the key; 0 if it must not have a value yet.
     """
 
     async def use(client: CoordinationClient) -> int:
@@ -191,11 +192,11 @@
 
 @app.command
 def watch_keys(group: str, *, past: int = 0, connection: Connection = DEFAULT_CONNECTION) -> int:
-    """Every put in a group of keys as it comes, until it is interrupted. The group's name ends with its dot.
+    """Print each put in a group of keys as it happens, until interrupted. The group's name includes its dot.
 
     Parameters
     ----------
-    past: the revision to begin after; else the present one.
+    past: the revision after which to start; default: the current one.
     """
 
     async def use(client: CoordinationClient) -> int:
--- a/otterreach/cli/data.py
+++ b/otterreach/cli/data.py
@@ -1,4 +1,4 @@
-"""Data files as they lie on disk: their records, told in a line each, and whether they are whole. Read only."""
+"""Read-only inspection of data files: one line per record, and verification of checksums."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 CONTROL = "control"
 JOBS = "jobs"
-# How kinds of records are shown.
+# Display names of record kinds.
 CONTROL_KINDS: dict[int, str] = {
     JournalKind.IDENTITY: "identity",
     JournalKind.PROMISE: "promise",
@@ -44,35 +44,35 @@
     RecordKind.DROPPED: "dropped",
 }
 SHOWN_ITEMS = 8
-REVISION_BITS = 24  # of a revision: the count within its epoch
+REVISION_BITS = 24  # low bits of a revision: the counter within its epoch
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A record, and where it begins in the file."""
+    """A record and its offset in the file."""
 
-    at: int
+    offset: int
     kind: int
     payload: bytes
     synced: int
 
 
 def walk(data: bytes) -> Iterator[Entry]:
-    """The whole records from the start, up to the first that is not."""
-    at = 0
-    while len(data) - at >= HEADER.size:
-        length, _, synced, kind = HEADER.unpack_from(data, at)
-        end = at + HEADER.size + length
-        payload = data[at + HEADER.size : end]
-        if length > MAX_RECORD_BYTES or end > len(data) or pack(kind, payload, synced) != data[at:end]:
+    """Yield the valid records from the start of the file, up to the first that is incomplete or corrupt."""
+    offset = 0
+    while len(data) - offset >= HEADER.size:
+        length, _, synced, kind = HEADER.unpack_from(data, offset)
+        end = offset + HEADER.size + length
+        payload = data[offset + HEADER.size : end]
+        if length > MAX_RECORD_BYTES or end > len(data) or pack(kind, payload, synced) != data[offset:end]:
             return
-        yield Entry(at, kind, payload, synced)
-        at = end
+        yield Entry(offset, kind, payload, synced)
+        offset = end
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """Whether a file is whole. `code`: 0, DATA_TORN, DATA_DAMAGED or DATA_MISSING."""
+    """Result of verifying a file. `code` is 0, DATA_TORN, DATA_DAMAGED or DATA_MISSING."""
 
     code: int
     text: str
@@ -80,7 +80,7 @@
 
 
 def verify(path: Path) -> Verdict:
-    """Checks every checksum; tells a torn end, which is normal, from damage."""
+    """Verify all checksums. A torn last record, which is expected after a power loss, is distinguished from damage."""
     try:
         data = path.read_bytes()
     except OSError as error:
@@ -93,11 +93,14 @@
     if end < len(data):
         text = f"{path}: {len(records)} records, then a torn end of {len(data) - end} bytes at byte {end}"
         return Verdict(ExitCode.DATA_TORN, text, len(records))
-    return Verdict(0, f"{path}: {len(records)} records, {end} bytes, all whole", len(records))
+    return Verdict(0, f"{path}: {len(records)} records, {end} bytes, all valid", len(records))
 
 
 def kind_of_file(path: Path, data: bytes) -> str:
-    """Whose journal it is: by its name, else by its first record, which both kinds of machines begin with their id."""
+    """Return whose journal a file is, by its name or else by its first record.
+
+    The first record holds an id in both cases; that of a controller contains a space, that of a job store disk doesn't.
+    """
     for kind in (CONTROL, JOBS):
         if path.name.startswith(kind):
             return kind
@@ -105,15 +108,15 @@
     return CONTROL if first and b" " in first.payload else JOBS
 
 
-def line(of: str, entry: Entry) -> str:
-    """A record in words."""
-    if of == CONTROL:
+def record_line(file_kind: str, entry: Entry) -> str:
+    """Return a one-line description of a record."""
+    if file_kind == CONTROL:
         name = CONTROL_KINDS.get(entry.kind, str(entry.kind))
         content = _control_content(entry)
     else:
         name = JOB_KINDS.get(entry.kind, str(entry.kind))
         content = _job_content(entry)
-    return f"at={entry.at} kind={name} bytes={len(entry.payload)} synced={entry.synced} {content}".rstrip()
+    return f"at={entry.offset} kind={name} bytes={len(entry.payload)} synced={entry.synced} {content}".rstrip()
 
 
 def _items(items: list[Item]) -> str:
@@ -123,7 +126,7 @@
 
 
 def item_name(item: Item) -> str:
-    """The key of an item with its revision: the epoch, and the count within it."""
+    """Return the key of an item with its revision, written as the epoch and the counter within it."""
     return f"{item.key}@{item.revision >> REVISION_BITS}.{item.revision & (1 << REVISION_BITS) - 1}"
 
 
@@ -154,8 +157,8 @@
     return f"number={configuration.number} primary={configuration.primary} backups={backups} witnesses={witnesses}"
 
 
-def state_in(data: bytes) -> ReplicatedStore:
-    """The control state as a controller's journal has it. What was not acknowledged may be in it, too."""
+def replay_state(data: bytes) -> ReplicatedStore:
+    """Return the control state replayed from a controller's journal. It may include unacknowledged changes."""
     replay = StateReplay()
     for entry in walk(data):
         replay.apply(entry.kind, entry.payload)
@@ -164,12 +167,12 @@
 
 
 def item_value(data: bytes, key: str) -> Any:
-    """The newest value of one item in a controller's journal, as JSON has it; None if there is none."""
-    item = state_in(data).items.get(key)
+    """Return the latest value of an item in a controller's journal, decoded; None if it has no value."""
+    item = replay_state(data).items.get(key)
     return None if item is None or item.is_tombstone else json.loads(item.value)
 
 
-def _job_of(kind: int, body: bytes) -> str:
+def _job_id(kind: int, body: bytes) -> str:
     if kind in (EntryKind.SUBMIT, EntryKind.RESULT):
         length = int.from_bytes(body[:4], "little")
         return body[4 : 4 + length].decode(errors="replace")
@@ -182,26 +185,26 @@
     content = f"part={partition_of_record(entry.kind, entry.payload)}"
     if entry.kind in (RecordKind.RECORD, RecordKind.LOAD):
         logged = decode_entry(entry.payload)
-        content += f" {EntryKind(logged.kind).name.lower()}={_job_of(logged.kind, logged.body)}"
+        content += f" {EntryKind(logged.kind).name.lower()}={_job_id(logged.kind, logged.body)}"
     return content
 
 
 class _ReadOnlyLog:
     def append(self, kind: int, payload: bytes) -> None:
-        """Nothing is written to a file that is read."""
-        raise AssertionError("a file that is read is not written")
+        """Raise AssertionError: the replay of a file must not write."""
+        raise AssertionError("the replay of a data file tried to write a record")
 
 
 @dataclass(frozen=True, slots=True)
 class JobInFile:
-    """A batch job in a job store node's journal."""
+    """A batch job found in a job store node's journal."""
 
     partition: int
     job: Job
 
 
 def jobs_in(data: bytes) -> list[JobInFile]:
-    """The batch jobs of all replicas in a job store node's journal."""
+    """Return the batch jobs of all partition replicas in a job store node's journal."""
     replicas = [PartitionReplica(partition, _ReadOnlyLog(), lambda: 0.0) for partition in range(PARTITIONS)]
     for entry in walk(data):
         if entry.kind == RecordKind.DISK:
@@ -213,7 +216,7 @@
 
 
 def job_line(found: JobInFile) -> str:
-    """A batch job in words."""
+    """Return a one-line description of a batch job."""
     job = found.job
     head = json.dumps({key: job.head[key] for key in ("step", "model", "minVersion", "desired") if key in job.head})
     listed = f"{len(job.results)} of {len(job.items)} listed"
--- a/otterreach/cli/held_command.py
+++ b/otterreach/cli/held_command.py
@@ -1,4 +1,4 @@
-"""A command of the operating system that runs while a lock is held, and ends before the hold can run out."""
+"""Execution of a command under a lease: the command is terminated before the lock can expire."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 from otterreach.client import Lease
 
-TERMINATE_SHARE = 0.3  # of the hold: with less time left the command is asked to end
-PR_SET_PDEATHSIG = 1  # of prctl(2): the signal that a process gets when its parent ends
+TERMINATE_SHARE = 0.3  # fraction of the hold time; SIGTERM is sent when less than this remains
+PR_SET_PDEATHSIG = 1  # option of prctl(2): the signal that a process gets when its parent dies
 _LIBC = ctypes.CDLL(None, use_errno=True)
 
 
-def _end_with_parent() -> None:
-    """In the child, before the command starts: nobody would watch over it without its parent."""
+def _die_with_parent() -> None:
+    """Make the kernel kill this child process if its parent dies, since only the parent monitors the lease."""
     _LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class HeldCommand:
-    """One run of a command in a process group of its own.
+    """One run of a command in its own process group.
 
-    It gets SIGTERM once renewals have failed for so long that less than TERMINATE_SHARE of the hold is left, and
-    SIGKILL when the lease is lost, which is before the service may give the lock to another. Its environment names the
-    lock, the owner and the fencing token.
+    It gets SIGTERM when failed renewals leave less than TERMINATE_SHARE of the hold time, and SIGKILL when the lease
+    is lost, which is before the service may grant the lock to another owner. Its environment contains the lock, the
+    owner and the fencing token.
     """
 
     def __init__(self, lease: Lease, command: Sequence[str]) -> None:
@@ -35,7 +35,7 @@
         self._process: asyncio.subprocess.Process | None = None
 
     async def run(self) -> int | None:
-        """The command's exit code, or None if it was ended because the lease was in danger or lost.
+        """Return the command's exit code, or None if it was terminated because the lease was about to expire or lost.
 
         Raises OSError if the command can't be started.
         """
@@ -47,25 +47,25 @@
         }
         self.lease.check()
         self._process = await asyncio.create_subprocess_exec(
-            *self.command, env=environment, start_new_session=True, preexec_fn=_end_with_parent
+            *self.command, env=environment, start_new_session=True, preexec_fn=_die_with_parent
         )
         ended = asyncio.ensure_future(self._process.wait())
-        guard = asyncio.ensure_future(self._guard())
+        near_expiry = asyncio.ensure_future(self._wait_for_expiry())
         try:
-            await asyncio.wait((ended, guard), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((ended, near_expiry), return_when=asyncio.FIRST_COMPLETED)
             return ended.result() if ended.done() else None
         finally:
-            guard.cancel()
-            await self._end(ended)
+            near_expiry.cancel()
+            await self._terminate(ended)
 
-    async def _guard(self) -> None:
-        """Ends when the command has to end."""
-        least_s = self.lease.hold_s * TERMINATE_SHARE
-        while (left_s := self.lease.remaining_s) > least_s:
-            await asyncio.sleep(left_s - least_s)
+    async def _wait_for_expiry(self) -> None:
+        """Return when the command must be terminated."""
+        min_left_s = self.lease.hold_s * TERMINATE_SHARE
+        while (left_s := self.lease.remaining_s) > min_left_s:
+            await asyncio.sleep(left_s - min_left_s)
 
-    async def _end(self, ended: asyncio.Future[int]) -> None:
-        """SIGTERM, SIGKILL once the lease is lost; the process is gone on return."""
+    async def _terminate(self, ended: asyncio.Future[int]) -> None:
+        """Send SIGTERM, then SIGKILL once the lease is lost. The process has ended on return."""
         if not ended.done():
             self._signal_group(signal.SIGTERM)
             lost = asyncio.ensure_future(self.lease.lost.wait())
@@ -75,7 +75,7 @@
         await ended
 
     def _signal_group(self, number: int) -> None:
-        """Also what the command has started, unless that has left its process group."""
+        """Signal the command and its children, except those that have left its process group."""
         assert self._process
         with suppress(ProcessLookupError):
             os.killpg(self._process.pid, number)
--- a/otterreach/cli/local_commands.py
+++ b/otterreach/cli/local_commands.py
@@ -1,4 +1,4 @@
-"""Commands that need no running system: a process of a role, checks of settings and configurations, data files."""
+"""Commands that need no running system: start a role, check settings and configurations, inspect data files."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 @app.command
 def run(role: str, *, settings: Path | None = None) -> int:
-    """Run a role of the system in this process, as the settings file says.
+    """Run a role of the system in this process, with the given settings file.
 
     Parameters
     ----------
     role: proxy, controller or jobstore.
-    settings: the settings file; else the one that the environment names.
+    settings: the settings file; default: the one named by the environment variable.
     """
     import runpy
 
     if role not in ROLES:
-        return fail(Failure(Code.SETTINGS, f"no role {role!r}: {', '.join(ROLES)}"))
+        return fail(Failure(Code.SETTINGS, f"unknown role {role!r}: expected one of {', '.join(ROLES)}"))
     if settings:
         os.environ[VARIABLE] = str(settings)
     runpy.run_module(ROLES[role], run_name="__main__")
@@ -36,7 +36,7 @@
 
 @app.command
 def check_settings(file: Path) -> int:
-    """Whether a process could start with this settings file."""
+    """Check whether a process can start with a settings file."""
     from otterreach.balancer.interface import SettingsError
     from otterreach.runtime.settings import load
 
@@ -50,7 +50,7 @@
 
 @app.command
 def check_config(file: Path, *, current: Path | None = None) -> int:
-    """Whether a configuration is valid; with --current, whether it may follow that one."""
+    """Check whether a configuration is valid; with --current, also whether it may replace that one."""
     from otterreach.controller.config import check_put
 
     body = read_file(file)
@@ -78,13 +78,13 @@
 
 @app.command
 def verify(file: Path) -> int:
-    """Check every record of a data file (control.journal, jobs.journal)."""
+    """Verify all records of a data file (control.journal, jobs.journal)."""
     return _verdict(file)
 
 
 @app.command
 def read_data(file: Path, *, item: str = "") -> int:
-    """The records of a data file, a line each; with --item the newest value of one item (config, ...) as JSON."""
+    """Print the records of a data file, one per line; with --item the latest value of an item (config, ...) as JSON."""
     from otterreach.cli import data
 
     if not file.exists():
@@ -94,7 +94,7 @@
         value = data.item_value(found, item)
         print("null" if value is None else json.dumps(value, indent=1))
         return 0 if value is not None else int(ExitCode.NOT_THERE)
-    of = data.kind_of_file(file, found)
+    file_kind = data.kind_of_file(file, found)
     for entry in data.walk(found):
-        print(data.line(of, entry))
+        print(data.record_line(file_kind, entry))
     return _verdict(file)
--- a/otterreach/cli/state.py
+++ b/otterreach/cli/state.py
@@ -1,4 +1,4 @@
-"""The control state as a controller tells it on its internal port, to one who only reads; and what is shown of it."""
+"""Read-only access to the control state over a controller's internal port, and its presentation as tables."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import json
 from collections.abc import Callable, Iterator, Sequence
 
-from otterreach.controller import messages  # noqa: F401  of what may come over the connection
+from otterreach.controller import messages  # noqa: F401  registers messages that may arrive on the connection
 from otterreach.jobstore.messages import ReadJob
 from otterreach.jobstore.placement import PARTITIONS, partition_of
 from otterreach.runtime.codes import Code, Failure
@@ -27,12 +27,12 @@
 
 NAME = "cli"
 CALL_TIMEOUT_S = 2.0
-PROBE_INTERVAL_S = 0.5  # between two questions whether the controller is still there
+PROBE_INTERVAL_S = 0.5  # interval of freshness probes to the controller
 Row = tuple[str, ...]
 
 
 async def fetch(endpoint: Endpoint, controllers: Sequence[str], store: ReplicatedStore) -> str | Failure:
-    """Fill the store from the first controller that answers; its address."""
+    """Fill the store from the first controller that answers; return its address."""
     last = Failure(Code.UNREACHABLE, "no controller given")
     for address in controllers:
         found = await _fetch_from(endpoint, address, store)
@@ -43,21 +43,21 @@
 
 
 async def _fetch_from(endpoint: Endpoint, address: str, store: ReplicatedStore) -> Failure | None:
-    """The state comes in chunks, until nothing differs or nothing new comes."""
-    former_ranges: list[int] | None = None
+    """Fetch the state in chunks until the digests match or a reply names the same ranges as the previous one."""
+    previous_ranges: list[int] | None = None
     while True:
         reply = await endpoint.call(address, Follow(NAME, store.digests), CALL_TIMEOUT_S)
         if isinstance(reply, Failure):
             return reply
         store.replace_ranges(reply.ranges, reply.items, reply.collected_up_to)
         complete = not reply.ranges or store.matches(reply.digest, reply.collected_up_to)
-        if complete or reply.ranges == former_ranges:
+        if complete or reply.ranges == previous_ranges:
             return None
-        former_ranges = reply.ranges
+        previous_ranges = reply.ranges
 
 
 async def read(controllers: Sequence[str]) -> ReplicatedStore | Failure:
-    """A copy of the control state, as it is now."""
+    """Return a copy of the current control state."""
     endpoint = Endpoint()
     store = ReplicatedStore()
     try:
@@ -68,13 +68,13 @@
 
 
 async def watch(controllers: Sequence[str], kind: str, show: Callable[[Item], None]) -> Failure:
-    """Tell each change of one kind of items (all if empty) until the controller falls silent or leaves."""
+    """Report each change of items of one kind (all if empty) until the controller disconnects or stops answering."""
     endpoint = Endpoint()
     store = ReplicatedStore()
     changed = asyncio.Event()
 
     async def on_changes(link: Link, changes: Changes) -> None:
-        """Show what is new of the kind."""
+        """Show the changed items of the kind."""
         changed.set()
         for item in store.apply(changes.items):
             if not kind or item.key.partition("/")[0] == kind:
@@ -92,60 +92,60 @@
                 async with asyncio.timeout(CALL_TIMEOUT_S):
                     await changed.wait()
             except TimeoutError:
-                return Failure(Code.TIMED_OUT, f"{found} says nothing any more")
+                return Failure(Code.TIMED_OUT, f"{found} stopped answering")
             await asyncio.sleep(PROBE_INTERVAL_S)
         return Failure(Code.CLOSED, f"{found} has closed the connection")
     finally:
         await endpoint.close()
 
 
-async def job(controllers: Sequence[str], ident: str) -> Row | Failure:
-    """A batch job by its id, asked of the job store node that owns it: id, partition, owner, listed, total."""
+async def job(controllers: Sequence[str], job_id: str) -> Row | Failure:
+    """Return a batch job's id, partition, owner, listed and total items, read from the node that owns it."""
     endpoint = Endpoint()
     store = ReplicatedStore()
     try:
         found = await fetch(endpoint, controllers, store)
         if isinstance(found, Failure):
             return found
-        partition = partition_of(ident)
+        partition = partition_of(job_id)
         record = store.record(PartitionRecord, str(partition))
         owner = node_of(record.primary) if record else ""
         member = store.record(MemberRecord, owner)
         if member is None:
             return Failure(Code.NOT_SYNCED, f"partition {partition} has no owner")
-        return await _count(endpoint, member.address, ident, partition, owner)
+        return await _read_progress(endpoint, member.address, job_id, partition, owner)
     finally:
         await endpoint.close()
 
 
-async def _count(endpoint: Endpoint, address: str, ident: str, partition: int, owner: str) -> Row | Failure:
+async def _read_progress(endpoint: Endpoint, address: str, job_id: str, partition: int, owner: str) -> Row | Failure:
     offset = 0
     while True:
-        reply = await endpoint.call(address, ReadJob(ident, offset, 0), CALL_TIMEOUT_S)
+        reply = await endpoint.call(address, ReadJob(job_id, offset, 0), CALL_TIMEOUT_S)
         if isinstance(reply, Failure):
             return reply
         if reply.next_cursor <= offset:
-            return ident, str(partition), owner, str(offset), str(reply.total)
+            return job_id, str(partition), owner, str(offset), str(reply.total)
         offset = reply.next_cursor
 
 
-# What is shown --------------------------------------------------------------------------------------
+# Tables ---------------------------------------------------------------------------------------------
 
 
 def servers(store: ReplicatedStore) -> Iterator[Row]:
-    """The model servers."""
+    """Yield the table of model servers."""
     yield "id", "service", "address", "zone", "cap", "state", "versions", "ordered by"
     leases = store.records(OrderLeaseRecord)
-    for ident, server in store.records(ServerRecord).items():
+    for server_id, server in store.records(ServerRecord).items():
         versions = ",".join(f"{model.name}={model.version}" for model in server.models)
         state = server.state + (" silent" if server.silent else "")
-        lease = leases.get(ident)
+        lease = leases.get(server_id)
         holder = lease.holder if lease else ""
-        yield ident, server.service, server.address, server.zone, str(server.capacity), state, versions, holder
+        yield server_id, server.service, server.address, server.zone, str(server.capacity), state, versions, holder
 
 
 def members(store: ReplicatedStore) -> Iterator[Row]:
-    """The machines of the system."""
+    """Yield the table of the system's machines."""
     yield "node", "role", "address", "zone", "disk", "retiring"
     retiring = store.records(RetirementRecord)
     for node, member in store.records(MemberRecord).items():
@@ -154,7 +154,7 @@
 
 
 def owners(store: ReplicatedStore) -> Iterator[Row]:
-    """Who keeps each partition."""
+    """Yield the table of partition owners."""
     yield "part", "epoch", "primary", "backups", "joining"
     for number in range(PARTITIONS):
         record = store.record(PartitionRecord, str(number))
@@ -165,7 +165,7 @@
 
 
 def epochs(store: ReplicatedStore) -> Iterator[Row]:
-    """The controllers and what they hold."""
+    """Yield the table of the controllers' epoch, the configuration version and the model versions."""
     yield "what", "value"
     core = store.record(CoreRecord)
     yield "epoch", str(core.epoch) if core else "-"
@@ -178,13 +178,13 @@
 
 
 def columns(rows: Iterator[Row]) -> str:
-    """Rows as text, the first as the head."""
+    """Format rows as aligned columns; the first row is the header."""
     table = list(rows)
     widths = [max(len(row[n]) for row in table) for n in range(len(table[0]))]
     return "\n".join("  ".join(c.ljust(w) for c, w in zip(row, widths, strict=True)).rstrip() for row in table)
 
 
 def item_line(item: Item) -> str:
-    """An item as `watch` prints it: revision, key, value."""
+    """Return the output line of `watch` for an item: revision, key, value."""
     value = "gone" if item.is_tombstone else json.dumps(json.loads(item.value), sort_keys=True)
     return f"{item.revision >> 24}.{item.revision & 0xFFFFFF} {item.key} {value[:300]}"
--- a/otterreach/cli/state_commands.py
+++ b/otterreach/cli/state_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the state of the running system: servers, machines, batch jobs; a store machine's retirement."""
+"""Commands on the running system: model servers, machines, batch jobs, and the retirement of a store machine."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @app.command
 def servers(*, connection: Connection = DEFAULT_CONNECTION) -> int:
-    """The servers that are registered."""
+    """List the registered model servers."""
     from otterreach.cli import state
 
     return _show(connection, state.servers)
@@ -39,7 +39,7 @@
 
 @app.command
 def sidecars(*, connection: Connection = DEFAULT_CONNECTION) -> int:
-    """The machines of the system."""
+    """List the machines of the system."""
     from otterreach.cli import state
 
     return _show(connection, state.members)
@@ -47,7 +47,7 @@
 
 @app.command
 def owners(*, connection: Connection = DEFAULT_CONNECTION) -> int:
-    """Who keeps which partition of the batch jobs."""
+    """List the owners of the batch job partitions."""
     from otterreach.cli import state
 
     return _show(connection, state.owners)
@@ -55,7 +55,7 @@
 
 @app.command
 def epochs(*, connection: Connection = DEFAULT_CONNECTION) -> int:
-    """The epoch of the controllers, the version of the configuration and of the weights."""
+    """Show the epoch of the controllers, and the versions of the configuration and of the models' weights."""
     from otterreach.cli import state
 
     return _show(connection, state.epochs)
@@ -74,19 +74,19 @@
 
 @app.command
 def jobs(*ids: str, data: Path | None = None, connection: Connection = DEFAULT_CONNECTION) -> int:
-    """Batch jobs by their ids, asked of who owns them; or with --data all that are in a job store node's data file."""
+    """Show batch jobs by their ids, as their owners report them; with --data, all those in a job store's data file."""
     from otterreach.cli import state
 
     if data:
         return _jobs_in_file(data)
     if not ids:
-        return fail(Failure(Code.UNKNOWN_JOB, "name batch jobs by their ids, or a data file with --data"))
+        return fail(Failure(Code.UNKNOWN_JOB, "no batch job given: expected ids, or a data file with --data"))
     rows: list[tuple[str, ...]] = [("batch job", "part", "owner", "listed", "items")]
     code = 0
-    for ident in ids:
-        found = asyncio.run(state.job(connection.controller_addresses(), ident))
+    for job_id in ids:
+        found = asyncio.run(state.job(connection.controller_addresses(), job_id))
         if isinstance(found, Failure):
-            code = fail(Failure(found.code, f"{ident}: {found.reason}"))
+            code = fail(Failure(found.code, f"{job_id}: {found.reason}"))
         else:
             rows.append(found)
     print(state.columns(iter(rows)))
@@ -95,11 +95,11 @@
 
 @app.command
 def watch(kind: str = "", *, connection: Connection = DEFAULT_CONNECTION) -> int:
-    """Every change of the control state as it comes; of one kind of items (server, part, member, ...) if named."""
+    """Print each change of the control state as it happens; only of one kind of items (server, part, ...) if given."""
     from otterreach.cli import state
 
     def show(item: Any) -> None:
-        """Print one change at once."""
+        """Print one change and flush the output."""
         print(state.item_line(item), flush=True)
 
     try:
@@ -128,13 +128,13 @@
     look: bool = False,
     connection: Connection = DEFAULT_CONNECTION,
 ) -> int:
-    """Empty a store machine; at `done` it may be taken away with its disk.
+    """Drain a store machine; once it reports `done`, the machine and its disk may be removed.
 
     Parameters
     ----------
-    over: seconds over which it may be done.
-    watch: go on until it is done.
-    look: only tell how far it is.
+    over: time over which the drain may be spread, in seconds.
+    watch: print the state until it is `done`.
+    look: only show the state of the retirement.
     """
     from otterreach.cli.caller import error_of
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -198,7 +198,7 @@
 
     def test_damaged_at_each_byte_of_a_record(self) -> None:
         whole = self.packed([*self.control(), (2, b"4")])
-        begin = next(e.at for e in data.walk(whole) if e.kind == 4)
+        begin = next(e.offset for e in data.walk(whole) if e.kind == 4)
         for at in range(begin, begin + 40):
             broken = bytearray(whole)
             broken[at] ^= 0x41
@@ -237,7 +237,7 @@
 
     def test_a_record_that_means_nothing_is_told(self) -> None:
         entry = data.Entry(0, 3, b"nothing", 0)
-        self.assertIn("unreadable=", data.line(data.CONTROL, entry))
+        self.assertIn("unreadable=", data.record_line(data.CONTROL, entry))
 
 
 class ConfigCommandsTest(Case):
