--- a/deploy/days/control.py
+++ b/deploy/days/control.py
@@ -1,6 +1,6 @@
-"""Days for the users' bench that try the control side: one group for each of the five points of docs/control.md.
+"""Days for the users' bench that test the control plane: one group for each of the five points of docs/control.md.
 
-python3 deploy/days/control.py OUT writes one TOML file a day. Nothing in it is of one site.
+python3 deploy/days/control.py OUT writes one TOML file per day. The days are independent of the site.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 
 
 def day(name: str, plan: list[str], faults: list[str], closing: str = "", slot: str = "trouble") -> str:
-    """The text of one day; every entry names its own moment."""
-    rows = [f"  {{ {entry} }},\n" for entry in plan]
-    troubles = [f"  {{ {entry} }},\n" for entry in faults]
-    tail = f"closing = {{ {closing} }}\n" if closing else ""
+    """Return the TOML text of one day; each entry contains its own time."""
+    plan_rows = [f"  {{ {entry} }},\n" for entry in plan]
+    fault_rows = [f"  {{ {entry} }},\n" for entry in faults]
+    closing_row = f"closing = {{ {closing} }}\n" if closing else ""
     seed = sum(name.encode()) * 7919
-    head = f'name = "{name}"\nslot = "{slot}"\nseed = {seed}\n{tail}'
-    return f"{head}plan = [\n{''.join(rows)}]\nfaults = [\n{''.join(troubles)}]\n"
+    head = f'name = "{name}"\nslot = "{slot}"\nseed = {seed}\n{closing_row}'
+    return f"{head}plan = [\n{''.join(plan_rows)}]\nfaults = [\n{''.join(fault_rows)}]\n"
 
 
 def changes(first: float, gap: float, count: int) -> list[str]:
-    """Changes of the configuration, of every sort in turn, `gap` seconds apart."""
+    """Return configuration changes `gap` seconds apart, cycling through all types."""
     return [
         f'at = {first + gap * n:.2f}, kind = "config_change", how = "{CHANGES[n % len(CHANGES)]}"' for n in range(count)
     ]
 
 
 def cut_off() -> dict[str, str]:
-    """Point 1: a machine of the core is cut off for twenty seconds."""
+    """Point 1: network partition of a controller or store machine for twenty seconds."""
     found = {}
     for how in ("leader race", "leader meet hard", "one_way leader race", "near leader", "all race", "lure", "both"):
         fault = f'at = 5.0, kind = "core_cut", count = 1, for_s = 20.0, how = "{how}"'
@@ -47,7 +47,7 @@
 
 
 def same_order_again() -> dict[str, str]:
-    """Point 2: two operators on one version, and orders that are sent again after lost answers."""
+    """Point 2: two operators change the same version, and orders are retried after lost answers."""
     lost = 'at = 2.0, kind = "ack_lost", share = 1.0, x = 0.7, for_s = 28.0'
     races = 'at = 4.0, kind = "config_race", count = 10, gap_s = 1.5'
     kill = 'at = 10.0, kind = "node_kill", on = "core", count = 1, for_s = 2.5, how = "leader race"'
@@ -66,7 +66,7 @@
 
 
 def second_loss() -> dict[str, str]:
-    """Point 3: one loss after another, each right after the repair of the one before."""
+    """Point 3: successive losses of machines, each right after the repair of the previous one."""
     found = {}
     for how in ("leader", "oldest", "planned leader", "planned"):
         faults = [f'at = {at}, kind = "replace_core", x = 1.0, how = "{how}"' for at in (4.0, 12.0, 20.0)]
@@ -93,7 +93,7 @@
 
 
 def many_changes() -> dict[str, str]:
-    """Point 4: hundreds of changes, and members that restart, lag or have slow disks among them."""
+    """Point 4: hundreds of changes while members restart, lag or have slow disks."""
     plan = changes(1.0, 0.2, 160)
     kills = [
         f'at = {at}, kind = "node_kill", on = "core", count = 1, for_s = 2.0, how = "{how}"'
@@ -121,7 +121,7 @@
 
 
 def wrong_caller() -> dict[str, str]:
-    """Point 5: answers that are lost, doubled or cut, and connections that are reset."""
+    """Point 5: lost, duplicated or truncated answers, and connection resets."""
     garble = [
         f'at = {at}, kind = "garble", share = 0.7, x = 0.06, for_s = 6.0, how = "{how}"'
         for at, how in ((3.0, "extra"), (11.0, "unframed"), (19.0, "early"))
@@ -141,7 +141,7 @@
 
 
 def measure() -> dict[str, str]:
-    """The same losses of the primary every time: acknowledgement times, time without a primary, repair."""
+    """A fixed sequence of primary losses, to measure acknowledgement times, time without a primary, and repair."""
     kills = [
         f'at = {4.0 + 4.0 * n}, kind = "node_kill", on = "core", count = 1, for_s = 2.0, how = "{how}"'
         for n, how in enumerate(("turn", "power turn", "turn", "power turn", "turn", "power turn"))
@@ -151,7 +151,7 @@
 
 
 def days() -> dict[str, str]:
-    """All days by name."""
+    """Return the text of all days by name."""
     found: dict[str, str] = {}
     for group in (cut_off, same_order_again, second_loss, many_changes, wrong_caller, measure):
         found |= group()
--- a/deploy/days/generate.py
+++ b/deploy/days/generate.py
@@ -1,6 +1,6 @@
-"""Days for the users' bench: each kind of trouble alone, doubled, and pairs at the same moment.
+"""Days for the users' bench: each kind of fault alone, repeated, and paired with another at the same time.
 
-python3 deploy/days/generate.py OUT writes one TOML file a day. Nothing in it is of one site.
+python3 deploy/days/generate.py OUT writes one TOML file per day. The days are independent of the site.
 """
 
 from __future__ import annotations
@@ -70,20 +70,20 @@
 
 
 def day(name: str, faults: list[str], plan: list[str], closing: str = "") -> str:
-    """One day's text; entries without a moment are put where traffic is on."""
+    """Return the TOML text of one day; entries are placed at times with traffic."""
 
     def rows(entries: list[str], at: list[float]) -> str:
         return "".join(f"  {{ at = {t}, {e} }},\n" for e, t in zip(entries, at, strict=False))
 
-    tail = f"closing = {{ {closing} }}\n" if closing else ""
+    closing_row = f"closing = {{ {closing} }}\n" if closing else ""
     return (
-        f'name = "{name}"\nslot = "trouble"\nseed = {sum(name.encode()) * 7919}\n{tail}'
+        f'name = "{name}"\nslot = "trouble"\nseed = {sum(name.encode()) * 7919}\n{closing_row}'
         f"plan = [\n{rows(plan, [4.0, 14.0, 22.0])}]\nfaults = [\n{rows(faults, [10.0, 10.4, 18.0])}]\n"
     )
 
 
 def days() -> dict[str, str]:
-    """Each file of this folder by its name, as it has to be."""
+    """Return the text of all days by name."""
     found: dict[str, str] = {}
     for name, entry in FAULTS.items():
         found[f"one-{name}"] = day(f"one-{name}", [entry], [])
--- a/deploy/days/servers.py
+++ b/deploy/days/servers.py
@@ -1,6 +1,8 @@
-"""Days for the users' bench on the ways between proxies and model servers: items find a server that can be reached.
+"""Days for the users' bench with network faults between proxies and model servers.
 
-python3 deploy/days/servers.py OUT writes one TOML file a day. Nothing in it is of one site.
+They test that items are assigned to model servers that can be reached.
+
+python3 deploy/days/servers.py OUT writes one TOML file per day. The days are independent of the site.
 """
 
 from __future__ import annotations
@@ -15,7 +17,7 @@
 
 
 def proxies_cut_off() -> dict[str, str]:
-    """Some proxies reach no model server, or some of them none of the counted machines."""
+    """Some proxies can't reach any model server, or can't reach any of the counted machines."""
     servers = [f'at = {at}, kind = "node_cut", share = 0.4, for_s = 4.0, how = "servers"' for at in (4.0, 14.0, 24.0)]
     counted = [f'at = {at}, kind = "node_cut", share = 0.3, for_s = 3.0' for at in (6.0, 17.0)]
     others = [f'at = {at}, kind = "node_cut", share = 0.3, for_s = 3.0, how = "all"' for at in (9.0, 21.0)]
@@ -26,7 +28,7 @@
 
 
 def servers_cut_off() -> dict[str, str]:
-    """Some model servers lose the way to some proxies, or packets on it."""
+    """Some model servers lose the connection to some proxies, or packets on it."""
     found = {}
     for how in ("fronts", "some", "some lossy", "some reset", "fronts one_way"):
         cuts = [f'at = {at}, {CUTS}, how = "{how}"' for at in (4.0, 13.0, 22.0)]
@@ -36,7 +38,7 @@
 
 
 def cuts_and_losses() -> dict[str, str]:
-    """Both kinds of cut, while a job store node or proxies that run items are lost."""
+    """Both kinds of network partition, while a job store node or proxies that run items are lost."""
     both = [
         'at = 5.0, kind = "node_cut", share = 0.5, for_s = 4.0, how = "servers"',
         f'at = 5.5, {CUTS}, how = "some"',
@@ -57,7 +59,7 @@
 
 
 def days() -> dict[str, str]:
-    """All days by name."""
+    """Return the text of all days by name."""
     return proxies_cut_off() | servers_cut_off() | cuts_and_losses()
 
 
--- a/otterreach/cli/app.py
+++ b/otterreach/cli/app.py
@@ -53,7 +53,9 @@
         except (OSError, yaml.YAMLError) as error:
             raise SystemExit(fail(Failure(Code.SETTINGS, f"{name}: {error}"))) from None
         if not isinstance(raw, dict):
-            raise SystemExit(fail(Failure(Code.SETTINGS, "no addresses given, and no settings file with a mapping")))
+            raise SystemExit(
+                fail(Failure(Code.SETTINGS, "no addresses given, and no settings file that is a YAML mapping"))
+            )
         return raw
 
     def ctl_addresses(self) -> list[str]:
--- a/otterreach/cli/caller.py
+++ b/otterreach/cli/caller.py
@@ -95,7 +95,7 @@
         loop = asyncio.get_running_loop()
         deadline = loop.time() + within_s
         delay_s = BACKOFF_S
-        maybe_done = False
+        outcome_unknown = False
         shuffled = self.random.sample(self.addresses, len(self.addresses))
         if not shuffled:
             return Failure(Code.UNREACHABLE, "no address given")
@@ -104,13 +104,13 @@
             answer = await self._follow(shuffled[attempt % len(shuffled)], method, path, body, headers)
             if not _is_retried(answer):
                 return answer
-            maybe_done = maybe_done or not isinstance(answer, Failure) or answer.maybe_done
+            outcome_unknown = outcome_unknown or not isinstance(answer, Failure) or answer.maybe_done
             if loop.time() + delay_s > deadline:
                 break
             await asyncio.sleep(delay_s * (0.5 + self.random.random() / 2))
             attempt = attempt + 1
             delay_s = min(MAX_BACKOFF_S, delay_s * 1.6)
-        if isinstance(answer, Failure) and (not maybe_done or answer.maybe_done):
+        if isinstance(answer, Failure) and (not outcome_unknown or answer.maybe_done):
             return answer
         status = "" if isinstance(answer, Failure) else f"; last status: {answer.status}"
         return Failure(Code.TIMED_OUT, f"no conclusive answer within {within_s:g} s{status}")
--- a/scripts/__init__.py
+++ b/scripts/__init__.py
@@ -1,1 +1,1 @@
-"""What is run from a checkout with the system's own Python: builds, the load test, the tests. Standard library only."""
+"""Scripts run from a checkout with the system's Python: builds, load test, tests. Standard library only."""
--- a/scripts/build.py
+++ b/scripts/build.py
@@ -1,8 +1,9 @@
-"""The builds that the deploy files name: python3 -m scripts.build balancer|system.
+"""Build steps that the deploy files run: python3 -m scripts.build balancer|system.
 
-Libraries are installed anew whenever requirements.txt or Python has changed; bytecode is compiled always. The file
-system is read-only at run time, so a process without bytecode would compile every module at each start. A copied tree
-has new times, so bytecode is checked by hash (our own) or not at all (libraries, which change only by a new build).
+Libraries are reinstalled if requirements.txt or the Python version has changed; bytecode is always compiled. The file
+system is read-only at run time, so without bytecode a process would compile every module at each start. Copying the
+tree changes file times, so bytecode of the project is validated by source hash, and that of libraries, which change
+only by a new build, not at all.
 """
 
 from __future__ import annotations
@@ -27,23 +28,23 @@
 TARGET = ROOT / "target"
 SIDECAR_SOURCES = ("otterreach/sidecar", "otterreach/balancer", "otterreach/__init__.py")
 SYSTEM_SOURCES = ("otterreach",)
-# Each library has a wheel, so that no compiler is needed; one without is an error, not a build from source.
+# Wheels only, since the target machines may have no compiler: a library without a wheel is an error.
 ONLY_WHEELS = ("--only-binary", ":all:", "--requirement", str(REQUIREMENTS))
 
 
 def compile_sources(python: str | Path, sources: tuple[str, ...]) -> None:
-    """Compiles our own modules; Python checks them by the hash of their source when it starts."""
+    """Compile modules of the project. Python validates this bytecode by the hash of the source at import."""
     run([python, "-m", "compileall", "-q", "--invalidation-mode", "checked-hash", *sources])
 
 
 def build_balancer() -> None:
-    """The sidecar alone: a virtual environment `.venv`."""
+    """Build the sidecar alone, with a virtual environment in `.venv`."""
     python = create_virtual_environment(ROOT / ".venv", REQUIREMENTS, ONLY_WHEELS)
     compile_sources(python, SIDECAR_SOURCES)
 
 
 def build_system() -> None:
-    """The whole system: libraries in `target/deps`, which is on Python's path at run time."""
+    """Build the whole system, with libraries in `target/deps`, which is on Python's path at run time."""
     stamp = TARGET / STAMP
     if not is_current(stamp, REQUIREMENTS):
         stamp.unlink(missing_ok=True)
@@ -56,10 +57,12 @@
 
 
 def main() -> None:
-    """Builds what the command line names."""
+    """Run the build named on the command line."""
     require_python()
     builds = {"balancer": build_balancer, "system": build_system}
-    parser = argparse.ArgumentParser(prog="python3 -m scripts.build", description="Builds what a deploy file runs.")
+    parser = argparse.ArgumentParser(
+        prog="python3 -m scripts.build", description="Build the processes of a deploy file."
+    )
     parser.add_argument("name", choices=sorted(builds))
     builds[parser.parse_args().name]()
 
--- a/scripts/play.py
+++ b/scripts/play.py
@@ -1,4 +1,4 @@
-"""The load test, in a virtual environment: python3 -m scripts.play [--venv DIR] [options of the load test]."""
+"""Run the load test in a virtual environment: python3 -m scripts.play [--venv DIR] [options of the load test]."""
 
 from __future__ import annotations
 
@@ -6,8 +6,10 @@
 
 
 def main() -> None:
-    """Plays the whole system on this machine."""
-    python, arguments = development_environment("python3 -m scripts.play", "Plays the whole system on this machine.")
+    """Run the load test of the whole system on this machine."""
+    python, arguments = development_environment(
+        "python3 -m scripts.play", "Run the load test of the whole system on this machine."
+    )
     run([python, "-m", "otterreach.loadtest", "play", *arguments])
 
 
--- a/scripts/test.py
+++ b/scripts/test.py
@@ -1,6 +1,6 @@
-"""Linter, formatter, types and tests: python3 -m scripts.test [--venv DIR] [options of pytest].
+"""Run linter, formatter, type checker and tests: python3 -m scripts.test [--venv DIR] [options of pytest].
 
-The tests run in one process for each core; whoever is free takes over tests of one that is not.
+The tests run in one process per core, with work stealing between the processes.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 
 def main() -> None:
-    """Runs each check; ends at the first that fails."""
-    python, arguments = development_environment("python3 -m scripts.test", "Checks the source and runs the tests.")
+    """Run each check; exit at the first failure."""
+    python, arguments = development_environment("python3 -m scripts.test", "Check the source and run the tests.")
     run([python, "-m", "ruff", "check", "."])
     run([python, "-m", "ruff", "format", "--check", "."])
     run([python, "-m", "mypy"])
