--- a/otterreach/cli/__main__.py
+++ b/otterreach/cli/__main__.py
@@ -27,7 +27,7 @@
     except SystemExit as ended:
         return int(ended.code) if isinstance(ended.code, int) else FAULT
     except Exception as error:
-        if type(error).__module__.startswith("cyclopts"):  # already printed: an error in the arguments
+        if type(error).__module__.startswith("cyclopts"):  # cyclopts has printed the argument error
             return FAULT
         raise
 
--- a/tests/cli/test_coordination_commands.py
+++ b/tests/cli/test_coordination_commands.py
@@ -33,7 +33,7 @@
 
 
 class ServiceThread:
-    """The fake service in a thread with a loop of its own, at a free port."""
+    """The fake service on a free port, in a thread with its own event loop."""
 
     def __init__(self) -> None:
         with socket.socket() as free:
@@ -86,7 +86,7 @@
     assert capfd.readouterr().out == "1 g1.a v1\n"
 
 
-def test_the_command_knows_its_lock_and_its_exit_code_is_passed_on(
+def test_the_command_gets_its_lock_in_the_environment_and_its_exit_code_is_returned(
     thread: ServiceThread, capfd: pytest.CaptureFixture[str]
 ) -> None:
     script = "echo $OTTERREACH_LOCK $OTTERREACH_OWNER $OTTERREACH_FENCE; exit 7"
@@ -96,14 +96,14 @@
     assert thread.service.holds == {}
 
 
-def test_a_lock_that_another_holds(thread: ServiceThread, tmp_path: Path) -> None:
+def test_a_lock_held_by_another_owner(thread: ServiceThread, tmp_path: Path) -> None:
     thread.service.holds["l1"] = Hold("a9", 5, thread.loop.time() + 60.0)
     mark = tmp_path / "ran"
     assert main(["lock", "l1", "--wait", "0.3", "--ctl", thread.ctl, "--", "touch", str(mark)]) == Code.LOCK_HELD
     assert not mark.exists()
 
 
-def test_no_command_and_one_that_is_not_there(thread: ServiceThread) -> None:
+def test_no_command_and_a_missing_program(thread: ServiceThread) -> None:
     assert main(["elect", "l1", "--ctl", thread.ctl]) == Code.SETTINGS
     assert main(["elect", "l1", "--ctl", thread.ctl, "--", "/no/such/program"]) == Code.SETTINGS
     assert thread.service.holds == {}
@@ -129,8 +129,8 @@
         assert watch.wait(START_S) == 0
 
 
-def test_the_command_ends_with_its_watcher(thread: ServiceThread, tmp_path: Path) -> None:
-    """Also when that is killed: nobody would renew the lease, or end the command."""
+def test_the_command_ends_with_its_parent(thread: ServiceThread, tmp_path: Path) -> None:
+    """If the parent is killed, nothing renews the lease or terminates the command, so the command must die with it."""
     mark = tmp_path / "pid"
     script = f"echo $$ > {mark}.new; mv {mark}.new {mark}; exec sleep 600"
     arguments = [sys.executable, "-m", "otterreach.cli", "elect", "l1", "--ctl", thread.ctl, "--", "sh", "-c", script]
@@ -164,8 +164,8 @@
     return function()
 
 
-class Stubborn:
-    """A process in virtual time that ends by SIGKILL alone."""
+class FakeProcess:
+    """A fake process in virtual time that ends on one signal only, by default SIGKILL."""
 
     pid = 4711
 
@@ -187,12 +187,12 @@
         return -self._ends_on
 
 
-def test_a_command_that_ignores_the_request_is_killed_before_the_hold_runs_out() -> None:
+def test_a_command_that_ignores_sigterm_is_killed_before_the_hold_expires() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         signals: list[tuple[int, float]] = []
-        process = Stubborn(signals)
+        process = FakeProcess(signals)
 
-        async def start(*_: Any, **__: Any) -> Stubborn:
+        async def start(*_: Any, **__: Any) -> FakeProcess:
             return process
 
         with (
@@ -202,7 +202,7 @@
             async with client.locks.hold("l1", HOLD_S) as lease:
                 running = asyncio.ensure_future(HeldCommand(lease, ["sleep"]).run())
                 await asyncio.sleep(5 * HOLD_S)
-                assert signals == [], "while the lease is renewed, the command is left alone"
+                assert signals == [], "no signal is sent while the lease is renewed"
                 free_at = service.holds["l1"].ends_at
                 service.faults.extend([SILENT] * 50)
                 assert await running is None
@@ -215,12 +215,12 @@
     play(body)
 
 
-def test_a_command_that_obeys_the_request_is_not_killed() -> None:
+def test_a_command_that_ends_on_sigterm_is_not_killed() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         signals: list[tuple[int, float]] = []
-        process = Stubborn(signals, ends_on=signal.SIGTERM)
+        process = FakeProcess(signals, ends_on=signal.SIGTERM)
 
-        async def start(*_: Any, **__: Any) -> Stubborn:
+        async def start(*_: Any, **__: Any) -> FakeProcess:
             return process
 
         with (
@@ -241,7 +241,7 @@
     assert len({coordination_commands._owner("") for _ in range(100)}) == 100
 
 
-def test_an_election_is_waited_for_until_it_is_won() -> None:
+def test_a_candidate_waits_until_it_is_elected() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         service.holds["l1"] = Hold("a9", 5, service.loop.time() + 1200.0)
         async with client.locks.hold("l1", HOLD_S, coordination_commands.ELECTION_WAIT_S) as lease:
--- a/tests/cli/test_losses.py
+++ b/tests/cli/test_losses.py
@@ -1,4 +1,4 @@
-"""`otterreach losses`: what it reads, that losses add up, what it prints and draws."""
+"""The command `otterreach losses`: reading of reports, sum of the losses, printed tables and the plot."""
 
 from __future__ import annotations
 
@@ -74,7 +74,7 @@
         self.assertEqual(code, 0)
         self.assertIn("machine-seconds", picture.read_text())
 
-    def test_what_is_no_report_is_named_with_the_reason(self) -> None:
+    def test_an_invalid_report_is_rejected_with_file_and_reason(self) -> None:
         incomplete = a_report()
         del incomplete["prices"]
         cases = {"lacks.json": json.dumps(incomplete), "cut.json": "{", "list.json": "[]"}
--- a/tests/cli/test_operations.py
+++ b/tests/cli/test_operations.py
@@ -1,4 +1,4 @@
-"""docs/operations.md against the source: its table of log lines, its codes, its commands."""
+"""Checks docs/operations.md against the source: its table of log events, its codes and its commands."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 def _names(argument: ast.expr) -> Iterator[str]:
-    """The strings that an event's name may be."""
+    """Yield the string constants in the expression of an event's name."""
     for node in ast.walk(argument):
         if isinstance(node, ast.Constant) and isinstance(node.value, str):
             yield node.value
 
 
 def _logged(text: str) -> set[str]:
-    """Events of a module, and those printed before the log is there."""
+    """Return the events that a module logs, including those printed before the logger exists."""
     found = set(re.findall(r'print\(f?"event=([a-z_]+)', text))
     for node in ast.walk(ast.parse(text)):
         if isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id == "log":
@@ -40,7 +40,7 @@
 
 @functools.cache
 def events() -> dict[str, set[str]]:
-    """Every event that is logged, with the packages that do."""
+    """Return all logged events with the packages that log them."""
     found: dict[str, set[str]] = {}
     for package in PACKAGES:
         for file in (ROOT / "otterreach" / package).rglob("*.py"):
@@ -50,7 +50,7 @@
 
 
 def rows() -> list[tuple[str, str]]:
-    """(event, from) of the page's table."""
+    """Return the (event, programs) rows of the page's table."""
     section = PAGE.partition("## What the lines mean")[2].partition("\n## ")[0]
     return re.findall(r"^\| `([a-z_]+)` \| ([a-z, ]+) \|", section, re.MULTILINE)
 
@@ -60,22 +60,22 @@
 
 
 class OperationsPageTest(unittest.TestCase):
-    def test_each_log_line_is_explained(self) -> None:
+    def test_each_logged_event_is_documented(self) -> None:
         self.assertEqual(sorted(set(events()) - set(table())), [])
 
-    def test_nothing_is_explained_that_is_not_there(self) -> None:
+    def test_each_documented_event_is_logged(self) -> None:
         self.assertEqual(sorted(set(table()) - set(events())), [])
 
-    def test_each_comes_from_where_the_page_says(self) -> None:
-        for event, told in rows():
+    def test_the_documented_programs_log_the_event(self) -> None:
+        for event, programs in rows():
             packages = events()[event]
-            if "runtime" not in packages:  # what all share is logged by whoever uses it
-                self.assertEqual(told.split(", "), sorted(PROGRAMS[package] for package in packages), event)
+            if "runtime" not in packages:  # events of the shared runtime may be logged by any program
+                self.assertEqual(programs.split(", "), sorted(PROGRAMS[package] for package in packages), event)
 
     def test_in_order_and_once(self) -> None:
         self.assertEqual(table(), sorted(set(table())))
 
-    def test_own_codes(self) -> None:
+    def test_exit_codes_are_documented(self) -> None:
         rows = re.findall(r"^\| (\d+) \| `([A-Z_]+)` \|", PAGE, re.MULTILINE)
         self.assertEqual([(int(n), name) for n, name in rows], [(code.value, code.name) for code in ExitCode])
 
--- a/tests/client/fake_service.py
+++ b/tests/client/fake_service.py
@@ -1,4 +1,4 @@
-"""A small coordination service in memory, at several addresses, whose faults a test sets. Time is virtual."""
+"""An in-memory coordination service at several addresses, with fault injection, in virtual time."""
 
 from __future__ import annotations
 
@@ -23,9 +23,10 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """What happens to one call: `delay_s` before it is done, `answer_delay_s` after; `status`: not done, answered so.
+    """Fault injected into one call.
 
-    `lost_status`: answered so although it was done.
+    The call is delayed by `delay_s` before its execution and by `answer_delay_s` after it. With `status`, it is
+    answered with that status and not executed; with `lost_status`, it is executed and answered with that status.
     """
 
     delay_s: float = 0.0
@@ -55,10 +56,10 @@
 
 
 class FakeService:
-    """The state that all addresses share, and the faults of the next calls, in their order."""
+    """State shared by all addresses, and the faults to inject into the next calls, in order."""
 
     def __init__(self, loop: virtual.MemoryLoop) -> None:
-        self.loop = loop  # only its clock is used here: tests of the command line give it a real one
+        self.loop = loop  # only its clock is used, so tests of the command line can pass a real event loop
         self.faults: deque[Fault] = deque()
         self.calls: list[Call] = []
         self.holds: dict[str, Hold] = {}
@@ -67,7 +68,7 @@
         self.cells: dict[str, tuple[str, int]] = {}
         self.revisions: dict[str, int] = defaultdict(int)
         self.history: dict[str, list[dict[str, Any]]] = defaultdict(list)
-        self.forgotten: dict[str, int] = defaultdict(int)  # by group: puts up to this revision are gone
+        self.forgotten: dict[str, int] = defaultdict(int)  # by group: history up to this revision is discarded
         self.changed = asyncio.Event()
 
     async def listen(self, addresses: Sequence[str] = ADDRESSES) -> None:
@@ -164,7 +165,7 @@
 
 
 def play(body: Body) -> None:
-    """Run a test against a service and one client of it, in virtual time."""
+    """Run a test with a service and a client of it, in virtual time."""
     loop = virtual.MemoryLoop()
 
     async def main() -> None:
--- a/tests/client/test_locks.py
+++ b/tests/client/test_locks.py
@@ -1,4 +1,4 @@
-"""Locks and leases: who counts itself holder, until when, and what it does at the end."""
+"""Locks and leases: acquisition, renewal, local expiry, loss and release."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     play(body)
 
 
-def test_waits_while_another_holds_and_gets_it_after() -> None:
+def test_acquisition_waits_until_another_holder_releases_the_lock() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         service.holds["l1"] = Hold("a9", 0, service.loop.time() + 2.0)
         begun = service.loop.time()
@@ -77,7 +77,7 @@
     play(body)
 
 
-def test_no_clear_answer_to_the_acquisition_is_reported_as_that() -> None:
+def test_acquisition_without_a_conclusive_answer_raises_outcome_unknown() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         service.faults.extend([ANSWER_LOST] * 20)
         with pytest.raises(OutcomeUnknownError):
@@ -114,15 +114,15 @@
     play(body)
 
 
-def test_a_renewal_answered_after_the_time_counts_for_nothing() -> None:
+def test_a_renewal_answered_after_the_local_expiry_is_ignored() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         async with client.locks.hold("l1", hold_s=0.9) as lease:
             service.faults.append(Fault(answer_delay_s=0.7))
             await lease.lost.wait()
             await asyncio.sleep(0.2)
             assert not lease.held
-            assert service.holds["l1"].ends_at > service.loop.time(), "the service did take the renewal"
-        assert "l1" not in service.holds, "and is told that nobody wants it"
+            assert service.holds["l1"].ends_at > service.loop.time(), "the service accepted the renewal"
+        assert "l1" not in service.holds, "the expired lease is released at the service"
 
     play(body)
 
@@ -136,7 +136,7 @@
     play(body)
 
 
-def test_a_renewal_whose_answer_waited_through_a_freeze_counts_for_nothing() -> None:
+def test_a_renewal_whose_answer_is_processed_after_a_freeze_is_ignored() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         transport = client._transport
         call = transport.call
@@ -168,7 +168,7 @@
     play(body)
 
 
-def test_other_address_after_a_refusal_a_failure_and_a_second_of_silence() -> None:
+def test_another_address_is_called_after_a_rejection_a_failure_and_a_time_out() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         for fault in (Fault(status=503), Fault(status=429), Fault(status=500), Fault(status=504), SILENT):
             service.calls.clear()
@@ -203,7 +203,7 @@
     play(body)
 
 
-def test_the_result_of_work_is_given_back() -> None:
+def test_run_returns_the_result_of_the_work() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         async def work() -> int:
             await asyncio.sleep(2 * HOLD_S)
@@ -216,7 +216,7 @@
 
 
 def test_two_tasks_of_one_owner_never_hold_one_lock_together() -> None:
-    """The service gives a held lock to its holder again, so only the client can keep them apart."""
+    """The service grants a held lock to its owner again, so the client has to exclude a second task of that owner."""
 
     async def body(service: FakeService, client: CoordinationClient) -> None:
         leases: list[Lease] = []
--- a/tests/client/test_numbers_and_cells.py
+++ b/tests/client/test_numbers_and_cells.py
@@ -1,4 +1,4 @@
-"""Numbers and cells: what is repeated, with what, for how long, and what the caller is told."""
+"""Numbers and cells: which calls are retried, with which values, for how long, and what is returned or raised."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     play(body)
 
 
-def test_a_clear_answer_is_never_followed_by_a_repeat() -> None:
+def test_a_call_is_not_retried_after_a_conclusive_answer() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         await client.cells.put("g1.a", "v1", ABSENT_REVISION)
         with pytest.raises(RevisionConflictError) as conflict:
@@ -50,7 +50,7 @@
     play(body)
 
 
-def test_a_rejected_call_is_told_with_its_reason() -> None:
+def test_a_rejected_call_raises_the_reason() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         service.faults.append(Fault(status=400))
         with pytest.raises(RequestRejectedError, match="a fault") as rejected:
@@ -61,7 +61,7 @@
     play(body)
 
 
-def test_refusals_alone_mean_that_nothing_was_done() -> None:
+def test_rejections_alone_raise_unavailable() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         service.faults.extend([Fault(status=503), Fault(status=429)] * 50)
         with pytest.raises(UnavailableError):
@@ -71,7 +71,7 @@
     play(body)
 
 
-def test_one_silence_among_refusals_leaves_the_outcome_unknown() -> None:
+def test_one_time_out_among_rejections_leaves_the_outcome_unknown() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         service.faults.append(ANSWER_LOST)
         service.faults.extend([Fault(status=503)] * 50)
@@ -96,7 +96,7 @@
     play(body)
 
 
-def test_an_address_where_nobody_listens_is_passed_over_and_not_asked_again_at_once() -> None:
+def test_an_unreachable_address_is_skipped_and_not_called_again_at_once() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         for _ in range(3):
             await client.numbers.next("n1")
--- a/tests/client/test_page.py
+++ b/tests/client/test_page.py
@@ -1,4 +1,4 @@
-"""docs/coordination-client.md: its examples run, against the fake service and in virtual time."""
+"""Runs the examples of docs/coordination-client.md against the fake service, in virtual time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def examples() -> dict[str, Any]:
-    """The functions that the blocks define, in one namespace, with what they call of an application."""
+    """Return a namespace with the functions of all code blocks and stubs of the application functions they call."""
     calls: list[tuple[Any, ...]] = []
 
     async def send_alerts() -> None:
--- a/tests/client/test_watches.py
+++ b/tests/client/test_watches.py
@@ -1,4 +1,4 @@
-"""Watches: each put once and in order, through failures, and a new beginning where the history is gone."""
+"""Watches: each put is reported once and in order across failures; the watch restarts if the history is discarded."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         return await anext(reports)
 
 
-def test_a_new_watch_begins_with_a_read_and_goes_on_with_every_put() -> None:
+def test_a_new_watch_starts_with_a_read_and_then_reports_every_put() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         service.put("g1.a", "v1")
         reports = client.watches.watch("g1.", keys=("g1.a", "g1.b"))
@@ -35,12 +35,12 @@
         begun = service.loop.time()
         assert await next_report(reports) == Changed(2, (Cell("g1.a", "v2", 2),))
         assert service.loop.time() - begun < 5.6
-        assert len(service.calls) == 1 + 5.5 // LONG_POLL_S, "it waits at the service and doesn't poll"
+        assert len(service.calls) == 1 + 5.5 // LONG_POLL_S, "the watch uses long polls"
 
     play(body)
 
 
-def test_a_watch_goes_on_from_the_last_revision_through_failures() -> None:
+def test_a_watch_resumes_from_the_last_revision_after_failures() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         service.put("g1.a", "v1")
         reports = client.watches.watch("g1.", past=1)
@@ -54,7 +54,7 @@
     play(body)
 
 
-def test_a_watch_begins_anew_from_a_read_where_the_history_is_gone() -> None:
+def test_a_watch_restarts_with_a_read_if_the_history_was_discarded() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         for value in ("v1", "v2", "v3"):
             service.put("g1.a", value)
@@ -77,7 +77,7 @@
     play(body)
 
 
-def test_the_read_of_a_new_beginning_is_repeated_until_it_is_answered() -> None:
+def test_the_read_of_a_restart_is_retried_until_it_is_answered() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         service.put("g1.a", "v1")
         service.faults.append(Fault())
