--- a/otterreach/cli/held_command.py
+++ b/otterreach/cli/held_command.py
@@ -65,7 +65,7 @@
             await asyncio.sleep(left_s - min_left_s)
 
     async def _terminate(self, ended: asyncio.Future[int]) -> None:
-        """Send SIGTERM, and SIGKILL once the command has ended or the lease is lost. The process has ended on return."""
+        """Send SIGTERM, and SIGKILL once the command has ended or the lease is lost; return after its end."""
         if not ended.done():
             self._signal_group(signal.SIGTERM)
             lost = asyncio.ensure_future(self.lease.lost.wait())
--- a/otterreach/client/errors.py
+++ b/otterreach/client/errors.py
@@ -25,7 +25,7 @@
 
 
 class LockHeldError(CoordinationError):
-    """Another owner held the lock until the wait time of the caller was over."""
+    """Another owner, or another task of this process, held the lock for the caller's whole wait time."""
 
 
 class LeaseLostError(CoordinationError):
--- a/otterreach/client/lease.py
+++ b/otterreach/client/lease.py
@@ -17,7 +17,7 @@
 from otterreach.client.transport import Answer, Call, JsonValue, Transport
 
 T = TypeVar("T")
-MARGIN_SHARE = 0.1  # fraction of the hold time, for work to stop in after the local expiry of the lease
+MARGIN_SHARE = 0.1  # fraction of the hold time reserved for work to stop after the local expiry of the lease
 MIN_MARGIN_S = 0.05
 RENEWALS_PER_HOLD = 3
 RELEASE_TIMEOUT_S = 2.0
@@ -63,7 +63,7 @@
             raise LeaseLostError(f"{self.name}: lease has ended")
 
     async def renew(self) -> None:
-        """Extend the hold; raise LeaseLostError if no answer arrives before the local expiry of the lease.
+        """Extend the hold; raise LeaseLostError if it is rejected, or not answered before the local expiry.
 
         An answer after the local expiry is ignored, although the service may have extended the hold: the application
         was already notified of the loss, and work that it stopped must not resume under the same lease.
--- a/scripts/build.py
+++ b/scripts/build.py
@@ -60,9 +60,7 @@
     """Run the build named on the command line."""
     require_python()
     builds = {"balancer": build_balancer, "system": build_system}
-    parser = argparse.ArgumentParser(
-        prog="python3 -m scripts.build", description="Build the processes of a deploy file."
-    )
+    parser = argparse.ArgumentParser(prog="python3 -m scripts.build", description="Build what a deploy file runs.")
     parser.add_argument("name", choices=sorted(builds))
     builds[parser.parse_args().name]()
 
--- a/scripts/play.py
+++ b/scripts/play.py
@@ -7,9 +7,7 @@
 
 def main() -> None:
     """Run the load test of the whole system on this machine."""
-    python, arguments = development_environment(
-        "python3 -m scripts.play", "Run the load test of the whole system on this machine."
-    )
+    python, arguments = development_environment("python3 -m scripts.play", "Run the whole system on this machine.")
     run([python, "-m", "otterreach.loadtest", "play", *arguments])
 
 
