--- a/otterreach/simulation/coordination.py
+++ b/otterreach/simulation/coordination.py
@@ -1,7 +1,8 @@
-"""Locks, numbers, keys and watches under faults: applications call the controllers, and checkers judge the answers.
+"""Simulation of locks, numbers, keys and watches under faults.
 
-The controllers, their faults and what is checked of them are those of `control`. Some runs end with a final fault: all
-controllers lose power at once, and as many of their disks as the system has to survive are lost.
+Applications call the controllers, and checkers verify the history of the answers. The controllers, their faults and the
+checks of their own state are those of `control`. Some runs end with a final fault: all controllers lose power at once,
+and as many of their disks as the system has to survive are wiped.
 """
 
 from __future__ import annotations
@@ -20,18 +21,18 @@
 
 HISTORY_S = 20.0
 FREE_S = 1.5
-CONTACT_S = 4.0  # without any fault, until the core is stable
+CONTACT_S = 4.0  # from the end of the last fault until the core counts as stable
 SLAS = control.SLAS | {"contactMs": CONTACT_S * 1000.0, "historyS": HISTORY_S, "freeMs": FREE_S * 1000.0}
 BOUNDS = Bounds(HISTORY_S, FREE_S)
-CHECK_S = 4.0  # between looks at the whole history
-CALM_LOOK_S = 0.1  # between looks whether anything is wrong
+CHECK_S = 4.0  # interval between checks of the whole history
+CALM_CHECK_S = 0.1  # interval between checks for active faults
 FINAL_FAULT_SHARE = 0.3
 FINAL_FAULT_S = 1.0
 RECOVER_S = 10.0
 
 
 class CoordinationScenario(control.Scenario):
-    """One run."""
+    """One run of the coordination simulation."""
 
     def __init__(self, world: World, setup: control.Setup, population: PopulationSetup) -> None:
         super().__init__(world, setup)
@@ -54,17 +55,17 @@
         self.population = Population(
             self.population_setup, Random(self.world.seed ^ 0xC00), self._addresses, HISTORY_S, self._over
         )
-        works = [*self.population.works(), self._note_calm(), self._check_coordination()]
-        people = [Process(f"application-{n}", f"10.7.0.{n + 1}") for n in range(len(works))]
-        return tasks + [person.start(self.world.loop, work) for person, work in zip(people, works, strict=True)]
+        works = [*self.population.works(), self._record_calm_spans(), self._check_coordination()]
+        processes = [Process(f"application-{n}", f"10.7.0.{n + 1}") for n in range(len(works))]
+        return tasks + [process.start(self.world.loop, work) for process, work in zip(processes, works, strict=True)]
 
-    async def _note_calm(self) -> None:
+    async def _record_calm_spans(self) -> None:
         while not self.stopping:
-            await asyncio.sleep(CALM_LOOK_S)
-            self._note_calm_now()
+            await asyncio.sleep(CALM_CHECK_S)
+            self._record_calm_span()
 
-    def _note_calm_now(self) -> None:
-        """Extend the present span without faults, or begin one."""
+    def _record_calm_span(self) -> None:
+        """Extend the current fault-free span, or begin a new one after a fault."""
         if self.injector is None or self.injector.active:
             return
         begin = max(self.injector.last_change, self.injector.start)
@@ -77,23 +78,23 @@
     async def _check_coordination(self) -> None:
         while not self.stopping:
             await asyncio.sleep(CHECK_S)
-            self._judge()
+            self._report_first_violation()
 
-    def _judge(self) -> None:
-        """The first violation ends the run."""
+    def _report_first_violation(self) -> None:
+        """End the run with the first violation, if there is any."""
         for violation in find_violations(self.population.history, self.calm, BOUNDS):
             self.world.expect(False, violation.rule.value, violation.what)
             return
 
     async def _final(self) -> None:
         await self.population.audit()
-        self._note_calm_now()
-        self._judge()
+        self._record_calm_span()
+        self._report_first_violation()
         await super()._final()
 
 
 def run(seed: int, plan: Plan | None = None, setup: control.Setup | None = None) -> tuple[World, Plan]:
-    """Play one seed, with its own plan of faults and setup or others."""
+    """Run one seed; `plan` and `setup` replace the ones that are drawn from it."""
     random = Random(seed ^ 0xC0DE)
     drawn = setup or replace(control.Setup.draw(random), operators=1, proxies=0, servers=0)
     world = World(seed, drawn.survive_nodes, SLAS, drawn.survive_zones)
--- a/otterreach/simulation/coordination_audit.py
+++ b/otterreach/simulation/coordination_audit.py
@@ -1,4 +1,4 @@
-"""The end of a run: everything that was acknowledged is asked for again, each for some seconds at least."""
+"""Final audit: at the end of a run, every lock, number, key and watch is requested until it gives a definite answer."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from otterreach.simulation.coordination_history import Call, CoordinationHistory, Rule, Violation
 from otterreach.simulation.coordination_key_callers import Watcher, read_key
 
-REPEAT_S = 3.0  # a call without a clear answer is repeated for so long
-AGAIN_S = 0.1
+RETRY_FOR_S = 3.0  # a call without a definite answer is retried for this long
+RETRY_DELAY_S = 0.1
 HOLD_S = 0.5
 WAIT_S = 0.5
 OWNER = "auditor"
-CLEAR = (HTTPStatus.OK, HTTPStatus.CONFLICT, HTTPStatus.NOT_FOUND, HTTPStatus.GONE)
+DEFINITE_STATUSES = (HTTPStatus.OK, HTTPStatus.CONFLICT, HTTPStatus.NOT_FOUND, HTTPStatus.GONE)
 
-Ask = Callable[[], Awaitable[Call]]
+SendCall = Callable[[], Awaitable[Call]]
 
 
 class FinalAudit:
-    """Asks for locks, numbers, keys and watches; what the answers show is judged with the rest of the history."""
+    """Calls every lock, number, key and watch; the answers become part of the history that the checkers verify."""
 
     def __init__(self, client: CoordinationClient) -> None:
         self.client = client
@@ -32,35 +32,37 @@
     async def run(
         self, locks: Sequence[str], numbers: Sequence[str], keys: Sequence[str], watchers: Sequence[Watcher]
     ) -> None:
-        """Ask for everything, each until a clear answer has come."""
+        """Call each resource until it gives a definite answer."""
         for lock in locks:
-            await self._until_clear(partial(self._lock, lock))
+            await self._retry_until_definite(partial(self._acquire_lock, lock))
         for name in numbers:
-            await self._until_clear(partial(request_number, self.client, name, final=True))
+            await self._retry_until_definite(partial(request_number, self.client, name, final=True))
         for key in keys:
-            await self._until_clear(partial(read_key, self.client, key, final=True))
+            await self._retry_until_definite(partial(read_key, self.client, key, final=True))
         for watcher in watchers:
-            await self._watches(watcher)
+            await self._check_watcher(watcher)
 
-    async def _watches(self, watcher: Watcher) -> None:
-        """From the present, and from the oldest and the newest revision that it has kept."""
-        await self._until_clear(partial(watcher.watch, 0, WAIT_S, final=True))
-        saved = watcher.saved()
-        for revision in sorted({one.revision for one in (*saved[:1], *saved[-1:])}):
-            await self._until_clear(partial(watcher.watch, revision, WAIT_S, final=True))
+    async def _check_watcher(self, watcher: Watcher) -> None:
+        """Watch from the current revision, and from the oldest and the newest revision that can be resumed from."""
+        await self._retry_until_definite(partial(watcher.watch, 0, WAIT_S, final=True))
+        resumable = watcher.resumable_revisions()
+        for revision in sorted({received.revision for received in (*resumable[:1], *resumable[-1:])}):
+            await self._retry_until_definite(partial(watcher.watch, revision, WAIT_S, final=True))
 
-    async def _lock(self, lock: str) -> Call:
+    async def _acquire_lock(self, lock: str) -> Call:
         await acquire_once(self.client, OWNER, lock, HOLD_S, final=True)
         return self.history.acquires[-1]
 
-    async def _until_clear(self, ask: Ask) -> None:
+    async def _retry_until_definite(self, send_call: SendCall) -> None:
         loop = asyncio.get_running_loop()
-        give_up = loop.time() + REPEAT_S
+        give_up = loop.time() + RETRY_FOR_S
         while True:
-            call = await ask()
-            if call.status in CLEAR:
+            call = await send_call()
+            if call.status in DEFINITE_STATUSES:
                 return
             if loop.time() > give_up:
-                self.history.violations.append(Violation(Rule.LOST, f"no answer for {REPEAT_S} s at the end: {call}"))
+                self.history.violations.append(
+                    Violation(Rule.LOST, f"no definite answer within {RETRY_FOR_S} s at the end of the run: {call}")
+                )
                 return
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RETRY_DELAY_S)
--- a/otterreach/simulation/coordination_check.py
+++ b/otterreach/simulation/coordination_check.py
@@ -1,4 +1,4 @@
-"""All rules of coordination, held against one history."""
+"""Verification of one history against all rules of coordination."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The bounds of a deployment, in seconds."""
+    """Time bounds that a deployment guarantees."""
 
-    history_s: float  # how long a watch can resume from a revision that was given
-    free_s: float  # how long after a hold's end its lock may still be refused
+    history_s: float  # a watch can resume from a revision for this long after receiving it
+    free_s: float  # a lock may still be refused for this long after the end of a hold
 
 
 def find_violations(history: CoordinationHistory, calm: Sequence[CalmSpan], bounds: Bounds) -> Iterator[Violation]:
-    """What breaks a rule, the plainest first."""
+    """Yield all violations, those that are the simplest to understand first."""
     return chain(
         history.violations,
-        _unexpected_answers(history),
+        _find_unexpected_answers(history),
         find_lock_violations(history),
         find_number_violations(history),
         find_key_violations(history),
@@ -48,16 +48,16 @@
     )
 
 
-def _unexpected_answers(history: CoordinationHistory) -> Iterator[Violation]:
-    """Well-formed calls are never answered that they are wrong, or that there is no such resource."""
+def _find_unexpected_answers(history: CoordinationHistory) -> Iterator[Violation]:
+    """Yield each client error status that a well-formed call must not get, such as 400, or 404 for a lock."""
     for call in history.calls():
         wrong = HTTPStatus.BAD_REQUEST <= call.status < HTTPStatus.INTERNAL_SERVER_ERROR
-        if wrong and call.status not in _expected(call):
+        if wrong and call.status not in _expected_statuses(call):
             yield Violation(Rule.PROTOCOL, str(call))
 
 
-def _expected(call: Call) -> tuple[HTTPStatus, ...]:
-    """The statuses below 500 with which such a call may be answered, beside 200."""
+def _expected_statuses(call: Call) -> tuple[HTTPStatus, ...]:
+    """Return the client error statuses that are valid answers to a call of this kind."""
     if isinstance(call, Read):
         return (HTTPStatus.NOT_FOUND, HTTPStatus.TOO_MANY_REQUESTS)
     if isinstance(call, Watch):
--- a/otterreach/simulation/coordination_history.py
+++ b/otterreach/simulation/coordination_history.py
@@ -1,7 +1,7 @@
-"""Calls of locks, numbers, keys and watches as their callers saw them: what the checkers of coordination judge.
+"""History of the calls of locks, numbers, keys and watches as their callers saw them, for the checkers of coordination.
 
-Each copy of a call that went over the wire is one record, with the moments of its sending and of its answer by the
-virtual clock. A record without an answer has status 0: its call may have been taken, at any later time, or never.
+Each copy of a call that was sent is one record, with the times of its sending and of its answer by the virtual clock.
+A record without an answer has status 0: its call may have been applied, at any time after its sending, or never.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from math import inf
 
 SILENCE = 0  # the status of a copy that was not answered, or whose answer was lost
-ARRIVES_WITHIN_S = 20.0  # longer than any machine stands still: so late a copy without an answer may still be taken
-NEVER_TAKEN = (HTTPStatus.PRECONDITION_FAILED, HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
+MAX_ARRIVAL_DELAY_S = 20.0  # an unanswered copy may be applied this late: longer than any machine is frozen
+NOT_APPLIED_STATUSES = (HTTPStatus.PRECONDITION_FAILED, HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 class Rule(Enum):
-    """The rules that a history is held against."""
+    """The rules that a history is checked against."""
 
     ONE = "one holder"
     ORDER = "rising order"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken, and by which calls."""
+    """A violated rule, and a description with the calls that violate it."""
 
     rule: Rule
     what: str
@@ -40,39 +40,39 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class Call:
-    """One copy of a call. `final`: asked at the end of the run, when nothing acknowledged may be missing."""
+    """One copy of a call. `final`: sent by the final audit, which must see everything that was acknowledged."""
 
     sent: float
     answered: float = inf
     status: int = SILENCE
-    over: float = inf  # when the caller's connection was closed: the copy can't leave the caller any more
-    was_decided: bool = False  # an answer came until then, though it may have been lost, or too late for the caller
-    faulty: bool = False  # the simulation lost its answer, or sent it late: it says nothing of the service's speed
+    over: float = inf  # when the exchange ended: from then on the copy can't leave the caller any more
+    was_answered: bool = False  # an answer came by then, even if it was dropped or too late for the caller
+    fault_injected: bool = False  # the simulation dropped its answer or delayed the copy: its latency is not judged
     final: bool = False
 
     @property
     def is_ok(self) -> bool:
-        """Whether it was answered 200."""
+        """True if the answer was 200."""
         return self.status == HTTPStatus.OK
 
     @property
     def is_refused(self) -> bool:
-        """Whether its answer promises that it was not taken and never will be."""
-        return self.status in NEVER_TAKEN
+        """True if the answer guarantees that the call was not applied and never will be."""
+        return self.status in NOT_APPLIED_STATUSES
 
     @property
-    def is_unclear(self) -> bool:
-        """Whether it may have been taken, or not: silence, or a failure that promises nothing."""
+    def is_indeterminate(self) -> bool:
+        """True if the call may or may not have been applied: no answer, or a failure without a guarantee."""
         return self.status == SILENCE or (self.status >= HTTPStatus.INTERNAL_SERVER_ERROR and not self.is_refused)
 
     @property
-    def taken_by(self) -> float:
-        """Until when it may be taken."""
-        return self.over if self.was_decided else self.sent + ARRIVES_WITHIN_S
+    def applied_by(self) -> float:
+        """The latest time at which the call may be applied."""
+        return self.over if self.was_answered else self.sent + MAX_ARRIVAL_DELAY_S
 
     @property
     def span(self) -> str:
-        """When it was sent and answered, for messages."""
+        """The times of sending and answer, and the status, for messages."""
         return f"{self.sent:.3f} to {self.answered:.3f}, status {self.status}"
 
 
@@ -83,7 +83,7 @@
     lock: str
     owner: str
     hold_s: float
-    fence: int = 0  # as answered
+    fence: int = 0  # fencing token of the answer
 
     def __str__(self) -> str:
         return f"acquire of {self.lock} by {self.owner} for {self.hold_s:.2f} s: fence {self.fence} ({self.span})"
@@ -119,7 +119,7 @@
     """POST /numbers/ID."""
 
     name: str
-    value: int = 0  # as answered
+    value: int = 0  # of the answer
 
     def __str__(self) -> str:
         return f"number {self.value} of {self.name} ({self.span})"
@@ -127,14 +127,14 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class PutCopy(Call):
-    """PUT /cells/ID: one of the copies of a put."""
+    """PUT /cells/ID: one copy of a put."""
 
-    revision: int = 0  # as answered: its own with 200, the key's with 412
+    revision: int = 0  # of the answer: the revision of the put with 200, that of the key with 412
 
 
 @dataclass(slots=True, eq=False)
 class Put:
-    """A compare-and-put with a value of its own, and all copies of it that were sent."""
+    """A compare-and-put whose value no other put has, and all copies of it that were sent."""
 
     key: str
     value: str
@@ -143,17 +143,17 @@
 
     @property
     def sent(self) -> float:
-        """When its first copy was sent."""
+        """The time at which the first copy was sent."""
         return min(copy.sent for copy in self.copies)
 
     @property
     def acknowledged(self) -> float:
-        """When it was first answered 200; inf if it never was."""
+        """The time of the first 200; inf if there was none."""
         return min((copy.answered for copy in self.copies if copy.is_ok), default=inf)
 
     @property
     def is_rejected(self) -> bool:
-        """Whether its answers promise that it was not taken and never will be."""
+        """True if the answers guarantee that the put was not applied and never will be."""
         if any(copy.status == HTTPStatus.PRECONDITION_FAILED for copy in self.copies):
             return True
         return all(copy.is_refused for copy in self.copies)
@@ -165,7 +165,7 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class Read(Call):
-    """GET /cells/ID. A 404 is a read at revision 0."""
+    """GET /cells/ID. A 404 counts as a read at revision 0."""
 
     key: str
     value: str = ""
@@ -177,7 +177,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """A put as a watch tells of it."""
+    """A put as reported by a watch."""
 
     key: str
     value: str
@@ -186,28 +186,30 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class Watch(Call):
-    """GET /watch/GROUP. `past_given`: when its caller was last told the revision `past`; -inf if it never was."""
+    """GET /watch/GROUP. `past_received_at`: when the caller last received the revision `past`; -inf if it never did."""
 
     group: str
     past: int
     wait_s: float
-    past_given: float = -inf
-    revision: int = 0  # as answered
+    past_received_at: float = -inf
+    revision: int = 0  # of the answer
     events: tuple[WatchEvent, ...] = ()
 
     @property
-    def decided_after(self) -> float:
-        """The earliest moment at which its answer can have been decided: without events, that its time was over."""
+    def earliest_decision(self) -> float:
+        """The earliest time at which the answer can have been determined: without events, the end of the wait."""
         return self.sent + self.wait_s if self.past and not self.events else self.sent
 
     def __str__(self) -> str:
-        told = [event.revision for event in self.events]
-        return f"watch of {self.group} past {self.past}: {told} up to {self.revision} ({self.span})"
+        revisions = [event.revision for event in self.events]
+        return (
+            f"watch of {self.group} past {self.past}: events {revisions}, up to revision {self.revision} ({self.span})"
+        )
 
 
 @dataclass(slots=True)
 class CoordinationHistory:
-    """All calls of a run, in the order of their sending."""
+    """All calls of a run, each list in the order of sending."""
 
     acquires: list[Acquire] = field(default_factory=list)
     renewals: list[Renewal] = field(default_factory=list)
@@ -216,20 +218,20 @@
     puts: list[Put] = field(default_factory=list)
     reads: list[Read] = field(default_factory=list)
     watches: list[Watch] = field(default_factory=list)
-    violations: list[Violation] = field(default_factory=list)  # noticed by the callers themselves
+    violations: list[Violation] = field(default_factory=list)  # malformed or missing answers, detected by the callers
 
     def calls(self) -> list[Call]:
-        """Every copy of every call."""
+        """Return every copy of every call."""
         copies = [copy for put in self.puts for copy in put.copies]
         locks = [*self.acquires, *self.renewals, *self.releases]
         return [*locks, *self.numbers, *copies, *self.reads, *self.watches]
 
 
 def group_of(key: str) -> str:
-    """The group of a key: what it begins with up to the first dot, which belongs to it."""
+    """Return the group of a key: its prefix up to and including the first dot."""
     return key.partition(".")[0] + "."
 
 
 def rule_of(call: Call, rule: Rule) -> Rule:
-    """The rule that an answer breaks: at the end of a run, whatever lags behind is lost."""
+    """Return the rule that an answer violates: in the final audit, an outdated answer means that data is lost."""
     return Rule.LOST if call.final else rule
--- a/otterreach/simulation/coordination_key_callers.py
+++ b/otterreach/simulation/coordination_key_callers.py
@@ -1,4 +1,4 @@
-"""Callers of keys: compare-and-put on what they know, sent again while the answer is unclear; readers; watchers."""
+"""Applications that call keys: readers, watchers, and putters, which resend a put until it has a definite answer."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
     WatchEvent,
 )
 
-RESEND_S = (1.0, 6.0)  # for so long a put without a clear answer is sent again
-AGAIN_S = (0.03, 0.4)
-THINK_S = (0.0, 0.1, 0.5)
-GIVE_UP_SHARE = 0.3  # of the puts whose copy was refused with a promise are not sent again
-REPEAT_SHARE = 0.15  # of the acknowledged puts arrive once more, as if the answer had been lost
-REPEAT_AFTER_S = (0.0, 4.0)
-LOOK_SHARE = 0.3  # of the puts follow a read
-STALE_SHARE = 0.1  # of the puts expect an older revision on purpose
+RESEND_FOR_S = (1.0, 6.0)  # a put without a definite answer is resent for a time drawn from this range
+RETRY_DELAY_S = (0.03, 0.4)
+THINK_TIME_S = (0.0, 0.1, 0.5)
+GIVE_UP_SHARE = 0.3  # probability that a put is abandoned after a copy that was surely not applied
+DUPLICATE_SHARE = 0.15  # of the acknowledged puts are sent once more, as after a lost answer
+DUPLICATE_AFTER_S = (0.0, 4.0)
+READ_FIRST_SHARE = 0.3  # of the puts are preceded by a read
+STALE_EXPECT_SHARE = 0.1  # of the puts deliberately expect any known revision, mostly an outdated one
 READ_PAUSE_S = (0.02, 0.3)
-WAIT_S = (0.2, 2.0, 5.0)  # of a watch
-OLDER_SHARE = 0.1  # of the watches resume from an older revision
-PRESENT_SHARE = 0.05  # of the watches ask for the present revision
-YOUNGER_THAN_HISTORY = 0.9  # resumed revisions are younger than this part of the time that history is kept
+WAIT_S = (0.2, 2.0, 5.0)  # long-poll time of a watch
+RESUME_OLDER_SHARE = 0.1  # of the watches resume from an older revision
+CURRENT_REVISION_SHARE = 0.05  # of the watches request the current revision
+MAX_RESUME_AGE_SHARE = 0.9  # watches resume from revisions younger than this share of the history retention
 
 
 class Putter:
-    """Puts to a few keys, each on top of the newest revision that it knows."""
+    """Sends puts to a few keys, each expecting the newest revision that it knows."""
 
     def __init__(self, keys: Sequence[str], client: CoordinationClient, stopping: Callable[[], bool]) -> None:
         self.keys = keys
@@ -46,50 +46,50 @@
         self.stopping = stopping
         self.loop = asyncio.get_running_loop()
         self.known: dict[str, list[int]] = {key: [0] for key in keys}
-        self._repeats: set[asyncio.Task[None]] = set()
+        self._resends: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Put until the run ends."""
+        """Send puts until the run ends."""
         while not self.stopping():
             key = self.random.choice(self.keys)
-            if self.random.random() < LOOK_SHARE:
-                await self._look(key)
+            if self.random.random() < READ_FIRST_SHARE:
+                await self._refresh_revision(key)
             revisions = self.known[key]
-            expect = self.random.choice(revisions) if self.random.random() < STALE_SHARE else revisions[-1]
+            expect = self.random.choice(revisions) if self.random.random() < STALE_EXPECT_SHARE else revisions[-1]
             await self._put(Put(key, f"{self.random.getrandbits(64):016x}", expect))
-            await asyncio.sleep(self.random.choice(THINK_S))
+            await asyncio.sleep(self.random.choice(THINK_TIME_S))
 
-    async def _look(self, key: str) -> None:
+    async def _refresh_revision(self, key: str) -> None:
         read = await read_key(self.client, key)
         if read.is_ok:
-            self._know(key, read.revision)
+            self._record_revision(key, read.revision)
 
-    def _know(self, key: str, revision: int) -> None:
+    def _record_revision(self, key: str, revision: int) -> None:
         if revision > self.known[key][-1]:
             self.known[key].append(revision)
 
     async def _put(self, put: Put) -> None:
-        """Send it until the answer is clear, or for some seconds."""
+        """Resend the put until it has a definite answer, for some seconds at most."""
         self.history.puts.append(put)
-        give_up = self.loop.time() + self.random.uniform(*RESEND_S)
+        give_up = self.loop.time() + self.random.uniform(*RESEND_FOR_S)
         while True:
             copy = await self._send(put)
             if copy.is_ok or copy.status == HTTPStatus.PRECONDITION_FAILED:
-                self._know(put.key, copy.revision)
+                self._record_revision(put.key, copy.revision)
                 break
-            is_promised = copy.is_refused and self.random.random() < GIVE_UP_SHARE
-            if is_promised or self.loop.time() > give_up or self.stopping():
-                await self._look(put.key)
+            is_abandoned = copy.is_refused and self.random.random() < GIVE_UP_SHARE
+            if is_abandoned or self.loop.time() > give_up or self.stopping():
+                await self._refresh_revision(put.key)
                 return
-            await asyncio.sleep(self.random.uniform(*AGAIN_S))
-        if copy.is_ok and self.random.random() < REPEAT_SHARE:
-            repeat = self.loop.create_task(self._repeat(put))
-            self._repeats.add(repeat)
-            repeat.add_done_callback(self._repeats.discard)
-
-    async def _repeat(self, put: Put) -> None:
-        """The same put arrives again, after others."""
-        await asyncio.sleep(self.random.uniform(*REPEAT_AFTER_S))
+            await asyncio.sleep(self.random.uniform(*RETRY_DELAY_S))
+        if copy.is_ok and self.random.random() < DUPLICATE_SHARE:
+            resend = self.loop.create_task(self._resend_later(put))
+            self._resends.add(resend)
+            resend.add_done_callback(self._resends.discard)
+
+    async def _resend_later(self, put: Put) -> None:
+        """Send the same put again later, possibly after others."""
+        await asyncio.sleep(self.random.uniform(*DUPLICATE_AFTER_S))
         if not self.stopping():
             await self._send(put)
 
@@ -122,8 +122,8 @@
 
 
 @dataclass(slots=True)
-class GivenRevision:
-    """A revision of a group that a watcher was told, and when last."""
+class ReceivedRevision:
+    """A revision of a group that a watcher received, and the time of the last receipt."""
 
     revision: int
     at: float
@@ -131,48 +131,48 @@
 
 @dataclass(slots=True)
 class Watcher:
-    """Follows one group from revision to revision, at times from an older one that it has kept."""
+    """Watches one group from revision to revision, sometimes resuming from an older one."""
 
     group: str
     client: CoordinationClient
     history_s: float
     stopping: Callable[[], bool]
-    given: dict[int, GivenRevision] = field(default_factory=dict)  # in the order in which they were given
+    received: dict[int, ReceivedRevision] = field(default_factory=dict)  # by revision, in order of first receipt
 
     async def run(self) -> None:
         """Watch until the run ends."""
         newest = 0
         while not self.stopping():
-            past = self._draw_past(newest)
+            past = self._draw_resume_revision(newest)
             watch = await self.watch(past, self.client.random.choice(WAIT_S))
             if watch.is_ok:
                 newest = watch.revision
             elif watch.status == HTTPStatus.GONE:
                 newest = 0
             else:
-                await asyncio.sleep(self.client.random.uniform(*AGAIN_S))
+                await asyncio.sleep(self.client.random.uniform(*RETRY_DELAY_S))
 
-    def _draw_past(self, newest: int) -> int:
+    def _draw_resume_revision(self, newest: int) -> int:
         drawn = self.client.random.random()
-        if drawn < PRESENT_SHARE:
+        if drawn < CURRENT_REVISION_SHARE:
             return 0
-        saved = self.saved()
-        if drawn < PRESENT_SHARE + OLDER_SHARE and saved:
-            return self.client.random.choice(saved).revision
+        resumable_revisions = self.resumable_revisions()
+        if drawn < CURRENT_REVISION_SHARE + RESUME_OLDER_SHARE and resumable_revisions:
+            return self.client.random.choice(resumable_revisions).revision
         return newest
 
-    def saved(self) -> list[GivenRevision]:
-        """The revisions that can surely be resumed from."""
+    def resumable_revisions(self) -> list[ReceivedRevision]:
+        """Return the received revisions that the service must still resume from."""
         now = asyncio.get_running_loop().time()
-        youngest = now - YOUNGER_THAN_HISTORY * self.history_s + ANSWER_S
-        return [one for one in self.given.values() if one.at > youngest and one.revision]
+        oldest = now - MAX_RESUME_AGE_SHARE * self.history_s + ANSWER_S
+        return [one for one in self.received.values() if one.at > oldest and one.revision]
 
     async def watch(self, past: int, wait_s: float, final: bool = False) -> Watch:
-        """Send one watch and record what it tells."""
+        """Send one watch and record its answer."""
         loop = asyncio.get_running_loop()
-        known = self.given.get(past)
+        known = self.received.get(past)
         call = Watch(sent=loop.time(), group=self.group, past=past, wait_s=wait_s, final=final)
-        call.past_given = known.at if known else -inf
+        call.past_received_at = known.at if known else -inf
         history = self.client.history
         history.watches.append(call)
         target = f"/watch/{self.group}?past={past}&waitMs={round(wait_s * 1000)}"
@@ -180,7 +180,7 @@
         if call.is_ok:
             call.revision = integer_field(history, call, body, "rev")
             call.events = _events(history, call, body)
-            self.given[call.revision] = GivenRevision(call.revision, call.answered)
+            self.received[call.revision] = ReceivedRevision(call.revision, call.answered)
         return call
 
 
@@ -189,5 +189,5 @@
         raw = body.get("events", [])
         return tuple(WatchEvent(str(one["name"]), str(one["value"]), int(one["rev"])) for one in raw)
     except (KeyError, TypeError, ValueError):
-        history.violations.append(Violation(Rule.PROTOCOL, f"events that can't be read in the answer to {call}"))
+        history.violations.append(Violation(Rule.PROTOCOL, f"malformed events in the answer to {call}"))
         return ()
--- a/otterreach/simulation/coordination_population.py
+++ b/otterreach/simulation/coordination_population.py
@@ -1,4 +1,4 @@
-"""The applications of a run: who calls for locks, numbers and keys, and under which names."""
+"""The applications of a run, and the locks, numbers and keys that they call."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PopulationSetup:
-    """How many callers there are, and of what."""
+    """Number of callers of each kind, and of the resources that they call."""
 
     lock_callers: int = 4
     locks: int = 2
@@ -31,7 +31,7 @@
 
     @classmethod
     def draw(cls, random: Random) -> PopulationSetup:
-        """A setup drawn from the seed."""
+        """Return a random setup."""
         return cls(
             lock_callers=random.choice([2, 4, 6]),
             locks=random.choice([1, 2, 3]),
@@ -43,7 +43,7 @@
 
 
 class Population:
-    """All callers of one run, who write into one history."""
+    """All callers of one run, which record their calls in one history."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         history_s: float,
         stopping: Callable[[], bool],
     ) -> None:
-        """:param history_s: how long a watch can resume from a revision that was given."""
+        """:param history_s: a watch can resume from a revision for this long after receiving it."""
         self.setup = setup
         self.random = random
         self.addresses = addresses
@@ -71,7 +71,7 @@
         return CoordinationClient(Random(self.random.getrandbits(64)), self.addresses, self.setup.faults, self.history)
 
     def works(self) -> list[Coroutine[Any, Any, None]]:
-        """One coroutine for each caller."""
+        """Return one coroutine for each caller."""
         setup = self.setup
         lock_callers = [
             LockCaller(f"a{n}.{n}", self.locks, self._client(), self.stopping) for n in range(setup.lock_callers)
@@ -84,7 +84,7 @@
         return works
 
     async def audit(self) -> None:
-        """Ask for everything again, without lost answers."""
+        """Run the final audit, without lost or delayed messages."""
         client = CoordinationClient(Random(self.random.getrandbits(64)), self.addresses, WireFaults(), self.history)
         for watcher in self.watchers:
             watcher.client = client
--- a/otterreach/simulation/number_checker.py
+++ b/otterreach/simulation/number_checker.py
@@ -1,4 +1,4 @@
-"""Numbers: each is above every one that was given under its name before the call was sent, and none is given twice."""
+"""Checker of numbers: each is above all that were returned for its name before its call was sent, and is unique."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 
 def find_number_violations(history: CoordinationHistory) -> Iterator[Violation]:
-    """What breaks a rule of numbers."""
+    """Yield the violations of the rules of numbers."""
     by_name: defaultdict[str, list[NumberRequest]] = defaultdict(list)
     for request in history.numbers:
         if request.is_ok:
             by_name[request.name].append(request)
     for requests in by_name.values():
-        yield from _given_twice(requests)
-        yield from _not_rising(requests)
+        yield from _find_duplicates(requests)
+        yield from _find_non_increasing(requests)
 
 
-def _given_twice(requests: Sequence[NumberRequest]) -> Iterator[Violation]:
+def _find_duplicates(requests: Sequence[NumberRequest]) -> Iterator[Violation]:
     first: dict[int, NumberRequest] = {}
     for request in requests:
         other = first.setdefault(request.value, request)
         if other is not request:
-            yield Violation(rule_of(request, Rule.ORDER), f"given twice: {other}; {request}")
+            yield Violation(rule_of(request, Rule.ORDER), f"returned twice: {other}; {request}")
 
 
-def _not_rising(requests: Sequence[NumberRequest]) -> Iterator[Violation]:
-    highest: NumberRequest | None = None  # of those answered so far
+def _find_non_increasing(requests: Sequence[NumberRequest]) -> Iterator[Violation]:
+    highest: NumberRequest | None = None  # the one with the highest value of those answered so far
     answered = sorted(requests, key=lambda request: request.answered)
-    place = 0
+    position = 0
     for request in sorted(requests, key=lambda one: one.sent):
-        while place < len(answered) and answered[place].answered < request.sent:
-            if highest is None or answered[place].value > highest.value:
-                highest = answered[place]
-            place += 1
+        while position < len(answered) and answered[position].answered < request.sent:
+            if highest is None or answered[position].value > highest.value:
+                highest = answered[position]
+            position += 1
         if highest is not None and request.value <= highest.value:
-            yield Violation(rule_of(request, Rule.ORDER), f"not above an earlier one: {highest}; {request}")
+            yield Violation(rule_of(request, Rule.ORDER), f"not above an earlier number: {highest}; {request}")
--- a/tests/simulation/test_coordination_checkers.py
+++ b/tests/simulation/test_coordination_checkers.py
@@ -93,7 +93,7 @@
         group="g.",
         past=past,
         wait_s=1.0,
-        past_given=given,
+        past_received_at=given,
         revision=revision,
         events=events,
     )
