--- a/otterreach/simulation/history.py
+++ b/otterreach/simulation/history.py
@@ -1,4 +1,4 @@
-"""What callers of the control side have sent and been answered, and whether it fits together."""
+"""History of the calls to the controllers that change or read configurations, models and servers, and its check."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class Sent:
-    """A change as it goes over the wire, so that it can be sent again as it was."""
+    """A configuration change with its request, so that identical copies of it can be resent."""
 
     change: Change
     method: str
@@ -26,51 +26,51 @@
     valid: bool
 
 
-def mark_of(raw: dict[str, Any]) -> tuple[str, ...]:
-    """The marks of a configuration's content: each change adds one route, named by its mark."""
+def marks_of(raw: dict[str, Any]) -> tuple[str, ...]:
+    """Return the marks in a configuration: each change adds one route, whose name is the mark of the change."""
     return tuple(route["name"] for route in raw["routes"])
 
 
 @dataclass
 class History:
-    """Configurations as a linearizable history; of versions and servers what was acknowledged."""
+    """Configuration changes and reads, checked for linearizability; acknowledged model versions and server states."""
 
     expect: Expect
     sent: list[Sent] = field(default_factory=list)
     reads: list[Read] = field(default_factory=list)
-    newest: int = 0  # the highest acknowledged version
-    _waiting: list[asyncio.Future[None]] = field(default_factory=list)
+    newest: int = 0  # highest acknowledged configuration version
+    _waiters: list[asyncio.Future[None]] = field(default_factory=list)
     models: dict[str, int] = field(default_factory=dict)
-    servers: dict[str, str] = field(default_factory=dict)  # id -> up, draining, gone as acknowledged
+    servers: dict[str, str] = field(default_factory=dict)  # acknowledged state by server id: up, draining or gone
 
     def answered(self, sent: Sent, status: int, now: float) -> None:
-        """An answer to one copy of a change; anything but 200, 400 and 412 is unclear."""
+        """Record the answer to one copy of a change; statuses other than 200, 400 and 412 leave the outcome unclear."""
         change = sent.change
         if status == OK:
             self.expect(sent.valid, "acknowledged though invalid", str(change))
-            self._settle(change, Outcome.ACKNOWLEDGED, now)
+            self._record_outcome(change, Outcome.ACKNOWLEDGED, now)
             if change.gen > self.newest:
                 self.newest = change.gen
-                self._wake()
+                self._notify_waiters()
         elif status in (INVALID, STALE):
             self.expect(not sent.valid or status == STALE, "proper change called invalid", str(change))
-            self._settle(change, Outcome.REFUSED, now)
+            self._record_outcome(change, Outcome.REFUSED, now)
 
-    def _wake(self) -> None:
-        waiting = self._waiting
-        self._waiting = []
-        for future in waiting:
+    def _notify_waiters(self) -> None:
+        waiters = self._waiters
+        self._waiters = []
+        for future in waiters:
             if not future.done():
                 future.set_result(None)
 
     async def next_acknowledgement(self, within_s: float) -> None:
-        """Wait for the next version that is acknowledged, or the time."""
+        """Wait until the next version is acknowledged, for at most `within_s`."""
         future = asyncio.get_running_loop().create_future()
-        self._waiting.append(future)
+        self._waiters.append(future)
         await asyncio.wait([future], timeout=within_s)
 
-    def _settle(self, change: Change, outcome: Outcome, now: float) -> None:
-        """All clear answers to one change are the same, whenever and wherever it was sent again."""
+    def _record_outcome(self, change: Change, outcome: Outcome, now: float) -> None:
+        """Record a definite outcome; it must be the same for all copies of a change, whenever and wherever sent."""
         if change.outcome is Outcome.UNCLEAR:
             change.outcome = outcome
             change.answered = now
@@ -78,18 +78,18 @@
         self.expect(same, "refused and acknowledged", f"{change}, at {now:.3f} {outcome.value}")
 
     def read(self, body: bytes, called: float, now: float) -> int:
-        """A configuration was read. Returns its version."""
+        """Record the read of a configuration and return its version."""
         raw = json.loads(body)
-        self.reads.append(Read(raw["gen"], mark_of(raw), called, now))
+        self.reads.append(Read(raw["gen"], marks_of(raw), called, now))
         return int(raw["gen"])
 
     def read_nothing(self, called: float, now: float) -> None:
-        """There was no configuration yet."""
+        """Record a read before the first configuration."""
         self.reads.append(Read(0, (), called, now))
 
     def check(self) -> None:
-        """The whole history so far is linearizable."""
-        # What was refused as invalid says nothing of the version that was current.
+        """Check that the history so far is linearizable."""
+        # The refusal of an invalid change does not depend on the current version.
         changes = [s.change for s in self.sent if s.valid]
-        fault = find_violation(changes, self.reads)
-        self.expect(not fault, "linearizable", fault)
+        violation = find_violation(changes, self.reads)
+        self.expect(not violation, "linearizable", violation)
--- a/otterreach/simulation/linearizability.py
+++ b/otterreach/simulation/linearizability.py
@@ -1,10 +1,10 @@
-"""Whether a history of operators' calls is linearizable.
+"""Linearizability checker for the history of operators' calls.
 
-Each call takes effect at one moment between its sending and its answer, and all answers fit one register whose changes
-are compare-and-set on its version.
+A history is linearizable if each call can take effect at one point between its sending and its answer such that all
+answers are those of a single register whose changes are compare-and-set on its version.
 
-A change names the version that it builds on, so the changes that took effect form a chain of versions. The checker
-finds the chain, then places its moments as early as the answers allow; both steps are exact.
+A change names the version that it is based on, so the changes that took effect form a chain of versions. The checker
+searches for the chain, then chooses the linearization points as early as the answers allow; both steps are exact.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 from enum import Enum
 from math import inf
 
-Marks = tuple[str, ...]  # the content of a version, as the marks of the changes that it is made of
+Marks = tuple[str, ...]  # content of a version: the marks of the changes that it consists of
 
 
 class Outcome(Enum):
-    """What a caller knows of its change."""
+    """Outcome of a change, as far as its caller knows."""
 
-    UNCLEAR = "unclear"  # no answer, or one that tells nothing: may take effect at any later time, or never
+    UNCLEAR = "unclear"  # indeterminate: may take effect at any time after its sending, or never
     ACKNOWLEDGED = "acknowledged"
-    REFUSED = "refused"  # another version was current: it never takes effect
+    REFUSED = "refused"  # another version was current: the change never takes effect
 
 
 @dataclass(slots=True, eq=False)
 class Change:
-    """One operator's change, with all its resends. `base` and `gen` are version numbers, 0 before the first."""
+    """One operator's change, including all its copies. `base` and `gen` are versions; 0 stands for the empty start."""
 
     base: int
     gen: int
     mark: str
-    whole: bool  # replaces the content; else adds to it
+    whole: bool  # replaces the whole content; otherwise adds to it
     called: float
-    answered: float = inf  # when the first clear answer came
+    answered: float = inf  # time of the first definite answer
     outcome: Outcome = Outcome.UNCLEAR
 
     def __str__(self) -> str:
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """One answered read. Before the first version: 0 and no marks."""
+    """One answered read; version 0 without marks before the first version."""
 
     gen: int
     marks: Marks
@@ -56,24 +56,24 @@
 
 
 def find_violation(changes: Sequence[Change], reads: Sequence[Read]) -> str:
-    """What does not fit; empty if the history is linearizable."""
+    """Return a description of the violation; empty if the history is linearizable."""
     search = _Search(changes, reads)
-    if search.fault:
-        return search.fault
+    if search.violation:
+        return search.violation
     first = ""
     for chain in search.chains():
-        fault = _Placement(chain, reads, search.refused).fault()
-        if not fault:
+        violation = _Placement(chain, reads, search.refused).violation()
+        if not violation:
             return ""
-        first = first or fault
-    return first or search.fault or "no order of the changes explains all answers"
+        first = first or violation
+    return first or search.violation or "no order of the changes explains all answers"
 
 
 class _Search:
-    """The chains of changes that hold all that was acknowledged or read."""
+    """Search for the chains of changes that contain all acknowledged and all read versions."""
 
     def __init__(self, changes: Sequence[Change], reads: Sequence[Read]) -> None:
-        self.fault = ""
+        self.violation = ""
         self.refused = [c for c in changes if c.outcome is Outcome.REFUSED]
         self._by_base: dict[int, list[Change]] = {}
         for change in changes:
@@ -86,21 +86,21 @@
                 continue
             source = known.get(read.marks[-1]) if read.marks else None
             if source is None or source.gen != read.gen:
-                self.fault = f"{read}: nobody sent that"
+                self.violation = f"{read}: no such change was sent"
             elif source.outcome is Outcome.REFUSED:
-                self.fault = f"{read}: {source} was refused"
+                self.violation = f"{read}: {source} was refused"
             else:
                 self._needed.add(source.mark)
 
     def chains(self) -> Iterator[list[Change]]:
-        """Every chain, the one without unneeded changes first. Sets `fault` where two answers exclude each other."""
+        """Yield every chain, that without unneeded changes first. Set `violation` if answers contradict each other."""
         open_chains: list[list[Change]] = [[]]
         while open_chains:
             chain = open_chains.pop()
             found = self._by_base.get(chain[-1].gen if chain else 0, [])
             needed = [change for change in found if change.mark in self._needed]
             if len(needed) > 1:
-                self.fault = f"two on one version: {needed[0]} and {needed[1]}"
+                self.violation = f"two changes on one version: {needed[0]} and {needed[1]}"
                 continue
             if needed:
                 open_chains.append([*chain, needed[0]])
@@ -109,37 +109,37 @@
             missing = self._needed - {change.mark for change in chain}
             if not missing:
                 yield chain
-            elif not self.fault:
-                self.fault = f"no chain of versions leads to {sorted(missing)[0]}"
+            elif not self.violation:
+                self.violation = f"no chain of versions leads to {sorted(missing)[0]}"
 
 
 @dataclass
 class _Placement:
-    """The moments at which the versions of one chain came into force, each as early as it can be."""
+    """The linearization points of the changes of one chain, each as early as the answers allow."""
 
     chain: list[Change]
     reads: Sequence[Read]
     refused: Sequence[Change]
-    index: dict[int, int] = field(init=False)  # place in the chain, by version; 0 is the empty start
+    index: dict[int, int] = field(init=False)  # position in the chain, by version; position 0 is the empty start
     earliest: list[float] = field(init=False)
     latest: list[float] = field(init=False)
 
-    def fault(self) -> str:
-        """What does not fit into this order of changes; empty if all fits."""
+    def violation(self) -> str:
+        """Return a description of the answer that contradicts this order of changes; empty if there is none."""
         self.index = {0: 0} | {change.gen: n + 1 for n, change in enumerate(self.chain)}
         self.earliest = [-inf, *(change.called for change in self.chain)]
         self.latest = [inf, *(change.answered for change in self.chain)]
-        return self._place_reads() or self._place_refusals() or self._late()
+        return self._constrain_by_reads() or self._constrain_by_refusals() or self._find_late_version()
 
-    def _place_reads(self) -> str:
+    def _constrain_by_reads(self) -> str:
         contents = self._contents()
         for read in self.reads:
-            place = self.index[read.gen]
-            if contents[place] != read.marks:
-                return f"{read}: holds {read.marks}, and {contents[place]} belong to that version"
-            self.latest[place] = min(self.latest[place], read.answered)
-            if place + 1 < len(self.earliest):
-                self.earliest[place + 1] = max(self.earliest[place + 1], read.called)
+            position = self.index[read.gen]
+            if contents[position] != read.marks:
+                return f"{read}: read {read.marks}, but version {read.gen} consists of {contents[position]}"
+            self.latest[position] = min(self.latest[position], read.answered)
+            if position + 1 < len(self.earliest):
+                self.earliest[position + 1] = max(self.earliest[position + 1], read.called)
         return ""
 
     def _contents(self) -> list[Marks]:
@@ -148,33 +148,33 @@
             contents.append((change.mark,) if change.whole else (*contents[-1], change.mark))
         return contents
 
-    def _place_refusals(self) -> str:
-        """A refusal needs a moment at which another version than its base was in force."""
-        settled = False
-        while not settled:
-            settled = True
-            moments = self._moments()
+    def _constrain_by_refusals(self) -> str:
+        """Require that at some time during each refused call, a version other than its base was current."""
+        stable = False
+        while not stable:
+            stable = True
+            points = self._linearization_points()
             for change in self.refused:
-                place = self.index.get(change.base)
-                if place is None or moments[place + 1] <= change.answered or moments[place] >= change.called:
+                position = self.index.get(change.base)
+                if position is None or points[position + 1] <= change.answered or points[position] >= change.called:
                     continue
-                if place == 0:
-                    return f"{change}: no other version was in force"
-                self.earliest[place] = change.called
-                settled = False
+                if position == 0:
+                    return f"{change}: refused although no other version was current"
+                self.earliest[position] = change.called
+                stable = False
         return ""
 
-    def _moments(self) -> list[float]:
-        """When each version came into force, and after the last one: never."""
-        moments = [-inf]
+    def _linearization_points(self) -> list[float]:
+        """Return the times at which the versions became current, followed by inf."""
+        points = [-inf]
         for earliest in self.earliest[1:]:
-            moments.append(max(moments[-1], earliest))
-        return [*moments, inf]
-
-    def _late(self) -> str:
-        moments = self._moments()
-        for place, latest in enumerate(self.latest):
-            if moments[place] > latest:
-                change = self.chain[place - 1]
-                return f"{change} was not in force before {moments[place]:.3f}, its answers say by {latest:.3f}"
+            points.append(max(points[-1], earliest))
+        return [*points, inf]
+
+    def _find_late_version(self) -> str:
+        points = self._linearization_points()
+        for position, latest in enumerate(self.latest):
+            if points[position] > latest:
+                change = self.chain[position - 1]
+                return f"{change} was not current before {points[position]:.3f}, but answers require it by {latest:.3f}"
         return ""
--- a/tests/simulation/test_linearizability.py
+++ b/tests/simulation/test_linearizability.py
@@ -1,7 +1,7 @@
-"""The checker of operators' histories.
+"""Linearizability checker for operators' histories.
 
-Made-up ones that are linearizable and that are not, and all small ones drawn at random against a search through every
-order.
+Tests hand-written histories, linearizable or not, and compares the verdict on small random histories with an exhaustive
+search over all orders.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
     def test_read_after_acknowledgement(self) -> None:
         self.assert_good([self.first], [Read(1, ("a",), 2.0, 3.0)])
-        self.assert_bad([self.first], [Read(0, (), 2.0, 3.0)], "was not in force before")
+        self.assert_bad([self.first], [Read(0, (), 2.0, 3.0)], "was not current before")
 
     def test_read_during_a_change_may_have_either(self) -> None:
         self.assert_good([self.first], [Read(0, (), 0.5, 0.9), Read(1, ("a",), 0.2, 0.6)])
@@ -42,7 +42,7 @@
     def test_reads_do_not_go_back_while_the_change_is_unclear(self) -> None:
         second = change(1, 2, "b", 2.0, inf, UNCLEAR)
         newer, older = Read(2, ("b",), 3.0, 4.0), Read(1, ("a",), 5.0, 6.0)
-        self.assert_bad([self.first, second], [newer, older], "was not in force before")
+        self.assert_bad([self.first, second], [newer, older], "was not current before")
 
     def test_unclear_change_may_take_effect_late_or_never(self) -> None:
         second = change(1, 2, "b", 2.0, inf, UNCLEAR)
@@ -50,52 +50,52 @@
         self.assert_good([self.first, second], [Read(1, ("a",), 50.0, 51.0), Read(2, ("b",), 52.0, 53.0)])
 
     def test_read_before_the_change_was_sent(self) -> None:
-        self.assert_bad([self.first], [Read(1, ("a",), -2.0, -1.0)], "was not in force before")
+        self.assert_bad([self.first], [Read(1, ("a",), -2.0, -1.0)], "was not current before")
 
     def test_two_on_one_version(self) -> None:
         two = [change(1, 2, "b", 2.0, 3.0, ACKNOWLEDGED), change(1, 3, "c", 2.0, 3.0, ACKNOWLEDGED)]
-        self.assert_bad([self.first, *two], [], "two on one version")
+        self.assert_bad([self.first, *two], [], "two changes on one version")
 
     def test_acknowledged_and_another_read_on_one_version(self) -> None:
         two = [change(1, 2, "b", 2.0, 3.0, ACKNOWLEDGED), change(1, 3, "c", 2.0, inf, UNCLEAR)]
-        self.assert_bad([self.first, *two], [Read(3, ("c",), 4.0, 5.0)], "two on one version")
+        self.assert_bad([self.first, *two], [Read(3, ("c",), 4.0, 5.0)], "two changes on one version")
 
     def test_two_of_one_number(self) -> None:
-        """The other one built on a version that was never in force."""
+        """One of two changes to the same version is based on a version that was never current."""
         other = [change(0, 2, "b", 0.0, inf, UNCLEAR), change(1, 3, "c", 2.0, 3.0, ACKNOWLEDGED)]
         self.assert_bad([self.first, *other, change(2, 3, "d", 2.0, 3.0, ACKNOWLEDGED)], [], "no chain")
 
     def test_refused_while_its_base_was_current(self) -> None:
         refused = change(1, 2, "b", 2.0, 3.0, REFUSED)
-        self.assert_bad([self.first, refused], [], "was not in force before")
-        self.assert_bad([change(0, 1, "a", 0.0, 1.0, REFUSED)], [], "no other version was in force")
+        self.assert_bad([self.first, refused], [], "was not current before")
+        self.assert_bad([change(0, 1, "a", 0.0, 1.0, REFUSED)], [], "no other version was current")
 
     def test_refused_for_another_change(self) -> None:
         refused = change(1, 2, "b", 2.0, 3.0, REFUSED)
         self.assert_good([self.first, refused, change(1, 2, "c", 2.5, 9.0, ACKNOWLEDGED)], [])
         self.assert_good([self.first, refused, change(1, 2, "c", 2.5, inf, UNCLEAR)], [])
-        self.assert_bad([self.first, refused, change(1, 2, "c", 3.5, 9.0, ACKNOWLEDGED)], [], "was not in force")
+        self.assert_bad([self.first, refused, change(1, 2, "c", 3.5, 9.0, ACKNOWLEDGED)], [], "was not current")
 
     def test_refused_then_other_version_still_read(self) -> None:
-        """The refusal says that the other change was in force; a later read does not have it."""
+        """The refusal implies that the other change was applied, but a later read does not include it."""
         refused, other = change(1, 2, "b", 2.0, 3.0, REFUSED), change(1, 2, "c", 1.5, inf, UNCLEAR)
-        self.assert_bad([self.first, refused, other], [Read(1, ("a",), 4.0, 5.0)], "was not in force before")
+        self.assert_bad([self.first, refused, other], [Read(1, ("a",), 4.0, 5.0)], "was not current before")
 
     def test_refused_is_never_read(self) -> None:
         refused = change(0, 1, "b", 0.0, 3.0, REFUSED)
         self.assert_bad([self.first, refused], [Read(1, ("b",), 4.0, 5.0)], "was refused")
 
     def test_read_of_what_was_never_sent(self) -> None:
-        self.assert_bad([self.first], [Read(7, ("x",), 4.0, 5.0)], "nobody sent that")
+        self.assert_bad([self.first], [Read(7, ("x",), 4.0, 5.0)], "no such change was sent")
 
     def test_addition_keeps_the_content(self) -> None:
         addition = Change(1, 2, "b", False, 2.0, 3.0, ACKNOWLEDGED)
         self.assert_good([self.first, addition], [Read(2, ("a", "b"), 4.0, 5.0)])
-        self.assert_bad([self.first, addition], [Read(2, ("b",), 4.0, 5.0)], "belong to that version")
+        self.assert_bad([self.first, addition], [Read(2, ("b",), 4.0, 5.0)], "but version 2 consists of")
 
 
 class AllOrdersTest(unittest.TestCase):
-    """Small histories: the checker's verdict is that of a search through all orders of the calls."""
+    """The checker's verdict on small histories equals that of a search over all orders of the calls."""
 
     def test_same_verdict(self) -> None:
         verdicts = {True: 0, False: 0}
@@ -104,11 +104,11 @@
             expected = any_order(changes, reads)
             verdicts[expected] += 1
             self.assertEqual(expected, find_violation(changes, reads) == "", f"seed {seed}: {changes} {reads}")
-        self.assertGreater(min(verdicts.values()), 300, "both kinds have to be drawn")
+        self.assertGreater(min(verdicts.values()), 300, "too few linearizable or too few violating histories")
 
 
 def draw(random: Random) -> tuple[list[Change], list[Read]]:
-    """Calls at whole moments that never coincide, so that their real-time order is plain."""
+    """Draw calls whose start and end times are distinct integers, so that their real-time order is unambiguous."""
     moments = random.sample(range(20), 10)
     spans = [(float(min(pair)), float(max(pair))) for pair in zip(moments[::2], moments[1::2], strict=True)]
     count = random.randint(1, 4)
@@ -126,7 +126,7 @@
 
 
 def any_order(changes: list[Change], reads: list[Read]) -> bool:
-    """Whether some order that keeps real time explains all answers; unclear changes may be left out."""
+    """Return True if an order consistent with real time explains all answers; unclear changes may be omitted."""
     unclear = [c for c in changes if c.outcome is UNCLEAR]
     clear = [c for c in changes if c.outcome is not UNCLEAR]
     for chosen in range(2 ** len(unclear)):
