--- a/tests/simulation/fake_coordination.py
+++ b/tests/simulation/fake_coordination.py
@@ -1,6 +1,7 @@
-"""A coordination service of one process in memory: correct, or with one thing wrong, so that checkers can be tried.
+"""In-memory coordination service for tests of callers and checkers; subclasses add one fault each.
 
-Time is the virtual loop's. `play` lets the callers of the simulation use it over the virtual network.
+It uses the time of the virtual loop. `run_callers` runs the callers of the simulation against it over the virtual
+network.
 """
 
 from __future__ import annotations
@@ -26,40 +27,40 @@
 FREE_S = 1.5
 RUN_S = 20.0
 CONTACT_S = 0.0
-ADDRESSES = ("10.1.0.1", "10.1.0.2")  # of two controllers that share one state
+ADDRESSES = ("10.1.0.1", "10.1.0.2")  # of two controllers with the same state
 PORT = 80
 
 
 def reply(status: int, **fields: Any) -> Reply:
-    """An answer with a JSON body."""
+    """Return an answer with a JSON body."""
     return Reply(status, json.dumps(fields).encode())
 
 
 @dataclass
-class Held:
-    """A lock that is held, or was."""
+class LockState:
+    """The current or last hold of a lock."""
 
     owner: str
     first_fence: int
-    fence: int  # of the last time that the holder asked: an earlier release must not end what it got then
-    until: float
+    fence: int  # of the last acquire: a release that names an earlier one must not end the hold
+    expires: float
 
 
 @dataclass
 class Group:
-    """The keys of a group, and every put to it."""
+    """The keys of a group, and all puts to it."""
 
     revision: int = 0
-    cells: dict[str, tuple[str, int]] = field(default_factory=dict)  # value and revision by key
-    events: list[tuple[float, str, str, int]] = field(default_factory=list)  # (when, key, value, revision)
+    cells: dict[str, tuple[str, int]] = field(default_factory=dict)  # (value, revision) by key
+    events: list[tuple[float, str, str, int]] = field(default_factory=list)  # (time, key, value, revision)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class FakeCoordination:
-    """The correct one."""
+    """The correct service, without a fault."""
 
     def __init__(self) -> None:
-        self.locks: dict[str, Held] = {}
+        self.locks: dict[str, LockState] = {}
         self.fence = 0
         self.numbers: dict[str, int] = {}
         self.groups: dict[str, Group] = {}
@@ -67,7 +68,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def handle(self, request: http1.Request) -> Reply:
-        """Answer a call."""
+        """Return the answer to a call."""
         target = urlsplit(request.target.decode())
         kind, ident = target.path.strip("/").split("/")
         body = json.loads(request.body) if request.body else {}
@@ -91,19 +92,19 @@
     def expiry(self, hold_ms: int) -> float:
         return self.loop.time() + hold_ms / 1000
 
-    def is_held(self, held: Held) -> bool:
-        return self.loop.time() < held.until
+    def is_held(self, held: LockState) -> bool:
+        return self.loop.time() < held.expires
 
     def acquire(self, lock: str, body: dict[str, Any]) -> Reply:
         held = self.locks.get(lock)
         if held is not None and self.is_held(held):
             if held.owner != body["owner"]:
                 return Reply(409)
-            held.until = max(held.until, self.expiry(body["holdMs"]))
+            held.expires = max(held.expires, self.expiry(body["holdMs"]))
             held.fence = self.next_fence(lock)
             return reply(200, fence=held.fence)
         fence = self.next_fence(lock)
-        self.locks[lock] = Held(body["owner"], fence, fence, self.expiry(body["holdMs"]))
+        self.locks[lock] = LockState(body["owner"], fence, fence, self.expiry(body["holdMs"]))
         return reply(200, fence=fence)
 
     def renew(self, lock: str, body: dict[str, Any]) -> Reply:
@@ -112,13 +113,13 @@
             return Reply(409)
         if not held.first_fence <= body["fence"] <= held.fence:
             return Reply(409)
-        held.until = max(held.until, self.expiry(body["holdMs"]))
+        held.expires = max(held.expires, self.expiry(body["holdMs"]))
         return reply(200)
 
     def release(self, lock: str, body: dict[str, Any]) -> Reply:
         held = self.locks.get(lock)
         if held is not None and (held.owner, held.fence) == (body["owner"], body["fence"]):
-            held.until = self.loop.time()
+            held.expires = self.loop.time()
         return reply(200)
 
     # Numbers -------------------------------------------------------------------------------------
@@ -142,10 +143,10 @@
         revision = group.cells.get(key, ("", 0))[1]
         if revision != body["expect"]:
             return reply(412, rev=revision)
-        return reply(200, rev=self.take(group, key, body["value"]))
+        return reply(200, rev=self.apply_put(group, key, body["value"]))
 
-    def take(self, group: Group, key: str, value: str) -> int:
-        """Put without a condition."""
+    def apply_put(self, group: Group, key: str, value: str) -> int:
+        """Apply a put unconditionally."""
         revision = self.next_revision(group)
         group.revision = max(group.revision, revision)
         group.cells[key] = (value, revision)
@@ -163,18 +164,18 @@
         group = self.group(name)
         if past == 0:
             return reply(200, events=[], rev=group.revision)
-        if self.is_forgotten(group, past):
+        if self.is_compacted(group, past):
             return Reply(410)
         if group.revision <= past:
             await asyncio.wait([asyncio.ensure_future(group.changed.wait())], timeout=wait_s)
-        return reply(200, events=self.events_past(group, past), rev=group.revision)
+        return reply(200, events=self.events_after(group, past), rev=group.revision)
 
-    def is_forgotten(self, group: Group, past: int) -> bool:
-        """A revision lasts while the one after it is younger than the history is long."""
+    def is_compacted(self, group: Group, past: int) -> bool:
+        """Return True if the revision after `past` is older than the history retention plus a margin."""
         following = next((when for when, _, _, revision in group.events if revision > past), None)
         return following is not None and self.loop.time() - following > HISTORY_S + 2.0
 
-    def events_past(self, group: Group, past: int) -> list[dict[str, Any]]:
+    def events_after(self, group: Group, past: int) -> list[dict[str, Any]]:
         return [
             {"name": key, "value": value, "rev": revision}
             for _, key, value, revision in group.events
@@ -182,15 +183,15 @@
         ]
 
 
-def play(service: Callable[[], FakeCoordination], seed: int, setup: PopulationSetup) -> list[Violation]:
-    """Let the callers use the service for some time; what the checkers say of it."""
+def run_callers(create_service: Callable[[], FakeCoordination], seed: int, setup: PopulationSetup) -> list[Violation]:
+    """Run the callers against the service for `RUN_S`, then the audit; return the violations that the checkers find."""
     loop = VirtualLoop()
     Network(loop, Random(seed))
 
     async def work() -> list[Violation]:
-        shared = service()
+        instance = create_service()
         for number, ip in enumerate(ADDRESSES):
-            await Process(f"core-{number}", ip).start(loop, JsonServer(shared.handle).listen(ip, PORT))
+            await Process(f"core-{number}", ip).start(loop, JsonServer(instance.handle).listen(ip, PORT))
         begin = loop.time()
         end = begin + RUN_S
         addresses = [f"{ip}:{PORT}" for ip in ADDRESSES]
--- a/tests/simulation/test_coordination.py
+++ b/tests/simulation/test_coordination.py
@@ -1,4 +1,4 @@
-"""A few seeds of locks, numbers, keys and watches under faults, on the real controllers."""
+"""Simulation of locks, numbers, keys and watches under faults, on the real controllers, for a few seeds."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_some_seeds_keep_all_promises(seed: int) -> None:
+def test_some_seeds_break_no_rule(seed: int) -> None:
     world, _ = coordination.run(seed)
     assert world.failure is None, str(world.failure)
 
 
-def test_a_run_repeats() -> None:
-    one, two = coordination.run(5)[0], coordination.run(5)[0]
-    assert list(one.lines) == list(two.lines)
-    assert one.loop.steps == two.loop.steps
+def test_run_is_deterministic() -> None:
+    first, second = coordination.run(5)[0], coordination.run(5)[0]
+    assert list(first.lines) == list(second.lines)
+    assert first.loop.steps == second.loop.steps
--- a/tests/simulation/test_coordination_callers.py
+++ b/tests/simulation/test_coordination_callers.py
@@ -1,4 +1,4 @@
-"""The callers and checkers of coordination together, against a service in memory: correct, or with one thing wrong."""
+"""Callers and checkers of coordination against an in-memory service that is correct or has one fault."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from otterreach.simulation.coordination_client import WireFaults
 from otterreach.simulation.coordination_history import Rule
 from otterreach.simulation.coordination_population import PopulationSetup
-from tests.simulation.fake_coordination import FakeCoordination, Group, Held, play, reply
+from tests.simulation.fake_coordination import FakeCoordination, Group, LockState, reply, run_callers
 
-SEEDS_OF_THE_CORRECT_ONE = 8
+SEEDS_OF_CORRECT_SERVICE = 8
 SEEDS = 6
 SETUP = PopulationSetup(locks=1, groups=1, faults=WireFaults(0.05, 0.05))
 SETUP_WITHOUT_LOSSES = replace(SETUP, locks=2, faults=WireFaults())
@@ -26,17 +26,17 @@
         return super().expiry(hold_ms) - 0.4 * hold_ms / 1000
 
 
-class HeldLockIsGiven(FakeCoordination):
-    def is_held(self, held: Held) -> bool:
+class HeldLockIsGranted(FakeCoordination):
+    def is_held(self, held: LockState) -> bool:
         return False
 
 
-class FenceStartsAnew(FakeCoordination):
+class FenceWrapsAround(FakeCoordination):
     def next_fence(self, lock: str) -> int:
         return super().next_fence(lock) % 5 + 1
 
 
-class FenceStaysForTheNextHolder(FakeCoordination):
+class NextHolderGetsSameFence(FakeCoordination):
     def next_fence(self, lock: str) -> int:
         return max(1, self.fence)
 
@@ -74,14 +74,14 @@
         return super().expiry(hold_ms) + 5.0
 
 
-class NumberIsGivenTwice(FakeCoordination):
+class NumberIsReturnedTwice(FakeCoordination):
     def next_number(self, name: str) -> Reply:
         if self.numbers.get(name, 0) == 7:
             self.numbers[name] -= 1
         return super().next_number(name)
 
 
-class RevisionIsGivenTwice(FakeCoordination):
+class RevisionIsAssignedTwice(FakeCoordination):
     def next_revision(self, group: Group) -> int:
         return group.revision + 1 if group.revision % 5 else max(1, group.revision)
 
@@ -94,18 +94,18 @@
         return super().put(key, body if known else body | {"expect": revision})
 
 
-class RepeatIsForgotten(FakeCoordination):
-    def take(self, group: Group, key: str, value: str) -> int:
-        revision = super().take(group, key, value)
+class RepeatedPutIsNotRecognized(FakeCoordination):
+    def apply_put(self, group: Group, key: str, value: str) -> int:
+        revision = super().apply_put(group, key, value)
         del self.puts[value]
         return revision
 
 
-class RejectedPutIsTaken(FakeCoordination):
+class RejectedPutIsApplied(FakeCoordination):
     def put(self, key: str, body: dict[str, Any]) -> Reply:
         answer = super().put(key, body)
         if answer.status == 412:
-            self.take(self.group(key.partition(".")[0] + "."), key, body["value"])
+            self.apply_put(self.group(key.partition(".")[0] + "."), key, body["value"])
         return answer
 
 
@@ -125,7 +125,7 @@
         return reply(412, rev=self.group(key.partition(".")[0] + ".").revision + 3) if answer.status == 412 else answer
 
 
-class ReadIsOld(FakeCoordination):
+class ReadIsStale(FakeCoordination):
     def read(self, key: str) -> Reply:
         events = [event for event in self.group(key.partition(".")[0] + ".").events if event[1] == key]
         old = events[-2] if len(events) > 1 and len(events) % 3 == 0 else None
@@ -146,40 +146,40 @@
 
 
 class WatchSkips(FakeCoordination):
-    def events_past(self, group: Group, past: int) -> list[dict[str, Any]]:
-        return [event for event in super().events_past(group, past) if event["rev"] % 7]
+    def events_after(self, group: Group, past: int) -> list[dict[str, Any]]:
+        return [event for event in super().events_after(group, past) if event["rev"] % 7]
 
 
-class WatchFalls(FakeCoordination):
-    def events_past(self, group: Group, past: int) -> list[dict[str, Any]]:
-        return list(reversed(super().events_past(group, past)))
+class WatchEventsDecrease(FakeCoordination):
+    def events_after(self, group: Group, past: int) -> list[dict[str, Any]]:
+        return list(reversed(super().events_after(group, past)))
 
 
-class WatchTellsTwice(FakeCoordination):
-    def events_past(self, group: Group, past: int) -> list[dict[str, Any]]:
-        events = super().events_past(group, past)
+class WatchRepeatsEvent(FakeCoordination):
+    def events_after(self, group: Group, past: int) -> list[dict[str, Any]]:
+        events = super().events_after(group, past)
         return [*events, *events[-1:]]
 
 
-class WatchTellsOfPutsThatAreNotTaken(FakeCoordination):
-    def events_past(self, group: Group, past: int) -> list[dict[str, Any]]:
-        events = super().events_past(group, past)
+class WatchShowsPutsThatWereNotApplied(FakeCoordination):
+    def events_after(self, group: Group, past: int) -> list[dict[str, Any]]:
+        events = super().events_after(group, past)
         invented = {"name": "g0.k0", "value": "0" * 16, "rev": group.revision}
         return events if group.revision % 5 else [*events[:-1], invented]
 
 
-class WatchIsOld(FakeCoordination):
+class WatchIsStale(FakeCoordination):
     async def watch(self, name: str, past: int, wait_s: float) -> Reply:
         await asyncio.sleep(wait_s / 2)
         return reply(200, events=[], rev=past or self.group(name).revision)
 
 
-class HistoryIsCutByCount(FakeCoordination):
-    def is_forgotten(self, group: Group, past: int) -> bool:
+class HistoryIsTrimmedByCount(FakeCoordination):
+    def is_compacted(self, group: Group, past: int) -> bool:
         return past < group.revision - 5
 
 
-class WatchIsNotWoken(FakeCoordination):
+class WatchIsNotNotified(FakeCoordination):
     async def watch(self, name: str, past: int, wait_s: float) -> Reply:
         if past:
             await asyncio.sleep(wait_s)
@@ -203,8 +203,8 @@
         return Reply(200)
 
 
-class LocksEndInSilence(FakeCoordination):
-    """At the end of the run no lock is answered."""
+class AuditOfLocksTimesOut(FakeCoordination):
+    """The acquires of the final audit are not answered in time."""
 
     async def handle(self, request: Any) -> Reply:
         if b"auditor" in request.body:
@@ -214,55 +214,55 @@
 
 FAULTY = {
     HoldEndsEarly: {Rule.ONE},
-    HeldLockIsGiven: {Rule.ONE},
-    FenceStartsAnew: {Rule.ONE},
-    FenceStaysForTheNextHolder: {Rule.ONE},
+    HeldLockIsGranted: {Rule.ONE},
+    FenceWrapsAround: {Rule.ONE},
+    NextHolderGetsSameFence: {Rule.ONE},
     AnyReleaseEndsAnyHold: {Rule.ONE},
     LostHoldIsRenewed: {Rule.ONE},
     ReleasedHoldIsRenewed: {Rule.ONE},
     RenewalIsRefused: {Rule.PROTOCOL},
     ReleaseDoesNothing: {Rule.PROMPT},
     LockStaysHeld: {Rule.PROMPT},
-    NumberIsGivenTwice: {Rule.ORDER},
-    RevisionIsGivenTwice: {Rule.ORDER},
+    NumberIsReturnedTwice: {Rule.ORDER},
+    RevisionIsAssignedTwice: {Rule.ORDER},
     ExpectationIsIgnored: {Rule.ORDER},
-    RepeatIsForgotten: {Rule.REFUSED},
-    RejectedPutIsTaken: {Rule.REFUSED},
+    RepeatedPutIsNotRecognized: {Rule.REFUSED},
+    RejectedPutIsApplied: {Rule.REFUSED},
     UnavailableAfterAccept: {Rule.REFUSED},
     RejectionNamesNoRevisionOfTheKey: {Rule.MIXED},
-    ReadIsOld: {Rule.STALE, Rule.LINEARIZABLE},
+    ReadIsStale: {Rule.STALE, Rule.LINEARIZABLE},
     ReadShowsAnotherKey: {Rule.MIXED},
     ReadShowsAnotherRevision: {Rule.MIXED},
     WatchSkips: {Rule.ORDER},
-    WatchFalls: {Rule.ORDER},
-    WatchTellsTwice: {Rule.ORDER},
-    WatchTellsOfPutsThatAreNotTaken: {Rule.MIXED},
-    WatchIsOld: {Rule.STALE},
-    HistoryIsCutByCount: {Rule.LOST},
-    WatchIsNotWoken: {Rule.PROMPT},
+    WatchEventsDecrease: {Rule.ORDER},
+    WatchRepeatsEvent: {Rule.ORDER},
+    WatchShowsPutsThatWereNotApplied: {Rule.MIXED},
+    WatchIsStale: {Rule.STALE},
+    HistoryIsTrimmedByCount: {Rule.LOST},
+    WatchIsNotNotified: {Rule.PROMPT},
     NumbersAreSlow: {Rule.PROMPT, Rule.LOST},
     NoSuchResource: {Rule.PROTOCOL},
     EmptyAnswers: {Rule.PROTOCOL},
-    LocksEndInSilence: {Rule.LOST},
+    AuditOfLocksTimesOut: {Rule.LOST},
 }
 
 
-@pytest.mark.parametrize("seed", range(SEEDS_OF_THE_CORRECT_ONE))
-def test_the_correct_one_breaks_no_rule(seed: int) -> None:
-    assert play(FakeCoordination, seed, PopulationSetup.draw(Random(seed))) == []
+@pytest.mark.parametrize("seed", range(SEEDS_OF_CORRECT_SERVICE))
+def test_correct_service_breaks_no_rule(seed: int) -> None:
+    assert run_callers(FakeCoordination, seed, PopulationSetup.draw(Random(seed))) == []
 
 
 @pytest.mark.parametrize("faulty", FAULTY, ids=lambda one: one.__name__)
-def test_a_faulty_one_breaks_the_rule_of_its_fault(faulty: type[FakeCoordination]) -> None:
-    due = set(FAULTY[faulty])
+def test_faulty_service_breaks_rule_of_its_fault(faulty: type[FakeCoordination]) -> None:
+    missing = set(FAULTY[faulty])
     for seed in range(SEEDS):
         setup = SETUP if seed % 2 else SETUP_WITHOUT_LOSSES
-        due -= {violation.rule for violation in play(faulty, seed, setup)}
-        if not due:
+        missing -= {violation.rule for violation in run_callers(faulty, seed, setup)}
+        if not missing:
             return
-    pytest.fail(f"not noticed in {SEEDS} seeds: {due}")
+    pytest.fail(f"rules not reported as violated in {SEEDS} seeds: {missing}")
 
 
-def test_a_run_repeats() -> None:
+def test_run_is_deterministic() -> None:
     lossy = replace(SETUP, faults=WireFaults(0.3, 0.1))
-    assert play(ReadIsOld, 1, lossy) == play(ReadIsOld, 1, lossy)
+    assert run_callers(ReadIsStale, 1, lossy) == run_callers(ReadIsStale, 1, lossy)
--- a/tests/simulation/test_coordination_checkers.py
+++ b/tests/simulation/test_coordination_checkers.py
@@ -1,4 +1,4 @@
-"""The checkers of coordination on histories written by hand: each rule is told where it is broken, and only there."""
+"""Checkers of coordination on hand-written histories: each violation is reported, and valid histories have none."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from otterreach.simulation.keyspace_linearizability import find_linearizability_violations
 
 BOUNDS = Bounds(history_s=20.0, free_s=1.5)
-CALM = [CalmSpan(0.0, 0.0, 1000.0)]
-TROUBLE: list[CalmSpan] = []
+FAULT_FREE = [CalmSpan(0.0, 0.0, 1000.0)]
+NEVER_FAULT_FREE: list[CalmSpan] = []
 DRAWN_HISTORIES = 600
 
 
@@ -66,7 +66,7 @@
     return PutCopy(sent=sent, answered=sent + 0.1, over=sent + 0.1, status=status, revision=revision)
 
 
-def silent(sent: float) -> PutCopy:
+def unanswered(sent: float) -> PutCopy:
     return PutCopy(sent=sent, over=sent + 1.0)
 
 
@@ -105,8 +105,8 @@
 SECOND = WatchEvent("g.a", "v2", 2)
 
 
-def rules(*calls: Call | Put, calm: list[CalmSpan] = TROUBLE) -> set[Rule]:
-    """The rules that a history of these calls breaks."""
+def rules(*calls: Call | Put, calm: list[CalmSpan] = NEVER_FAULT_FREE) -> set[Rule]:
+    """Return the rules that a history of these calls violates."""
     history = CoordinationHistory()
     for call in calls:
         if isinstance(call, Put):
@@ -126,12 +126,12 @@
     return {violation.rule for violation in find_violations(history, calm, BOUNDS)}
 
 
-SOUND: dict[str, tuple[Call | Put, ...]] = {
+VALID: dict[str, tuple[Call | Put, ...]] = {
     "one after the other": (acquire("a", 1.0, 1), acquire("b", 4.0, 2)),
     "released, then taken": (acquire("a", 1.0, 1), release("a", 2.0, 1), acquire("b", 2.01, 2)),
     "refused while it is held": (acquire("a", 1.0, 1), acquire("b", 2.0, status=409), acquire("b", 4.1, 2)),
     "renewed in time": (acquire("a", 1.0, 1), renewal("a", 3.0, 1), acquire("b", 6.0, 2)),
-    "a renewal answered too late counts for nothing": (
+    "a renewal answered too late does not extend the hold": (
         acquire("a", 1.0, 1),
         renewal("a", 3.0, 1, answered=4.2),
         acquire("b", 6.0, 2),
@@ -139,16 +139,19 @@
     ),
     "the same owner gets the same fence": (acquire("a", 1.0, 1), acquire("a", 2.0, 1)),
     "numbers of calls at the same time in any order": (number(1.0, 3.0, 2), number(1.5, 2.0, 1)),
-    "an unclear put is shown later": (put("v1", 0, silent(1.0)), read(9.0, "v1", 4)),
+    "an indeterminate put is observed later": (put("v1", 0, unanswered(1.0)), read(9.0, "v1", 4)),
     "a repeat gets the first revision": (put("v1", 0, copy(1.0, 1), copy(3.0, 1)), B),
-    "a rejection names the revision of an unclear put": (put("v1", 0, silent(1.0)), put("v2", 0, copy(2.0, 7, 412))),
-    "nothing is there yet": (read(0.5, "", 0), A, read(1.5, "v1", 1)),
+    "a rejection names the revision of an indeterminate put": (
+        put("v1", 0, unanswered(1.0)),
+        put("v2", 0, copy(2.0, 7, 412)),
+    ),
+    "404 before the first put": (read(0.5, "", 0), A, read(1.5, "v1", 1)),
     "a watch from the beginning": (A, B, watch(3.0, 1, 2, SECOND), watch(3.0, 0, 2)),
     "a watch of a group that had nothing yet": (A, watch(1.05, 0, 1, FIRST)),
     "410 for an old revision": (A, watch(30.0, 1, 0, status=410, given=9.0)),
 }
 
-BROKEN: dict[str, tuple[Rule, tuple[Call | Put, ...]]] = {
+VIOLATING: dict[str, tuple[Rule, tuple[Call | Put, ...]]] = {
     "two holders": (Rule.ONE, (acquire("a", 1.0, 1), acquire("b", 3.8, 2))),
     "two holders after a renewal": (Rule.ONE, (acquire("a", 1.0, 1), renewal("a", 3.0, 1), acquire("b", 5.8, 2))),
     "the same fence for two": (Rule.ONE, (acquire("a", 1.0, 1), acquire("b", 5.0, 1))),
@@ -158,12 +161,12 @@
     "renewed though released": (Rule.ONE, (acquire("a", 1.0, 1), release("a", 2.0, 1), renewal("a", 2.5, 1))),
     "renewal refused to the holder": (Rule.PROTOCOL, (acquire("a", 1.0, 1), renewal("a", 2.0, 1, status=409))),
     "a number twice": (Rule.ORDER, (number(1.0, 2.0, 1), number(1.5, 2.5, 1))),
-    "a number that falls": (Rule.ORDER, (number(1.0, 2.0, 5), number(2.5, 3.0, 4))),
-    "a number that falls at the end": (Rule.LOST, (number(1.0, 2.0, 5), number(2.5, 3.0, 4, final=True))),
+    "a number that decreases": (Rule.ORDER, (number(1.0, 2.0, 5), number(2.5, 3.0, 4))),
+    "a number that decreases at the end": (Rule.LOST, (number(1.0, 2.0, 5), number(2.5, 3.0, 4, final=True))),
     "a revision twice": (Rule.ORDER, (A, put("v3", 0, copy(1.05, 1), key="g.b"))),
-    "a revision that falls": (Rule.ORDER, (B, put("v3", 0, copy(3.0, 1), key="g.b"))),
-    "over a later revision": (Rule.ORDER, (A, B, put("v3", 1, copy(2.05, 3)))),
-    "a revision below one that a watch named": (Rule.ORDER, (watch(1.0, 0, 5), put("v3", 0, copy(2.0, 4)))),
+    "a revision that decreases": (Rule.ORDER, (B, put("v3", 0, copy(3.0, 1), key="g.b"))),
+    "a put over an outdated revision": (Rule.ORDER, (A, B, put("v3", 1, copy(2.05, 3)))),
+    "a revision below one that a watch returned": (Rule.ORDER, (watch(1.0, 0, 5), put("v3", 0, copy(2.0, 4)))),
     "a stale read": (Rule.STALE, (A, B, read(3.0, "v1", 1))),
     "a stale 404": (Rule.STALE, (A, read(3.0, "", 0))),
     "a stale rejection": (Rule.STALE, (A, B, put("v3", 5, copy(3.0, 1, 412)))),
@@ -180,22 +183,22 @@
     "a repeat that is rejected": (Rule.REFUSED, (put("v1", 0, copy(1.0, 1), copy(2.0, 2, 412)), B)),
     "a watch that skips": (Rule.ORDER, (A, B, watch(3.0, 0, 2, SECOND))),
     "a watch that skips the last": (Rule.ORDER, (A, B, put("v3", 2, copy(2.5, 3)), watch(3.0, 1, 3, SECOND))),
-    "a watch that falls": (Rule.ORDER, (A, B, watch(3.0, 0, 2, SECOND, FIRST))),
+    "a watch with decreasing events": (Rule.ORDER, (A, B, watch(3.0, 0, 2, SECOND, FIRST))),
     "a watch above its revision": (Rule.ORDER, (A, B, watch(1.9, 0, 1, FIRST, SECOND))),
-    "a watch that tells what was rejected": (
+    "a watch that shows a rejected put": (
         Rule.REFUSED,
         (put("v1", 3, copy(1.0, 0, 412)), watch(2.0, 0, 1, FIRST)),
     ),
     "410 too early": (Rule.LOST, (A, watch(20.0, 1, 0, status=410, given=1.0))),
-    "410 for the present": (Rule.LOST, (watch(20.0, 0, 0, status=410),)),
-    "a read goes back": (Rule.LINEARIZABLE, (put("v1", 0, silent(1.0)), read(2.0, "v1", 1), read(3.0, "", 0))),
-    "a proper call is called wrong": (Rule.PROTOCOL, (put("v1", 0, copy(1.0, 0, 400)),)),
+    "410 for the current revision": (Rule.LOST, (watch(20.0, 0, 0, status=410),)),
+    "a read goes back": (Rule.LINEARIZABLE, (put("v1", 0, unanswered(1.0)), read(2.0, "v1", 1), read(3.0, "", 0))),
+    "400 for a valid call": (Rule.PROTOCOL, (put("v1", 0, copy(1.0, 0, 400)),)),
 }
 
-CALM_BROKEN: dict[str, tuple[Call | Put, ...]] = {
-    "silence": (put("v1", 0, silent(1.0)),),
+VIOLATING_WITHOUT_FAULTS: dict[str, tuple[Call | Put, ...]] = {
+    "no answer": (put("v1", 0, unanswered(1.0)),),
     "unavailable": (acquire("a", 1.0, status=503),),
-    "refused long after the time": (acquire("a", 1.0, 1), acquire("b", 5.6, status=409)),
+    "refused long after the hold expired": (acquire("a", 1.0, 1), acquire("b", 5.6, status=409)),
     "refused long after the release": (acquire("a", 1.0, 1), release("a", 1.2, 1), acquire("b", 2.9, status=409)),
     "an event that comes late": (
         A,
@@ -207,36 +210,36 @@
 }
 
 
-@pytest.mark.parametrize("name", SOUND)
-def test_sound(name: str) -> None:
-    assert rules(*SOUND[name]) == set()
+@pytest.mark.parametrize("name", VALID)
+def test_valid_history(name: str) -> None:
+    assert rules(*VALID[name]) == set()
 
 
-@pytest.mark.parametrize("name", BROKEN)
-def test_broken(name: str) -> None:
-    rule, calls = BROKEN[name]
+@pytest.mark.parametrize("name", VIOLATING)
+def test_violating_history(name: str) -> None:
+    rule, calls = VIOLATING[name]
     assert rule in rules(*calls)
 
 
-@pytest.mark.parametrize("name", CALM_BROKEN)
-def test_late_in_calm_times_alone(name: str) -> None:
-    assert Rule.PROMPT in rules(*CALM_BROKEN[name], calm=CALM)
-    assert Rule.PROMPT not in rules(*CALM_BROKEN[name], calm=TROUBLE)
+@pytest.mark.parametrize("name", VIOLATING_WITHOUT_FAULTS)
+def test_late_answer_violates_only_without_faults(name: str) -> None:
+    assert Rule.PROMPT in rules(*VIOLATING_WITHOUT_FAULTS[name], calm=FAULT_FREE)
+    assert Rule.PROMPT not in rules(*VIOLATING_WITHOUT_FAULTS[name], calm=NEVER_FAULT_FREE)
 
 
 def test_same_verdict_as_all_orders() -> None:
-    """Linearizability by moments against the search of all orders, on small drawn histories."""
+    """The verdict on small random histories equals that of an exhaustive search over all orders."""
     verdicts = {True: 0, False: 0}
     for seed in range(DRAWN_HISTORIES):
         history = draw(Random(seed))
         expected = any_order(history)
         verdicts[expected] += 1
         assert (not list(find_linearizability_violations(history))) is expected, f"seed {seed}: {history}"
-    assert min(verdicts.values()) > DRAWN_HISTORIES / 10, "both kinds have to be drawn"
+    assert min(verdicts.values()) > DRAWN_HISTORIES / 10, "too few linearizable or too few violating histories"
 
 
 def draw(random: Random) -> CoordinationHistory:
-    """Three puts to two keys of one group, and three reads, at moments that never coincide."""
+    """Draw three puts to two keys of one group, and three reads, whose start and end times are distinct."""
     moments = random.sample(range(40), 12)
     spans = [(float(min(pair)), float(max(pair))) for pair in zip(moments[::2], moments[1::2], strict=True)]
     history = CoordinationHistory()
@@ -261,7 +264,7 @@
 
 
 def any_order(history: CoordinationHistory) -> bool:
-    """Whether some order that keeps real time explains all answers."""
+    """Return True if an order of the calls that is consistent with real time explains all answers."""
     calls: list[Read | Put] = [*history.puts, *history.reads]
     return any(fits(order) for order in permutations(calls))
 
