--- a/otterreach/simulation/coordination.py
+++ b/otterreach/simulation/coordination.py
@@ -26,9 +26,9 @@
 BOUNDS = Bounds(HISTORY_S, FREE_S)
 CHECK_S = 4.0  # interval between checks of the whole history
 CALM_CHECK_S = 0.1  # interval between checks for active faults
-FINAL_FAULT_SHARE = 0.3
-FINAL_FAULT_S = 1.0
-RECOVER_S = 10.0
+FINAL_FAULT_SHARE = 0.3  # share of runs with a final fault
+FINAL_FAULT_S = 1.0  # duration of the final fault
+RECOVER_S = 10.0  # time from the end of the final fault to the end of the plan
 
 
 class CoordinationScenario(control.Scenario):
--- a/otterreach/simulation/coordination_callers.py
+++ b/otterreach/simulation/coordination_callers.py
@@ -18,13 +18,13 @@
     Renewal,
 )
 
-HOLD_S = (0.4, 0.8, 1.5, 3.0, 5.0)
+HOLD_S = (0.4, 0.8, 1.5, 3.0, 5.0)  # hold times that callers request
 ACQUIRE_TIMEOUT_S = (1.0, 8.0)  # a caller stops trying to acquire a lock after a time drawn from this range
 RETRY_DELAY_S = (0.03, 0.4)
 THINK_TIME_S = (0.0, 0.1, 0.6)
-SAME_LOCK_SHARE = 0.5  # of the acquisitions are of the lock that the caller used last, for instance before it crashed
-RENEWALS = (1, 8)
-RENEW_AFTER_SHARE = (0.2, 0.6)  # of the hold
+SAME_LOCK_SHARE = 0.5  # share of acquisitions of the last used lock, since a caller often wants it again after a crash
+RENEWALS = (1, 8)  # range of the number of renewals of one hold
+RENEW_AFTER_SHARE = (0.2, 0.6)  # delay before a renewal, as a share of the hold time
 RELEASE_ATTEMPTS = 3
 
 
--- a/otterreach/simulation/coordination_client.py
+++ b/otterreach/simulation/coordination_client.py
@@ -18,9 +18,9 @@
 from otterreach.simulation.coordination_history import Call, CoordinationHistory, Rule, Violation
 
 ANSWER_S = 1.0  # time-out, after which the caller uses another address
-SWITCH_SHARE = 0.3  # of the calls use another address although the last one answered
-LEFT_OPEN_SHARE = 0.3  # of the connections stay open after the caller has timed out
-LEFT_OPEN_S = (0.5, 4.0)
+SWITCH_SHARE = 0.3  # share of calls to another address although the last one answered
+LEFT_OPEN_SHARE = 0.3  # share of connections that stay open after the caller has timed out
+LEFT_OPEN_S = (0.5, 4.0)  # time that such a connection stays open after the time-out
 DELAY_S = (0.2, 5.0)  # delay of a copy in transit
 HEADERS = {b"Content-Type": b"application/json"}
 
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WireFaults:
-    """Faults between callers and controllers, as shares of all copies that are sent."""
+    """Faults between callers and controllers, as shares of all answers or copies."""
 
-    lost_share: float = 0.0  # of the answers are dropped
-    delayed_share: float = 0.0  # of the copies are delayed in transit
+    lost_share: float = 0.0  # share of answers that are dropped
+    delayed_share: float = 0.0  # share of copies that are delayed in transit
 
 
 @dataclass(frozen=True, slots=True)
--- a/otterreach/simulation/coordination_history.py
+++ b/otterreach/simulation/coordination_history.py
@@ -11,7 +11,7 @@
 from http import HTTPStatus
 from math import inf
 
-SILENCE = 0  # the status of a copy that was not answered, or whose answer was lost
+SILENCE = 0  # status of a copy that was not answered, or whose answer was lost
 MAX_ARRIVAL_DELAY_S = 20.0  # an unanswered copy may be applied this late: longer than any machine is frozen
 NOT_APPLIED_STATUSES = (HTTPStatus.PRECONDITION_FAILED, HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
@@ -47,7 +47,7 @@
     status: int = SILENCE
     over: float = inf  # when the exchange ended: from then on the copy can't leave the caller any more
     was_answered: bool = False  # an answer came by then, even if it was dropped or too late for the caller
-    fault_injected: bool = False  # the simulation dropped its answer or delayed the copy: its latency is not judged
+    fault_injected: bool = False  # the simulation dropped its answer or delayed the copy: latency not checked
     final: bool = False
 
     @property
@@ -119,7 +119,7 @@
     """POST /numbers/ID."""
 
     name: str
-    value: int = 0  # of the answer
+    value: int = 0  # number of the answer
 
     def __str__(self) -> str:
         return f"number {self.value} of {self.name} ({self.span})"
@@ -129,7 +129,7 @@
 class PutCopy(Call):
     """PUT /cells/ID: one copy of a put."""
 
-    revision: int = 0  # of the answer: the revision of the put with 200, that of the key with 412
+    revision: int = 0  # revision of the answer: that of the put with 200, that of the key with 412
 
 
 @dataclass(slots=True, eq=False)
@@ -192,7 +192,7 @@
     past: int
     wait_s: float
     past_received_at: float = -inf
-    revision: int = 0  # of the answer
+    revision: int = 0  # revision of the answer
     events: tuple[WatchEvent, ...] = ()
 
     @property
--- a/otterreach/simulation/coordination_key_callers.py
+++ b/otterreach/simulation/coordination_key_callers.py
@@ -24,14 +24,14 @@
 RETRY_DELAY_S = (0.03, 0.4)
 THINK_TIME_S = (0.0, 0.1, 0.5)
 GIVE_UP_SHARE = 0.3  # probability that a put is abandoned after a copy that was surely not applied
-DUPLICATE_SHARE = 0.15  # of the acknowledged puts are sent once more, as after a lost answer
-DUPLICATE_AFTER_S = (0.0, 4.0)
-READ_FIRST_SHARE = 0.3  # of the puts are preceded by a read
-STALE_EXPECT_SHARE = 0.1  # of the puts deliberately expect any known revision, mostly an outdated one
-READ_PAUSE_S = (0.02, 0.3)
+DUPLICATE_SHARE = 0.15  # share of acknowledged puts that are sent once more, as after a lost answer
+DUPLICATE_AFTER_S = (0.0, 4.0)  # delay from the acknowledgement to that duplicate
+READ_FIRST_SHARE = 0.3  # share of puts that are preceded by a read
+STALE_EXPECT_SHARE = 0.1  # share of puts that deliberately expect any known revision, mostly an outdated one
+READ_PAUSE_S = (0.02, 0.3)  # pause between two reads
 WAIT_S = (0.2, 2.0, 5.0)  # long-poll time of a watch
-RESUME_OLDER_SHARE = 0.1  # of the watches resume from an older revision
-CURRENT_REVISION_SHARE = 0.05  # of the watches request the current revision
+RESUME_OLDER_SHARE = 0.1  # share of watches that resume from an older revision
+CURRENT_REVISION_SHARE = 0.05  # share of watches that request the current revision
 MAX_RESUME_AGE_SHARE = 0.9  # watches resume from revisions younger than this share of the history retention
 
 
--- a/otterreach/simulation/coordination_liveness.py
+++ b/otterreach/simulation/coordination_liveness.py
@@ -18,7 +18,7 @@
     Watch,
 )
 
-ANSWER_S = 1.0  # time-out of callers
+ANSWER_S = 1.0  # time-out of callers, and limit for answers and events
 DEFINITE_STATUSES = (
     HTTPStatus.OK,
     HTTPStatus.CONFLICT,
@@ -56,7 +56,7 @@
 
 
 def _find_late_events(history: CoordinationHistory, calm: Sequence[CalmSpan]) -> Iterator[Violation]:
-    """Yield watches that were answered more than a second after the put of one of their events was acknowledged."""
+    """Yield events answered more than `ANSWER_S` after their put was acknowledged and the watch was sent."""
     acknowledged = {put.value: put.acknowledged for put in history.puts}
     for watch in history.watches:
         if watch.fault_injected:
--- a/otterreach/simulation/keyspace_checker.py
+++ b/otterreach/simulation/keyspace_checker.py
@@ -139,7 +139,7 @@
 
 def _find_non_increasing_revisions(keyspace: Keyspace) -> Iterator[Violation]:
     """Yield puts whose revision is not above all of the group that answers contained before the first copy was sent."""
-    named: defaultdict[str, list[tuple[float, int]]] = defaultdict(list)  # (when, revision) by group
+    named: defaultdict[str, list[tuple[float, int]]] = defaultdict(list)  # (time, revision) by group
     for observation in keyspace.observations:
         named[group_of(observation.key)].append((observation.call.answered, observation.revision))
     for answer in keyspace.key_revisions:
@@ -159,7 +159,7 @@
 
 
 def _find_unmet_expectations(keyspace: Keyspace) -> Iterator[Violation]:
-    latest: dict[str, Put] = {}  # by key
+    latest: dict[str, Put] = {}  # last applied put so far, by key
     for put in keyspace.applied_puts():
         revision = keyspace.revision_of[put.value]
         earlier = latest.get(put.key)
@@ -176,7 +176,7 @@
 
     A watch without events must also show what was acknowledged before the end of its wait.
     """
-    of_key: defaultdict[str, list[tuple[float, int]]] = defaultdict(list)  # (when, revision)
+    of_key: defaultdict[str, list[tuple[float, int]]] = defaultdict(list)  # (time, revision)
     of_group: defaultdict[str, list[tuple[float, int]]] = defaultdict(list)
     for put in keyspace.applied_puts():
         if put.acknowledged < inf:
@@ -199,7 +199,7 @@
     """The highest revision that was known before a given time."""
 
     def __init__(self, known: Sequence[tuple[float, int]]) -> None:
-        """:param known: (when, revision)."""
+        """:param known: (time, revision)."""
         ordered = sorted(known)
         self._times = [time for time, _ in ordered]
         self._highest: list[int] = []
--- a/otterreach/simulation/linearizability.py
+++ b/otterreach/simulation/linearizability.py
@@ -70,7 +70,7 @@
 
 
 class _Search:
-    """Search for the chains of changes that contain all acknowledged and all read versions."""
+    """The search for chains of changes that contain all acknowledged and all read versions."""
 
     def __init__(self, changes: Sequence[Change], reads: Sequence[Read]) -> None:
         self.violation = ""
