--- a/otterreach/soak/__init__.py
+++ b/otterreach/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes under signals, restarts, lost disks and changes that overlap, with callers of coordination."""
+"""Soak test: coordination clients and real processes under overlapping signals, restarts, disk losses and changes."""
--- a/otterreach/soak/__main__.py
+++ b/otterreach/soak/__main__.py
@@ -1,4 +1,4 @@
-"""python3 -m otterreach.soak: real processes under disruptions that overlap, one seed after the other."""
+"""Command line of the soak test, `python3 -m otterreach.soak`: runs one seed after the other."""
 
 from __future__ import annotations
 
@@ -15,64 +15,67 @@
 from cyclopts import App, Parameter
 
 from otterreach.soak.result import SoakResult
-from otterreach.soak.run import soak
+from otterreach.soak.run import run_soak
 from otterreach.soak.setup import SoakSetup
 
-BROKEN_OFF = 130
+INTERRUPTED_EXIT_CODE = 130
 MAX_PROCESSES = 300
-PROCESS_MB = 60  # of memory, at the most
+PROCESS_MB = 60  # upper bound on the memory of one process
 MB = 1024 * 1024
 
-app = App(name="soak", help="Real processes under signals, restarts, lost disks and changes, with callers.")
+app = App(
+    name="soak",
+    help="Run clients against real processes under signals, restarts, disk losses and configuration changes.",
+)
 
 
 def read_seeds(text: str) -> Iterator[int]:
-    """The seeds of `4`, `1-50` or `1,7,20-25`."""
+    """Yield the seeds of a list such as `4`, `1-50` or `1,7,20-25`."""
     for part in text.split(","):
         first, _, last = part.partition("-")
         yield from range(int(first), int(last or first) + 1)
 
 
-def fits(setup: SoakSetup) -> bool:
-    """Whether the processes stay within a few hundred and half of the machine's memory."""
+def fits_machine(setup: SoakSetup) -> bool:
+    """Return True if the setup needs at most `MAX_PROCESSES` processes and half of the machine's memory."""
     count = setup.controllers + setup.jobstores + setup.proxies
     memory_mb = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / MB
     return count <= MAX_PROCESSES and count * PROCESS_MB <= memory_mb / 2
 
 
-async def play(setup: SoakSetup, folder: Path, quiet: bool) -> SoakResult:
-    """One soak, which SIGTERM breaks off in order."""
+async def run_cancellable(setup: SoakSetup, folder: Path, quiet: bool) -> SoakResult:
+    """Run one soak; SIGTERM cancels it and shuts it down cleanly."""
     task = asyncio.current_task()
     assert task is not None
-    # Danger: ended at once, it would leave the system's processes behind.
+    # SIGTERM has to cancel the task: the default action would end this process and leave its child processes running.
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-    return await soak(setup, folder, quiet)
+    return await run_soak(setup, folder, quiet)
 
 
 @Parameter(name="*")
 @dataclass(frozen=True, slots=True)
 class Options:
-    """What is soaked."""
+    """Options of the command line."""
 
     seeds: str = "1"
-    "4, 1-50 or 1,7,20-25."
+    "Seeds to run: 4, 1-50 or 1,7,20-25."
     seconds: float = 40.0
-    "Of disruptions, for each seed."
+    "Duration of the disruptions for each seed, in seconds."
     controllers: int = 0
-    "3 or 5; else as the seed says."
+    "Number of controllers, 3 or 5; by default drawn from the seed."
     jobstores: int = 0
-    "Job store nodes besides."
+    "Number of job store nodes."
     proxies: int = 0
-    "Proxies besides."
+    "Number of proxies."
     callers: int = 1
-    "A multiple of the usual number of callers."
+    "Factor on the default number of callers."
     out: Path | None = None
-    "A folder for results, and for logs and disks of soaks that broke a rule or were late."
+    "Folder for the results; logs and disks are kept for soaks that broke a rule or had late answers."
     quiet: bool = False
-    "Only one line for each seed."
+    "Print only one line for each seed."
 
     def setup(self, seed: int) -> SoakSetup:
-        """The setup of a seed."""
+        """Return the setup for a seed, with the options applied."""
         setup = SoakSetup.draw(
             seed, self.seconds, jobstores=self.jobstores, proxies=self.proxies, callers_scale=self.callers
         )
@@ -85,13 +88,16 @@
 
 
 def soak_seed(setup: SoakSetup, folder: Path, quiet: bool) -> bool:
-    """Soak one seed and tell of it; whether no rule was broken. What an earlier soak left in the folder is removed."""
-    shutil.rmtree(folder, ignore_errors=True)  # its disks know other addresses
-    result = asyncio.run(play(setup, folder, quiet))
+    """Soak one seed and print the result; return True if no rule was broken.
+
+    Files of an earlier soak in the folder are removed first.
+    """
+    shutil.rmtree(folder, ignore_errors=True)  # old disks hold a membership with other addresses
+    result = asyncio.run(run_cancellable(setup, folder, quiet))
     result.write(folder)
     print(result.line(), flush=True)
     if result.violations:
-        print(f"{result.details()}\n  kept in {folder}", flush=True)
+        print(f"{result.details()}\n  logs and disks kept in {folder}", flush=True)
     elif not result.late:
         for part in ("disk", "host", "logs", "settings"):
             shutil.rmtree(folder / part, ignore_errors=True)
@@ -100,17 +106,17 @@
 
 @app.default
 def run(*, options: Options = DEFAULT_OPTIONS) -> int:
-    """Soak, one seed after the other. Ends with 1 if a rule was broken; then logs and disks are kept."""
+    """Soak one seed after the other. Exits with 1 if a rule was broken; logs and disks are then kept."""
     folder = (options.out or Path(tempfile.mkdtemp(prefix="soak-"))).absolute()
     setups = [options.setup(seed) for seed in read_seeds(options.seeds)]
-    if not all(fits(setup) for setup in setups):
-        print(f"more than {MAX_PROCESSES} processes, or more than half of the memory", file=sys.stderr)
+    if not all(fits_machine(setup) for setup in setups):
+        print(f"soak too large: more than {MAX_PROCESSES} processes or half of the machine's memory", file=sys.stderr)
         return 1
     try:
         kept = [soak_seed(setup, folder / f"seed-{setup.seed}", options.quiet) for setup in setups]
     except (asyncio.CancelledError, KeyboardInterrupt):
-        print("broken off; everything it started has been ended", file=sys.stderr)
-        return BROKEN_OFF
+        print("interrupted; all processes of the soak have been stopped", file=sys.stderr)
+        return INTERRUPTED_EXIT_CODE
     return 0 if all(kept) else 1
 
 
--- a/otterreach/soak/callers.py
+++ b/otterreach/soak/callers.py
@@ -1,4 +1,4 @@
-"""The applications of a soak: those of the simulation, over real connections."""
+"""Clients of a soak: the coordination callers of the simulation, over real connections."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from otterreach.simulation.coordination_callers import request_number
 from otterreach.simulation.coordination_client import CoordinationClient, WireFaults
 from otterreach.simulation.coordination_population import Population, PopulationSetup
-from otterreach.soak.wire import OpenConnectionClient, random_of
+from otterreach.soak.wire import PersistentConnectionClient, derive_random
 
 SERVED_POLL_S = 0.1
 PROBE_NUMBER = "n0"
 
 
 class SoakPopulation(Population):
-    """Callers that keep their connections open, and whose answers nobody loses on purpose."""
+    """Callers over persistent connections, without injected loss of answers."""
 
     def __init__(
         self,
@@ -27,20 +27,20 @@
         history_s: float,
         stopping: Callable[[], bool],
     ) -> None:
-        self.clients: list[OpenConnectionClient] = []
+        self.clients: list[PersistentConnectionClient] = []
         super().__init__(setup, random, addresses, history_s, stopping)
 
     def client(self) -> CoordinationClient:
-        """A caller with connections of its own."""
+        """Return a new client with connections of its own."""
         return self._client()
 
     def _client(self) -> CoordinationClient:
-        client = OpenConnectionClient(random_of(self.random), self.addresses, WireFaults(), self.history)
+        client = PersistentConnectionClient(derive_random(self.random), self.addresses, WireFaults(), self.history)
         self.clients.append(client)
         return client
 
     async def audit(self) -> None:
-        """Ask for everything again."""
+        """Read back everything that was acknowledged, for the final check."""
         await FinalAudit(self._client()).run(self.locks, self.numbers, self.keys, self.watchers)
 
     def close(self) -> None:
@@ -50,7 +50,7 @@
 
 
 def population_setup(random: Random, scale: int) -> PopulationSetup:
-    """As many callers as the scale says, on names that grow in number with them."""
+    """Return a setup whose numbers of callers, locks and key groups grow with `scale`."""
     return PopulationSetup(
         lock_callers=4 * scale,
         locks=random.choice([1, 2, 3]) * scale,
@@ -65,7 +65,7 @@
 
 
 async def wait_until_served(population: SoakPopulation, within_s: float) -> bool:
-    """Ask for a number until one comes; whether one came in time."""
+    """Request a number until a request succeeds; return True if one did within `within_s`."""
     loop = asyncio.get_running_loop()
     end = loop.time() + within_s
     client = population.client()
--- a/otterreach/soak/disk_losses.py
+++ b/otterreach/soak/disk_losses.py
@@ -1,7 +1,7 @@
-"""How many disks may be lost: as many at once as the system has to survive.
+"""Budget of disk losses: at most as many at the same time as the system has to survive.
 
-A lost disk counts until the others have made up for it, which they have to within `sync_s`. Only time in which every
-machine runs counts for that: while others are down or frozen, nobody could make up for it.
+A lost disk counts against the budget until the replicas have restored its data, which they have to do within `sync_s`.
+Only time in which every machine runs counts towards that limit: replicas that are down or frozen cannot restore data.
 """
 
 from __future__ import annotations
@@ -11,25 +11,26 @@
 
 @dataclass(slots=True)
 class DiskLosses:
-    """The disks that are lost and not yet made up for."""
+    """Disks that are lost and whose data is not yet assumed to be restored."""
 
     survive: int
     sync_s: float
-    _left_s: dict[str, float] = field(default_factory=dict)  # by machine: the time that is still to pass
+    # By machine: calm time that remains until its data counts as restored.
+    _remaining_s: dict[str, float] = field(default_factory=dict)
 
     @property
     def allowed(self) -> int:
-        """How many more disks may be lost now."""
-        return self.survive - len(self._left_s)
+        """Number of further disks that may be lost now."""
+        return self.survive - len(self._remaining_s)
 
-    def lose(self, name: str) -> None:
-        """A disk is lost: that of a machine, or of one that is gone for good."""
-        self._left_s[name] = self.sync_s
+    def record_loss(self, name: str) -> None:
+        """Record the loss of a machine's disk, also of a machine that is removed permanently."""
+        self._remaining_s[name] = self.sync_s
 
-    def pass_calm_time(self, seconds: float) -> None:
-        """Time has passed in which every machine ran."""
-        self._left_s = {name: left - seconds for name, left in self._left_s.items() if left > seconds}
+    def credit_calm_time(self, seconds: float) -> None:
+        """Credit time during which every machine ran towards the restoration of lost disks."""
+        self._remaining_s = {name: left - seconds for name, left in self._remaining_s.items() if left > seconds}
 
-    def is_outstanding(self, name: str) -> bool:
-        """Whether the loss of this disk is not yet made up for: to lose it again costs no more."""
-        return name in self._left_s
+    def is_counted(self, name: str) -> bool:
+        """Return True if this disk already counts against the budget; losing it again uses no more of it."""
+        return name in self._remaining_s
--- a/otterreach/soak/disruptions.py
+++ b/otterreach/soak/disruptions.py
@@ -1,4 +1,4 @@
-"""What disturbs the processes, one after the other and at the same time, drawn from the seed."""
+"""Fault injection into the processes of a soak, drawn from the seed; disruptions may overlap."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from otterreach.soak.fleet import Fleet
 from otterreach.soak.operator import ConfigurationOperator
 
-PRIMARY_SHARE = 0.4  # of the disruptions of a controller hit the primary
-CORE_SHARE = 0.7  # of the disruptions hit a controller
-DOWN_S = (0.0, 0.2, 1.0, 4.0)
-FROZEN_S = (0.05, 0.5, 1.5, 3.5, 7.0)
-BURST_SHARE = 0.15  # of the disruptions come as several at the same moment
-BURST = 3
-QUIET_EVERY_S = 14.0
-QUIET_S = 9.0  # long enough for a lost disk to be made up for
+PRIMARY_SHARE = 0.4  # share of the disruptions of controllers that target the primary
+CONTROLLER_SHARE = 0.7  # share of the disruptions that target a controller
+DOWNTIMES_S = (0.0, 0.2, 1.0, 4.0)
+FREEZES_S = (0.05, 0.5, 1.5, 3.5, 7.0)
+BURST_SHARE = 0.15  # probability that several disruptions start at the same moment
+BURST_SIZE = 3
+DISRUPTION_PHASE_S = 14.0
+RECOVERY_PHASE_S = 9.0  # long enough for the replicas to restore the data of a lost disk
 POLL_S = 0.1
 
 
 class Kind(Enum):
-    """A kind of disruption; its value is how often it comes."""
+    """Kind of disruption; the value is its relative frequency."""
 
     TERMINATE = 4.0
     KILL = 4.1
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Disruption:
-    """One that was carried out, for the record. `at`: seconds since the soak began."""
+    """Record of a disruption that was carried out. `at`: seconds since the disruptions began."""
 
     at: float
     kind: str
@@ -48,98 +48,98 @@
 
 @dataclass(slots=True)
 class Disruptor:
-    """Draws disruptions and carries them out."""
+    """Draws disruptions and applies them to the fleet."""
 
     fleet: Fleet
     operator: ConfigurationOperator
     random: Random
     print_line: Callable[[str], None]
-    done: list[Disruption] = field(default_factory=list)
-    _under_way: set[asyncio.Task[None]] = field(default_factory=set)
+    disruptions: list[Disruption] = field(default_factory=list)
+    _tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _began: float = 0.0
 
     async def run(self, seconds: float) -> None:
-        """Disturb for so long, in phases with quiet ones between; ends once everything runs again."""
+        """Alternate phases of disruptions and of recovery; return once every process runs again."""
         loop = asyncio.get_running_loop()
         self._began = loop.time()
         end = self._began + seconds
         while loop.time() < end:
-            await self._series(min(end, loop.time() + QUIET_EVERY_S))
-            await self._quiet(min(end, loop.time() + QUIET_S))
+            await self._disrupt_until(min(end, loop.time() + DISRUPTION_PHASE_S))
+            await self._recover_until(min(end, loop.time() + RECOVERY_PHASE_S))
         await self.finish()
 
     async def finish(self) -> None:
-        """Wait for what is under way."""
-        while self._under_way:
-            await asyncio.wait(self._under_way)
+        """Wait for all disruptions in progress."""
+        while self._tasks:
+            await asyncio.wait(self._tasks)
 
-    async def _series(self, until: float) -> None:
+    async def _disrupt_until(self, until: float) -> None:
         loop = asyncio.get_running_loop()
         while loop.time() < until:
-            for _ in range(BURST if self.random.random() < BURST_SHARE else 1):
-                self._begin(self._draw())
+            for _ in range(BURST_SIZE if self.random.random() < BURST_SHARE else 1):
+                self._start(self._draw_kind())
             await asyncio.sleep(self.random.expovariate(1.0 / self.fleet.setup.mean_pause_s))
 
-    async def _quiet(self, until: float) -> None:
-        """Time in which every machine runs makes up for lost disks."""
+    async def _recover_until(self, until: float) -> None:
+        """Wait without new disruptions; time in which every machine runs is credited to lost disks."""
         await self.finish()
         loop = asyncio.get_running_loop()
         while loop.time() < until:
             began = loop.time()
             await asyncio.sleep(POLL_S)
             if self.fleet.is_calm:
-                self.fleet.disk_losses.pass_calm_time(loop.time() - began)
+                self.fleet.disk_losses.credit_calm_time(loop.time() - began)
 
-    def _draw(self) -> Kind:
+    def _draw_kind(self) -> Kind:
         return self.random.choices(list(Kind), [kind.value for kind in Kind])[0]
 
-    def _begin(self, kind: Kind) -> None:
-        work = self._work(kind)
-        if work is None:
+    def _start(self, kind: Kind) -> None:
+        coroutine = self._coroutine(kind)
+        if coroutine is None:
             return
-        task = asyncio.ensure_future(work)
-        self._under_way.add(task)
-        task.add_done_callback(self._ended)
+        task = asyncio.ensure_future(coroutine)
+        self._tasks.add(task)
+        task.add_done_callback(self._task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
-        self._under_way.discard(task)
+    def _task_done(self, task: asyncio.Task[None]) -> None:
+        self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            self.fleet.unexpected_ends.append(f"the soak itself failed: {error!r}")
+            self.fleet.unexpected_exits.append(f"disruption failed in the soak test itself: {error!r}")
 
-    def _note(self, kind: Kind, target: str) -> None:
+    def _record(self, kind: Kind, target: str) -> None:
         at = asyncio.get_running_loop().time() - self._began
-        self.done.append(Disruption(round(at, 3), kind.name.lower(), target))
+        self.disruptions.append(Disruption(round(at, 3), kind.name.lower(), target))
         self.print_line(f"{kind.name.lower()} {target}")
 
     # Kinds ---------------------------------------------------------------------------------------
 
-    def _work(self, kind: Kind) -> Coroutine[object, object, None] | None:
-        """The coroutine of a disruption; None if there is no target for it now."""
+    def _coroutine(self, kind: Kind) -> Coroutine[object, object, None] | None:
+        """Return the coroutine that applies a disruption; None if no target is eligible now."""
         if kind is Kind.CHANGE_CONFIGURATION:
-            self._note(kind, "")
-            return self.operator.change()
+            self._record(kind, "")
+            return self.operator.submit_change()
         if kind is Kind.POWER_LOSS:
             return self._power_loss()
         ends_process = kind not in (Kind.FREEZE, Kind.RELOAD)
         loses_disk = kind in (Kind.LOSE_DISK, Kind.REPLACE)
-        machine = self._target(loses_disk)
-        if machine is None or ends_process and machine.name in self.fleet.in_use:
+        machine = self._draw_target(loses_disk)
+        if machine is None or ends_process and machine.name in self.fleet.restarting:
             return None
-        if kind is not Kind.RELOAD and not self.fleet.has_room(machine):
+        if kind is not Kind.RELOAD and not self.fleet.may_disrupt(machine):
             return None
-        self._note(kind, machine.name)
+        self._record(kind, machine.name)
         if loses_disk:
-            self.fleet.disk_losses.lose(machine.name)
+            self.fleet.disk_losses.record_loss(machine.name)
         if ends_process:
-            self.fleet.in_use.add(machine.name)
+            self.fleet.restarting.add(machine.name)
         if kind is Kind.FREEZE:
             self.fleet.freeze(machine)
-        return self._on_machine(kind, machine)
+        return self._apply(kind, machine)
 
-    def _target(self, loses_disk: bool) -> Machine | None:
+    def _draw_target(self, loses_disk: bool) -> Machine | None:
         fleet = self.fleet
         others = [machine for machine in fleet.system.machines if machine.kind != "core"]
-        if others and not loses_disk and self.random.random() >= CORE_SHARE:
+        if others and not loses_disk and self.random.random() >= CONTROLLER_SHARE:
             return self.random.choice(others)
         controllers = fleet.controllers
         if loses_disk:
@@ -151,52 +151,52 @@
 
     def _may_lose_disk(self, machine: Machine) -> bool:
         losses = self.fleet.disk_losses
-        return losses.allowed > 0 or losses.is_outstanding(machine.name)
+        return losses.allowed > 0 or losses.is_counted(machine.name)
 
-    async def _on_machine(self, kind: Kind, machine: Machine) -> None:
+    async def _apply(self, kind: Kind, machine: Machine) -> None:
         if kind is Kind.FREEZE:
-            await asyncio.sleep(self.random.choice(FROZEN_S))
+            await asyncio.sleep(self.random.choice(FREEZES_S))
             self.fleet.thaw(machine)
         elif kind is Kind.RELOAD:
             machine.send_signal(signal.SIGHUP)
         else:
             try:
-                await self._end_and_start(kind, machine)
+                await self._restart(kind, machine)
             finally:
-                self.fleet.in_use.discard(machine.name)
+                self.fleet.restarting.discard(machine.name)
 
-    async def _end_and_start(self, kind: Kind, machine: Machine) -> None:
+    async def _restart(self, kind: Kind, machine: Machine) -> None:
         fleet = self.fleet
-        by_signal = kind is Kind.TERMINATE or kind is Kind.REPLACE and self.random.random() < 0.5
-        await (fleet.terminate(machine) if by_signal else fleet.kill(machine))
+        graceful = kind is Kind.TERMINATE or kind is Kind.REPLACE and self.random.random() < 0.5
+        await (fleet.terminate(machine) if graceful else fleet.kill(machine))
         if kind is Kind.REPLACE:
             await fleet.replace(machine)
             return
         if kind is Kind.LOSE_DISK:
             fleet.lose_disk(machine)
-        await asyncio.sleep(self.random.choice(DOWN_S))
+        await asyncio.sleep(self.random.choice(DOWNTIMES_S))
         await fleet.start(machine)
 
     def _power_loss(self) -> Coroutine[object, object, None] | None:
-        """All controllers at the same moment; they keep their disks and come back one after the other."""
+        """Return the coroutine of a power loss of all controllers, which keep their disks and restart one by one."""
         fleet = self.fleet
-        if fleet.in_use or not fleet.setup.may_lose_majority:
+        if fleet.restarting or not fleet.setup.may_lose_majority:
             return None
-        self._note(Kind.POWER_LOSS, "all controllers")
-        fleet.in_use.update(machine.name for machine in fleet.controllers)
+        self._record(Kind.POWER_LOSS, "all controllers")
+        fleet.restarting.update(machine.name for machine in fleet.controllers)
         return lose_power(fleet, self.random, lose_disks=0, reserved=True)
 
 
 async def lose_power(fleet: Fleet, random: Random, lose_disks: int, reserved: bool = False) -> None:
-    """Kill all controllers at once; some of their disks are lost; all start again, in any order.
+    """Kill all controllers at once, erase some of their disks and restart all of them in random order.
 
-    :param reserved: the caller has seen to it that nobody else ends or starts them
+    :param reserved: the caller has already added the controllers to `fleet.restarting`
     """
-    while fleet.in_use & {machine.name for machine in fleet.controllers} and not reserved:
+    while fleet.restarting & {machine.name for machine in fleet.controllers} and not reserved:
         await asyncio.sleep(POLL_S)
     controllers = list(fleet.controllers)
     random.shuffle(controllers)
-    fleet.in_use.update(machine.name for machine in controllers)
+    fleet.restarting.update(machine.name for machine in controllers)
     await asyncio.gather(*(fleet.kill(machine) for machine in controllers))
     for machine in controllers[:lose_disks]:
         fleet.lose_disk(machine)
@@ -204,4 +204,4 @@
     for machine in controllers:
         await asyncio.sleep(random.choice((0.0, 0.0, 0.3, 1.0)))
         await fleet.start(machine)
-        fleet.in_use.discard(machine.name)
+        fleet.restarting.discard(machine.name)
--- a/otterreach/soak/fleet.py
+++ b/otterreach/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a soak, and what is done to them: signals, restarts, lost disks, replaced machines."""
+"""Processes of a soak, and the operations on them: signals, restarts, disk losses, replacement of machines."""
 
 from __future__ import annotations
 
@@ -11,63 +11,67 @@
 from otterreach.soak.disk_losses import DiskLosses
 from otterreach.soak.setup import SOAK_BOUNDS, SoakSetup
 
-REPLACEMENTS_NET = 60  # third part of the addresses of machines that replace others
-FIRST_ADDRESS = 10
-SUPERVISE_S = 0.3
-SETTLED_S = 3.0  # after a start a process may still be loading
-_MODE = re.compile(r"event=mode .*\bnew=(\w+)")
+REPLACEMENT_OCTET = 60  # third octet of the addresses of replacement machines, plus the index of the zone
+FIRST_HOST = 10
+SUPERVISE_INTERVAL_S = 0.3
+STARTUP_S = 3.0  # a process may still be loading its state for this long after its start
+_MODE_EVENT = re.compile(r"event=mode .*\bnew=(\w+)")
 
 
 class Fleet:
-    """All processes. `down` and `frozen` name the machines that are not running as they should at this moment."""
+    """All machines of a soak and their processes. `down` and `frozen` name those not running normally at present."""
 
-    def __init__(self, setup: SoakSetup, folder: Path, net: str) -> None:
+    def __init__(self, setup: SoakSetup, folder: Path, network_prefix: str) -> None:
         self.setup = setup
         self.folder = folder
-        self.net = net
+        self.network_prefix = network_prefix
         self.plan = setup.plan()
-        self.system = System(self.plan, folder, net, SOAK_BOUNDS)
+        self.system = System(self.plan, folder, network_prefix, SOAK_BOUNDS)
         self.down: set[str] = set()
-        self.frozen: dict[str, int] = {}  # by machine: how many freezes of it are under way
-        self.in_use: set[str] = set()  # machines whose process is being ended or started: one at a time does that
+        self.frozen: dict[str, int] = {}  # by machine: number of overlapping freezes
+        # Machines whose process is being ended or started; only one task at a time may do so.
+        self.restarting: set[str] = set()
         self.disk_losses = DiskLosses(setup.survive, float(SOAK_BOUNDS["syncS"]))
-        self.unexpected_ends: list[str] = []
+        self.unexpected_exits: list[str] = []
         self._started_at: dict[str, float] = {}
         self._replacements = 0
 
     @property
     def controllers(self) -> list[Machine]:
-        """The present controllers."""
+        """Current controllers, replacements included."""
         return self.system.of("core")
 
     def addresses(self) -> list[str]:
-        """The `ctl` addresses that applications know."""
+        """Return the `ctl` addresses of the current controllers, which clients use."""
         return [machine.ctl for machine in self.controllers]
 
     @property
     def is_calm(self) -> bool:
-        """Whether every process runs and has had time to start."""
+        """True if every process runs and its start-up time has passed."""
         now = asyncio.get_running_loop().time()
-        settled = all(now - at >= SETTLED_S for at in self._started_at.values())
-        return settled and not self.down and not self.frozen
+        all_started = all(now - at >= STARTUP_S for at in self._started_at.values())
+        return all_started and not self.down and not self.frozen
 
-    def has_room(self, machine: Machine) -> bool:
-        """Whether one more machine may be disturbed without more than the system bears being so at once."""
+    def may_disrupt(self, machine: Machine) -> bool:
+        """Return True if at most `survive` controllers would be disrupted at once, this machine included.
+
+        Machines of other kinds may always be disrupted, as may all where the setup allows the loss of a majority.
+        """
         if self.setup.may_lose_majority or machine.kind != "core":
             return True
-        disturbed = {one.name for one in self.controllers} & self.disturbed
-        return len(disturbed | {machine.name}) <= self.setup.survive
+        disrupted = {one.name for one in self.controllers} & self.disrupted
+        return len(disrupted | {machine.name}) <= self.setup.survive
 
     @property
-    def disturbed(self) -> set[str]:
-        """The machines that are down, frozen, or about to be ended."""
-        return self.down | self.in_use | self.frozen.keys()
+    def disrupted(self) -> set[str]:
+        """Names of the machines that are down, frozen, or being ended or started."""
+        return self.down | self.restarting | self.frozen.keys()
 
     def primary(self) -> Machine | None:
-        """The controller whose log says last that it is primary; None if no log says so."""
+        """Return the running controller whose last logged mode is primary; None if there is none."""
         for machine in self.controllers:
             log = self.folder / "logs" / f"{machine.name}.log"
-            modes = _MODE.findall(log.read_text(errors="replace")) if log.exists() else []
+            modes = _MODE_EVENT.findall(log.read_text(errors="replace")) if log.exists() else []
             if modes and modes[-1] == "primary" and machine.running:
                 return machine
         return None
@@ -77,9 +81,9 @@
         await asyncio.gather(*(self.start(machine) for machine in self.system.machines))
 
     async def start(self, machine: Machine) -> None:
-        """Start a process.
+        """Start the process of a machine, which must not be running.
 
-        Danger: a second one for the same machine would be out of reach, and would outlive the soak.
+        A second process for the same machine could not be signalled any more and would outlive the soak.
         """
         assert not machine.running
         await machine.start(self.plan, self.system.seeds, SOAK_BOUNDS)
@@ -87,22 +91,22 @@
         self.down.discard(machine.name)
 
     async def stop_all(self) -> None:
-        """End every process."""
+        """Record the resource usage of every process and kill it."""
         for machine in self.system.machines:
             machine.measure()
         await asyncio.gather(*(machine.kill() for machine in self.system.machines))
 
-    # What is done to one machine ------------------------------------------------------------------
+    # Operations on one machine --------------------------------------------------------------------
 
     async def kill(self, machine: Machine) -> None:
-        """SIGKILL."""
-        self._note_end(machine)
+        """Send SIGKILL and wait for the process to end."""
+        self._record_unexpected_exit(machine)
         self.down.add(machine.name)
         await machine.kill()
 
     async def terminate(self, machine: Machine) -> None:
-        """SIGTERM, and SIGKILL after the time of grace. A frozen process gets it when it goes on."""
-        self._note_end(machine)
+        """Send SIGTERM, and SIGKILL after the grace period. A frozen process handles SIGTERM once it is thawed."""
+        self._record_unexpected_exit(machine)
         self.down.add(machine.name)
         machine.wanted = False
         machine.send_signal(signal.SIGTERM)
@@ -112,28 +116,28 @@
         await machine.kill()
 
     def freeze(self, machine: Machine) -> None:
-        """SIGSTOP. Several freezes of one process may overlap: the last one's end lets it go on."""
+        """Send SIGSTOP. Freezes of one process may overlap; the end of the last one resumes it."""
         self.frozen[machine.name] = self.frozen.get(machine.name, 0) + 1
         machine.send_signal(signal.SIGSTOP)
 
     def thaw(self, machine: Machine) -> None:
-        """The end of one freeze."""
+        """End one freeze; send SIGCONT if no other one is in progress."""
         self.frozen[machine.name] -= 1
         if not self.frozen[machine.name]:
             del self.frozen[machine.name]
             machine.send_signal(signal.SIGCONT)
 
     def lose_disk(self, machine: Machine) -> None:
-        """The disk of a machine whose process has ended is lost."""
-        self.disk_losses.lose(machine.name)
+        """Erase the disk of a machine whose process has ended."""
+        self.disk_losses.record_loss(machine.name)
         machine.wipe()
 
     async def replace(self, machine: Machine) -> Machine:
-        """A machine whose process has ended is gone for good; another one with an empty disk comes at a new address."""
+        """Remove a machine whose process has ended, and start another with an empty disk at a new address."""
         self.lose_disk(machine)
         self._replacements += 1
         zone = self.plan.zones.index(machine.zone)
-        ip = f"{self.net}.{REPLACEMENTS_NET + zone}.{FIRST_ADDRESS + self._replacements}"
+        ip = f"{self.network_prefix}.{REPLACEMENT_OCTET + zone}.{FIRST_HOST + self._replacements}"
         new = Machine(f"{machine.kind}-r{self._replacements}", machine.kind, ip, machine.zone, self.folder)
         new.first = False
         machines = self.system.machines
@@ -147,17 +151,17 @@
         return new
 
     async def supervise(self) -> None:
-        """Note ends that nobody asked for, which are faults of the program, and start the process again; for ever."""
+        """Record unexpected exits, which are faults of the program, and restart those processes, until cancelled."""
         while True:
             for machine in list(self.system.machines):
-                if machine.wanted and not machine.running and machine.name not in self.in_use:
-                    self._note_end(machine)
-                    self.in_use.add(machine.name)
+                if machine.wanted and not machine.running and machine.name not in self.restarting:
+                    self._record_unexpected_exit(machine)
+                    self.restarting.add(machine.name)
                     await self.start(machine)
-                    self.in_use.discard(machine.name)
-            await asyncio.sleep(SUPERVISE_S)
+                    self.restarting.discard(machine.name)
+            await asyncio.sleep(SUPERVISE_INTERVAL_S)
 
-    def _note_end(self, machine: Machine) -> None:
+    def _record_unexpected_exit(self, machine: Machine) -> None:
         if machine.wanted and not machine.running:
             machine.wanted = False
-            self.unexpected_ends.append(f"{machine.name} ended by itself with {machine.exit_code}")
+            self.unexpected_exits.append(f"{machine.name} exited unexpectedly with {machine.exit_code}")
--- a/otterreach/soak/host.py
+++ b/otterreach/soak/host.py
@@ -1,6 +1,7 @@
-"""What the machine itself does meanwhile: how long a sync to disk takes, and how late timers run.
+"""Monitor of the host during a soak: the duration of syncs to disk and the lateness of timers.
 
-Many processes share one disk and its processors here. An answer that came late while both were quick is the system's.
+All processes of a soak share one disk and the processors of one host. An answer that was late while syncs and timers
+were on time is a delay of the system under test.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 from pathlib import Path
 
 PERIOD_S = 0.1
-SLOW_S = 0.25  # a sync or a timer this late is kept
+STALL_THRESHOLD_S = 0.25  # syncs and timers at least this late are recorded
 BLOCK = b"0" * 4096
 
 
 @dataclass(frozen=True, slots=True)
 class HostStall:
-    """A sync or a timer that was late. `at`: the loop's time when it ended, in seconds."""
+    """Sync or timer that was late. `at`: the event loop's time when it ended, in seconds."""
 
     at: float
     what: str
@@ -26,26 +27,26 @@
 
 @dataclass(slots=True)
 class HostMonitor:
-    """Measures until it is cancelled."""
+    """Records stalls of the host; its sync probe is written to `folder`."""
 
     folder: Path
     stalls: list[HostStall] = field(default_factory=list)
 
     async def run(self) -> None:
-        """Sync a block and run a timer, again and again; for ever."""
+        """Alternate a timer and the sync of a block until cancelled."""
         loop = asyncio.get_running_loop()
         self.folder.mkdir(parents=True, exist_ok=True)
         file = self.folder / "sync-probe"
         while True:
             began = loop.time()
             await asyncio.sleep(PERIOD_S)
-            self._note("timer", loop.time() - began - PERIOD_S)
+            self._record("timer", loop.time() - began - PERIOD_S)
             began = loop.time()
             await asyncio.to_thread(_sync_block, file)
-            self._note("sync", loop.time() - began)
+            self._record("sync", loop.time() - began)
 
-    def _note(self, what: str, seconds: float) -> None:
-        if seconds >= SLOW_S:
+    def _record(self, what: str, seconds: float) -> None:
+        if seconds >= STALL_THRESHOLD_S:
             at = asyncio.get_running_loop().time()
             self.stalls.append(HostStall(round(at, 3), what, round(seconds, 3)))
 
--- a/otterreach/soak/network.py
+++ b/otterreach/soak/network.py
@@ -1,6 +1,6 @@
-"""Addresses of a soak that no other soak on this machine uses meanwhile.
+"""Reservation of loopback addresses, so that no two soaks on a machine use the same ones at the same time.
 
-Two systems at the same addresses would answer each other's callers, and every rule would look broken.
+Two systems at the same addresses would answer each other's clients, and every rule would seem to be broken.
 """
 
 from __future__ import annotations
@@ -9,30 +9,32 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-FIRST_NET = 216  # second part of the addresses; the load test takes those below
-NETS = 35
-MARK_ADDRESS = "255.1"
-MARK_PORT = 7379
+FIRST_NETWORK = 216  # second octet of the addresses; the load test uses lower ones
+NETWORKS = 35
+RESERVATION_HOST = "255.1"
+RESERVATION_PORT = 7379
 
 
-class NoNetworkError(Exception):
-    """All networks are in use."""
+class NoFreeNetworkError(Exception):
+    """Every network for soaks is in use."""
 
 
 @contextmanager
 def reserved_network(start: int) -> Iterator[str]:
-    """The first two parts of the addresses, 127.x, reserved by a listener. Raises NoNetworkError.
+    """Reserve a network with a listener and yield the first two octets of its addresses, 127.x.
 
-    :param start: where to begin to look
+    Raise NoFreeNetworkError if all are in use.
+
+    :param start: offset of the network that is tried first
     """
-    for offset in range(NETS):
-        net = f"127.{FIRST_NET + (start + offset) % NETS}"
-        with socket.socket() as mark:
+    for offset in range(NETWORKS):
+        network_prefix = f"127.{FIRST_NETWORK + (start + offset) % NETWORKS}"
+        with socket.socket() as listener:
             try:
-                mark.bind((f"{net}.{MARK_ADDRESS}", MARK_PORT))
+                listener.bind((f"{network_prefix}.{RESERVATION_HOST}", RESERVATION_PORT))
             except OSError:
                 continue
-            mark.listen(1)  # without it another one might bind too
-            yield net
+            listener.listen(1)  # without listening, another soak could bind the same address
+            yield network_prefix
             return
-    raise NoNetworkError(f"{NETS} soaks run on this machine")
+    raise NoFreeNetworkError(f"{NETWORKS} networks for soaks are all in use on this machine")
--- a/otterreach/soak/operator.py
+++ b/otterreach/soak/operator.py
@@ -1,4 +1,4 @@
-"""The operator of a soak: changes of the configuration, and what must be in force at the end."""
+"""Operator of a soak: submits configuration changes and tracks the newest acknowledged one."""
 
 from __future__ import annotations
 
@@ -10,56 +10,56 @@
 from otterreach.loadtest.plan import Plan, configuration
 from otterreach.runtime.codes import Failure
 
-CHANGE_WITHIN_S = 6.0
-READ_WITHIN_S = 6.0
-FIRST_WITHIN_S = 30.0
+CHANGE_TIMEOUT_S = 6.0
+READ_TIMEOUT_S = 6.0
+INITIAL_TIMEOUT_S = 30.0
 
 
 class ConfigurationOperator:
-    """Sends one change after the other. `acknowledged`: the newest one that was answered 200."""
+    """Submits one configuration change at a time. `acknowledged`: the newest version that was answered with 200."""
 
     def __init__(self, plan: Plan, addresses: Callable[[], list[str]], random: Random) -> None:
         self.plan = plan
         self.addresses = addresses
         self.random = random
         self.acknowledged = 0
-        self._sent = 0
-        self._busy = False
+        self._newest_submitted = 0
+        self._in_flight = False
 
     def _caller(self) -> Caller:
         return Caller(self.addresses(), self.random)
 
-    async def _put(self, number: int, over: int, within_s: float) -> bool:
-        body = json.dumps(configuration(self.plan, number)).encode()
-        headers = {b"If-Match": b"%d" % over, b"Content-Type": b"application/json"}
+    async def _put(self, version: int, base: int, within_s: float) -> bool:
+        body = json.dumps(configuration(self.plan, version)).encode()
+        headers = {b"If-Match": b"%d" % base, b"Content-Type": b"application/json"}
         answer = await self._caller().call("PUT", "/config", body, headers, within_s)
         return not isinstance(answer, Failure) and answer.status == 200
 
-    async def first(self) -> bool:
-        """The first configuration; whether it was accepted."""
-        self._sent = 1
-        if await self._put(1, 0, FIRST_WITHIN_S):
+    async def submit_initial(self) -> bool:
+        """Submit the initial configuration; return True if it was accepted."""
+        self._newest_submitted = 1
+        if await self._put(1, 0, INITIAL_TIMEOUT_S):
             self.acknowledged = 1
         return self.acknowledged == 1
 
-    async def change(self) -> None:
-        """One change on top of the present configuration, if none is under way."""
-        if self._busy:
+    async def submit_change(self) -> None:
+        """Submit a change on top of the current configuration, unless one is in flight."""
+        if self._in_flight:
             return
-        self._busy = True
+        self._in_flight = True
         try:
-            present = await self.read()
-            if present is None:
+            current = await self.read()
+            if current is None:
                 return
-            self._sent = max(self._sent, present) + 1
-            if await self._put(self._sent, present, CHANGE_WITHIN_S):
-                self.acknowledged = max(self.acknowledged, self._sent)
+            self._newest_submitted = max(self._newest_submitted, current) + 1
+            if await self._put(self._newest_submitted, current, CHANGE_TIMEOUT_S):
+                self.acknowledged = max(self.acknowledged, self._newest_submitted)
         finally:
-            self._busy = False
+            self._in_flight = False
 
     async def read(self) -> int | None:
-        """The number of the present configuration; None without an answer."""
-        answer = await self._caller().call("GET", "/config", within_s=READ_WITHIN_S)
+        """Return the version of the current configuration; None if the read failed."""
+        answer = await self._caller().call("GET", "/config", within_s=READ_TIMEOUT_S)
         if isinstance(answer, Failure) or answer.status != 200:
             return None
         return int(json.loads(answer.body)["gen"])
--- a/otterreach/soak/result.py
+++ b/otterreach/soak/result.py
@@ -1,4 +1,4 @@
-"""What came of a soak: the rules that were broken, and the figures."""
+"""Result of a soak: broken rules and measurements."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from otterreach.soak.host import HostStall
 from otterreach.soak.setup import SoakSetup
 
-MAX_SHOWN = 10
+MAX_SHOWN_VIOLATIONS = 10
 
 
 @dataclass(slots=True)
 class SoakResult:
-    """One soak. `late`: answers that came later than a second in calm times; they break no rule."""
+    """Result of one soak. `late`: answers that took more than a second while every process ran; they break no rule."""
 
     setup: SoakSetup
     violations: list[str] = field(default_factory=list)
     late: list[str] = field(default_factory=list)
-    calls: dict[str, dict[str, int]] = field(default_factory=dict)  # by kind of call: by status
+    calls: dict[str, dict[str, int]] = field(default_factory=dict)  # counts by kind of call, then by status
     disruptions: list[Disruption] = field(default_factory=list)
     host_stalls: list[HostStall] = field(default_factory=list)
     processes: int = 0
-    peak_mb: float = 0.0  # of all processes that ran, each at its highest
-    served_after_s: float = 0.0  # from the last disturbance until a call was served again
+    peak_mb: float = 0.0  # sum over machines of the peak memory of their processes
+    served_after_s: float = 0.0  # from the end of the disruptions until a call was served
 
-    def add(self, violations: Sequence[Violation]) -> None:
-        """Sort what the checkers have found."""
+    def add_violations(self, violations: Sequence[Violation]) -> None:
+        """Add the findings of the checkers to `late` or `violations`."""
         for violation in violations:
             found = self.late if violation.rule is Rule.PROMPT else self.violations
             found.append(f"{violation.rule.name}: {violation.what}")
 
-    def count(self, history: CoordinationHistory) -> None:
+    def count_calls(self, history: CoordinationHistory) -> None:
         """Count the calls by kind and status."""
         for call in history.calls():
             kind = type(call).__name__
@@ -44,12 +44,12 @@
             counts[str(call.status)] = counts.get(str(call.status), 0) + 1
 
     def write(self, folder: Path) -> None:
-        """Write everything as JSON into a folder."""
+        """Write the result as `result.json` to a folder."""
         folder.mkdir(parents=True, exist_ok=True)
         (folder / "result.json").write_text(json.dumps(asdict(self), indent=1))
 
     def line(self) -> str:
-        """The result in one line."""
+        """Return the result as one line."""
         setup = self.setup
         statuses: Counter[str] = Counter()
         for counts in self.calls.values():
@@ -64,5 +64,5 @@
         )
 
     def details(self) -> str:
-        """The first violations."""
-        return "\n".join(f"  {what}" for what in self.violations[:MAX_SHOWN])
+        """Return the first violations, one per line."""
+        return "\n".join(f"  {what}" for what in self.violations[:MAX_SHOWN_VIOLATIONS])
--- a/otterreach/soak/run.py
+++ b/otterreach/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: processes, callers and disruptions; then everything that was acknowledged is asked for, and judged."""
+"""One soak: processes, callers and disruptions, then a read-back of acknowledged data and a check of all rules."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 RECOVER_S = float(SOAK_BOUNDS["recoverS"])
 CONTACT_S = float(SOAK_BOUNDS["contactMs"]) / 1000
-CALM_LOOK_S = 0.1
-FORMATION_S = 8.0  # before the first disruption all controllers have to be members
-LAST_CALLS_S = 15.0  # a caller ends its last call within this time
+CALM_POLL_S = 0.1
+FORMATION_S = 8.0  # all controllers have to be members before the first disruption
+LAST_CALLS_TIMEOUT_S = 15.0  # callers that take longer for their last call are cancelled
 
 
 class Soak:
-    """Puts the parts together."""
+    """Runs the fleet, callers, disruptions and checks of one soak."""
 
-    def __init__(self, setup: SoakSetup, folder: Path, net: str, quiet: bool = False) -> None:
-        """:param net: the first two parts of the addresses"""
+    def __init__(self, setup: SoakSetup, folder: Path, network_prefix: str, quiet: bool = False) -> None:
+        """:param network_prefix: first two octets of the addresses"""
         self.setup = setup
         self.quiet = quiet
         self.loop = asyncio.get_running_loop()
         self.began = self.loop.time()
-        self.fleet = Fleet(setup, folder, net)
+        self.fleet = Fleet(setup, folder, network_prefix)
         random = Random(setup.seed)
         self.random = Random(random.getrandbits(64))
         self.operator = ConfigurationOperator(self.fleet.plan, self.fleet.addresses, Random(random.getrandbits(64)))
@@ -53,52 +53,52 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def print_line(self, line: str) -> None:
-        """Print a line of the soak, if it is not quiet."""
+        """Print a line with the time since the start, unless the soak is quiet."""
         if not self.quiet:
             print(f"{self.loop.time() - self.began:6.1f} s  {line}", flush=True)
 
     async def run(self) -> SoakResult:
-        """The whole soak. Whatever happens, every process started here is ended."""
+        """Run the soak and return its result. Every process started here is ended, also after an error."""
         try:
             await self.fleet.start_all()
-            if await self.operator.first():
-                await self._disturb()
-                await self._end()
+            if await self.operator.submit_initial():
+                await self._disrupt()
+                await self._finish()
             else:
-                self.result.violations.append("LOST: the first configuration is never taken")
+                self.result.violations.append("LOST: the initial configuration was not accepted")
         finally:
             for task in list(self._tasks):
                 task.cancel()
             self.population.close()
             await self.fleet.stop_all()
-            self._sum_up()
+            self._summarize()
         return self.result
 
-    def _spawn(self, work: Coroutine[object, object, None]) -> asyncio.Task[None]:
-        task = asyncio.ensure_future(work)
+    def _spawn(self, coroutine: Coroutine[object, object, None]) -> asyncio.Task[None]:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._task_done)
         return task
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            self.result.violations.append(f"the soak itself failed: {error!r}")
+            self.result.violations.append(f"task failed in the soak test itself: {error!r}")
 
-    async def _disturb(self) -> None:
+    async def _disrupt(self) -> None:
         self._spawn(self.fleet.supervise())
         self._spawn(self.host.run())
-        self._spawn(self._note_calm())
-        self.callers = [self._spawn(work) for work in self.population.works()]
+        self._spawn(self._record_calm())
+        self.callers = [self._spawn(coroutine) for coroutine in self.population.works()]
         await asyncio.sleep(FORMATION_S)
         await self.disruptor.run(self.setup.seconds)
         if self.setup.final_power_loss:
             lost = self.fleet.disk_losses.allowed
-            self.print_line(f"all controllers lose power, {lost} of them their disks")
+            self.print_line(f"power loss of all controllers, {lost} of them lose their disks")
             await lose_power(self.fleet, self.random, lost)
 
-    async def _note_calm(self) -> None:
-        """Keep the spans in which every process runs; for ever."""
+    async def _record_calm(self) -> None:
+        """Record the spans in which every process runs, until cancelled."""
         begin: float | None = None
         while True:
             now = self.loop.time()
@@ -109,44 +109,46 @@
                 self.calm.append(CalmSpan(now, now + CONTACT_S, now))
             else:
                 self.calm[-1] = CalmSpan(begin, begin + CONTACT_S, now)
-            await asyncio.sleep(CALM_LOOK_S)
+            await asyncio.sleep(CALM_POLL_S)
 
-    async def _end(self) -> None:
-        """Wait until calls are served again, let the callers finish, ask for everything, and judge."""
-        healed = self.loop.time()
+    async def _finish(self) -> None:
+        """Wait until calls are served again, let the callers finish, read everything back and check the rules."""
+        disruptions_ended = self.loop.time()
         served = await wait_until_served(self.population, RECOVER_S)
-        self.result.served_after_s = round(self.loop.time() - healed, 2)
+        self.result.served_after_s = round(self.loop.time() - disruptions_ended, 2)
         if not served:
-            self.result.violations.append(f"LOST: no number for {RECOVER_S:g} s though every process runs")
+            self.result.violations.append(
+                f"LOST: no number was served within {RECOVER_S:g} s though every process runs"
+            )
         self.stopping = True
-        _, open_callers = await asyncio.wait(self.callers, timeout=LAST_CALLS_S)
+        _, open_callers = await asyncio.wait(self.callers, timeout=LAST_CALLS_TIMEOUT_S)
         for caller in open_callers:
             caller.cancel()
         await self.population.audit()
         await self._check_configuration()
         bounds = Bounds(HISTORY_S, FREE_S)
         violations = await asyncio.to_thread(lambda: list(find_violations(self.population.history, self.calm, bounds)))
-        self.result.add(violations)
+        self.result.add_violations(violations)
 
     async def _check_configuration(self) -> None:
-        present = await self.operator.read()
-        if present is None:
-            self.result.violations.append("LOST: the configuration can't be read")
-        elif present < self.operator.acknowledged:
+        current = await self.operator.read()
+        if current is None:
+            self.result.violations.append("LOST: the configuration could not be read")
+        elif current < self.operator.acknowledged:
             self.result.violations.append(
-                f"LOST: configuration {present} is in force, {self.operator.acknowledged} was acknowledged"
+                f"LOST: configuration {current} is in force though {self.operator.acknowledged} was acknowledged"
             )
 
-    def _sum_up(self) -> None:
+    def _summarize(self) -> None:
         result = self.result
-        result.violations += self.fleet.unexpected_ends
-        result.disruptions = self.disruptor.done
+        result.violations += self.fleet.unexpected_exits
+        result.disruptions = self.disruptor.disruptions
         result.host_stalls = self.host.stalls
-        result.count(self.population.history)
+        result.count_calls(self.population.history)
         result.peak_mb = round(sum(machine.used.peak_mb for machine in self.fleet.system.machines), 1)
 
 
-async def soak(setup: SoakSetup, folder: Path, quiet: bool = False) -> SoakResult:
-    """One soak, at addresses of its own."""
-    with reserved_network(setup.seed) as net:
-        return await Soak(setup, folder, net, quiet).run()
+async def run_soak(setup: SoakSetup, folder: Path, quiet: bool = False) -> SoakResult:
+    """Run one soak on a reserved network."""
+    with reserved_network(setup.seed) as network_prefix:
+        return await Soak(setup, folder, network_prefix, quiet).run()
--- a/otterreach/soak/setup.py
+++ b/otterreach/soak/setup.py
@@ -1,4 +1,4 @@
-"""What a soak consists of, drawn from its seed or given on the command line."""
+"""Setup of a soak, drawn from its seed or given on the command line."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 HISTORY_S = 20.0
 FREE_S = 1.5
 SOAK_BOUNDS: dict[str, Any] = BOUNDS | {"historyS": HISTORY_S, "freeMs": FREE_S * 1000.0}
-SMALL_CORE = 3  # controllers, of which one may lose its disk
-LARGE_CORE = 5  # controllers, of which two may lose their disks
-MAJORITY_LOSS_SHARE = 0.3  # of the soaks
-FINAL_POWER_LOSS_SHARE = 0.4  # of the soaks
-PAUSES_S = (0.7, 1.5, 3.0)
+SMALL_CORE = 3  # number of controllers; one may lose its disk
+LARGE_CORE = 5  # number of controllers; two may lose their disks
+MAJORITY_LOSS_SHARE = 0.3  # share of soaks in which a majority of controllers may be disrupted
+FINAL_POWER_LOSS_SHARE = 0.4  # share of soaks that end with a power loss of all controllers
+MEAN_PAUSES_S = (0.7, 1.5, 3.0)
 
 
 @dataclass(frozen=True, slots=True)
 class SoakSetup:
-    """One soak. Times in seconds."""
+    """Parameters of one soak. Times are in seconds."""
 
     seed: int
     seconds: float
     controllers: int
     jobstores: int
     proxies: int
-    survive: int  # how many disks may be lost at once
-    mean_pause_s: float  # between two disruptions
+    survive: int  # number of disks that may be lost at the same time
+    mean_pause_s: float  # between disruptions
     may_lose_majority: bool
     final_power_loss: bool
     callers_scale: int = 1
@@ -37,7 +37,7 @@
     def draw(
         cls, seed: int, seconds: float, *, jobstores: int = 0, proxies: int = 0, callers_scale: int = 1
     ) -> SoakSetup:
-        """A setup drawn from the seed, with as many other processes as are given."""
+        """Return a setup drawn from the seed, with the given numbers of job store nodes and proxies."""
         random = Random(seed ^ 0x50AC)
         controllers = random.choice([SMALL_CORE, LARGE_CORE])
         return cls(
@@ -47,14 +47,14 @@
             jobstores=jobstores,
             proxies=proxies,
             survive=1 if controllers == SMALL_CORE else 2,
-            mean_pause_s=random.choice(PAUSES_S),
+            mean_pause_s=random.choice(MEAN_PAUSES_S),
             may_lose_majority=random.random() < MAJORITY_LOSS_SHARE,
             final_power_loss=random.random() < FINAL_POWER_LOSS_SHARE,
             callers_scale=callers_scale,
         )
 
     def plan(self) -> Plan:
-        """The machines and the configuration, as the load test describes them."""
+        """Return the machines and the configuration as a plan of the load test."""
         return Plan(
             name="soak",
             seconds=self.seconds,
--- a/otterreach/soak/wire.py
+++ b/otterreach/soak/wire.py
@@ -1,7 +1,7 @@
-"""Calls over connections that stay open: a caller uses one until the process at its other end is gone.
+"""Client with persistent connections, each of which is used until the process at the other end is gone.
 
-A call that its caller has given up stays on its connection. Its answer, or its late effect, may come seconds later,
-for instance when a frozen process goes on. Meanwhile the caller uses another connection.
+A call that its caller has given up on stays on its connection: its answer, or its late effect, may come seconds later,
+for instance when a frozen process is thawed. The caller uses another connection meanwhile.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from otterreach.simulation.coordination_client import HEADERS, CoordinationClient, WireFaults, WireRequest
 from otterreach.simulation.coordination_history import Call, CoordinationHistory
 
-ABANDONED_S = 40.0  # a call without an answer for so long ends its connection
-MAX_OPEN = 4  # connections of one caller to one address
+CALL_TIMEOUT_S = 40.0  # time-out of a call on its connection, which is then closed
+MAX_CONNECTIONS = 4  # connections of one client to one address
 
 
-class OpenConnection(asyncio.Protocol):
-    """One connection, with one call at a time."""
+class PersistentConnection(asyncio.Protocol):
+    """Connection that carries one call at a time."""
 
     def __init__(self) -> None:
         self.is_open = True
@@ -29,30 +29,30 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is open."""
+        """Keep the transport for later calls."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come of the answer."""
+        """Parse received data; complete the call if its response is complete."""
         response = self._parser.feed(data)
         if response is not None and self._answer and not self._answer.done():
             self._answer.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The process is gone, or has closed the connection."""
+        """Complete the call without a response: the process is gone or has closed the connection."""
         self.is_open = False
         if self._answer and not self._answer.done():
             self._answer.set_result(None)
 
     def close(self) -> None:
-        """Close at once."""
+        """Abort the connection."""
         self.is_open = False
         if self._transport:
             self._transport.abort()
 
     async def exchange(self, data: bytes) -> http1.Response | None:
-        """Send a call and wait for its answer, or for the end of the connection."""
+        """Send a request and return its response; None if the connection ended or the time-out passed."""
         assert self._transport
         assert not self.is_busy
         self.is_busy = True
@@ -60,7 +60,7 @@
         self._answer = asyncio.get_running_loop().create_future()
         self._transport.write(data)
         try:
-            async with asyncio.timeout(ABANDONED_S):
+            async with asyncio.timeout(CALL_TIMEOUT_S):
                 response = await self._answer
         except TimeoutError:
             response = None
@@ -70,14 +70,14 @@
         return response
 
 
-class OpenConnectionClient(CoordinationClient):
-    """A caller that keeps its connections open."""
+class PersistentConnectionClient(CoordinationClient):
+    """Coordination client that keeps its connections open."""
 
     def __init__(
         self, random: Random, addresses: Callable[[], list[str]], faults: WireFaults, history: CoordinationHistory
     ) -> None:
         super().__init__(random, addresses, faults, history)
-        self._connections: dict[str, list[OpenConnection]] = {}
+        self._connections: dict[str, list[PersistentConnection]] = {}
 
     def close(self) -> None:
         """Close all connections."""
@@ -86,9 +86,9 @@
                 connection.close()
 
     async def _send(self, call: Call, request: WireRequest, address: str, wait_s: float) -> http1.Response | None:
-        """The whole life of one call, which may be longer than its caller waits."""
+        """Carry out one call to its end, which may come later than its caller waits; `call.over` records that time."""
         loop = asyncio.get_running_loop()
-        connection = await self._take(address, wait_s)
+        connection = await self._acquire_connection(address, wait_s)
         if connection is None:
             call.over = loop.time()
             return None
@@ -97,26 +97,29 @@
         call.over = loop.time()
         return response
 
-    async def _take(self, address: str, wait_s: float) -> OpenConnection | None:
-        """A connection that no call uses, opened if there is none; None if it can't be opened."""
-        known = [one for one in self._connections.get(address, []) if one.is_open]
-        self._connections[address] = known
-        idle = [one for one in known if not one.is_busy]
+    async def _acquire_connection(self, address: str, wait_s: float) -> PersistentConnection | None:
+        """Return an idle connection, opening one if there is none; None if it cannot be opened.
+
+        At `MAX_CONNECTIONS` connections, the oldest is closed first.
+        """
+        open_connections = [one for one in self._connections.get(address, []) if one.is_open]
+        self._connections[address] = open_connections
+        idle = [one for one in open_connections if not one.is_busy]
         if idle:
             return idle[0]
-        if len(known) >= MAX_OPEN:
-            known.pop(0).close()
+        if len(open_connections) >= MAX_CONNECTIONS:
+            open_connections.pop(0).close()
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(wait_s):
-                _, connection = await loop.create_connection(OpenConnection, host, int(port))
+                _, connection = await loop.create_connection(PersistentConnection, host, int(port))
         except (OSError, TimeoutError):
             return None
-        known.append(connection)
+        open_connections.append(connection)
         return connection
 
 
-def random_of(random: Random) -> Random:
-    """A source of chance of its own, drawn from another."""
+def derive_random(random: Random) -> Random:
+    """Return a random generator seeded from another."""
     return Random(random.getrandbits(64))
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of otterreach.soak."""
+"""Tests of the soak test."""
--- a/tests/soak/fake_processes.py
+++ b/tests/soak/fake_processes.py
@@ -1,4 +1,4 @@
-"""Processes that exist in the loop alone, in place of those of the load test's machines."""
+"""Simulated processes that replace the operating system processes of the load test's machines."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 from otterreach.loadtest.machines import Machine
 
-END_S = 0.3  # from SIGTERM to the end
+EXIT_DELAY_S = 0.3  # delay from SIGTERM to the exit
 
 
 class FakeProcess:
-    """Ends a while after SIGTERM, unless it is stopped; at once after SIGKILL."""
+    """Process that exits `EXIT_DELAY_S` after SIGTERM unless it is stopped, and immediately after SIGKILL."""
 
     pid = 0
 
@@ -23,34 +23,34 @@
         self.returncode: int | None = None
         self.stopped = False
         self.signals: list[int] = []
-        self._ended = asyncio.Event()
+        self._exited = asyncio.Event()
         self._terminated = False
 
     def send_signal(self, number: int) -> None:
         self.signals.append(number)
         if number == signal.SIGKILL:
-            self._end()
+            self._exit()
         elif number == signal.SIGTERM:
             self._terminated = True
         elif number in (signal.SIGSTOP, signal.SIGCONT):
             self.stopped = number == signal.SIGSTOP
         if self._terminated and not self.stopped:
-            asyncio.get_running_loop().call_later(END_S, self._end)
+            asyncio.get_running_loop().call_later(EXIT_DELAY_S, self._exit)
 
-    def _end(self) -> None:
+    def _exit(self) -> None:
         if self.returncode is None:
             self.returncode = 0
-            self._ended.set()
+            self._exited.set()
 
     async def wait(self) -> int:
-        await self._ended.wait()
+        await self._exited.wait()
         assert self.returncode is not None
         return self.returncode
 
 
 @contextmanager
 def fake_processes() -> Iterator[list[str]]:
-    """Machines start such processes; the names of what was started, in that order."""
+    """Let machines start fake processes; yield the list of started machines' names, in order of start."""
     started: list[str] = []
 
     async def start(machine: Machine, *_: Any) -> None:
--- a/tests/soak/test_disruptions.py
+++ b/tests/soak/test_disruptions.py
@@ -1,4 +1,4 @@
-"""Disruptions: what they may do at once, and that everything runs after them. Processes are fake, time is virtual."""
+"""Limits on simultaneous disruptions, and full recovery after them. Processes are fake, time is virtual."""
 
 from __future__ import annotations
 
@@ -21,39 +21,39 @@
 SECONDS = 120.0
 
 
-class Watched(Fleet):
-    """A fleet that holds what happens against what is allowed."""
+class MonitoredFleet(Fleet):
+    """Fleet that records the highest numbers of disrupted machines and of lost disks at the same time."""
 
-    most_disturbed = 0
+    most_disrupted = 0
     most_lost = 0
 
     def lose_disk(self, machine: object) -> None:
         super().lose_disk(machine)  # type: ignore[arg-type]
         self.most_lost = max(self.most_lost, self.setup.survive - self.disk_losses.allowed)
 
-    def look(self) -> None:
-        present = {machine.name for machine in self.system.machines}  # one may be replaced while it is frozen
-        self.most_disturbed = max(self.most_disturbed, len(self.disturbed & present))
+    def sample(self) -> None:
+        present = {machine.name for machine in self.system.machines}  # a machine may be replaced while it is frozen
+        self.most_disrupted = max(self.most_disrupted, len(self.disrupted & present))
 
 
-def disturbed_fleet(setup: SoakSetup, folder: Path) -> tuple[Watched, Disruptor]:
-    """A fleet after all disruptions of a soak."""
+def disrupted_fleet(setup: SoakSetup, folder: Path) -> tuple[MonitoredFleet, Disruptor]:
+    """Run all disruptions of a soak; return the fleet and the disruptor."""
 
-    async def main() -> tuple[Watched, Disruptor]:
-        fleet = Watched(setup, folder, "127.1")
+    async def main() -> tuple[MonitoredFleet, Disruptor]:
+        fleet = MonitoredFleet(setup, folder, "127.1")
         operator = ConfigurationOperator(fleet.plan, fleet.addresses, Random(1))
         disruptor = Disruptor(fleet, operator, Random(setup.seed), lambda _: None)
         await fleet.start_all()
 
-        async def look() -> None:
+        async def sample() -> None:
             while True:
-                fleet.look()
+                fleet.sample()
                 await asyncio.sleep(0.05)
 
-        looking = asyncio.ensure_future(look())
-        with mock.patch.object(operator, "change", mock.AsyncMock()):
+        sampling = asyncio.ensure_future(sample())
+        with mock.patch.object(operator, "submit_change", mock.AsyncMock()):
             await disruptor.run(setup.seconds)
-        looking.cancel()
+        sampling.cancel()
         assert all(machine.running for machine in fleet.system.machines)
         assert not any(process_of(machine).stopped for machine in fleet.system.machines)
         return fleet, disruptor
@@ -64,31 +64,31 @@
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_everything_runs_after_the_disruptions(seed: int, tmp_path: Path) -> None:
-    fleet, disruptor = disturbed_fleet(SoakSetup.draw(seed, SECONDS, jobstores=2, proxies=2), tmp_path)
-    assert fleet.unexpected_ends == []
+    fleet, disruptor = disrupted_fleet(SoakSetup.draw(seed, SECONDS, jobstores=2, proxies=2), tmp_path)
+    assert fleet.unexpected_exits == []
     assert fleet.down == set()
     assert fleet.frozen == {}
-    assert fleet.in_use == set()
-    assert len(disruptor.done) > 20
-    assert fleet.most_disturbed > 1, "they overlap"
+    assert fleet.restarting == set()
+    assert len(disruptor.disruptions) > 20
+    assert fleet.most_disrupted > 1, "disruptions overlap"
     assert fleet.most_lost <= fleet.setup.survive
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
-def test_the_majority_is_kept_where_the_setup_says_so(seed: int, tmp_path: Path) -> None:
+def test_a_majority_stays_undisturbed_unless_the_setup_allows_its_loss(seed: int, tmp_path: Path) -> None:
     setup = replace(SoakSetup.draw(seed, SECONDS), may_lose_majority=False)
-    fleet, _ = disturbed_fleet(setup, tmp_path)
-    assert 0 < fleet.most_disturbed <= setup.survive
+    fleet, _ = disrupted_fleet(setup, tmp_path)
+    assert 0 < fleet.most_disrupted <= setup.survive
 
 
-def test_every_kind_comes_and_the_same_ones_again_for_the_same_seed(tmp_path: Path) -> None:
+def test_every_kind_occurs_and_the_same_seed_gives_the_same_disruptions(tmp_path: Path) -> None:
     setup = replace(SoakSetup.draw(3, 300.0), may_lose_majority=True)
-    first = disturbed_fleet(setup, tmp_path)[1].done
+    first = disrupted_fleet(setup, tmp_path)[1].disruptions
     assert {one.kind for one in first} == {kind.name.lower() for kind in Kind}
-    assert disturbed_fleet(setup, tmp_path)[1].done == first
+    assert disrupted_fleet(setup, tmp_path)[1].disruptions == first
 
 
-def test_a_replaced_machine_has_a_new_address_and_is_among_those_that_applications_know(tmp_path: Path) -> None:
+def test_a_replacement_machine_has_a_new_address_that_clients_use(tmp_path: Path) -> None:
     async def main() -> None:
         fleet = Fleet(SoakSetup.draw(1, SECONDS), tmp_path, "127.1")
         await fleet.start_all()
@@ -119,7 +119,7 @@
         virtual.run(main)
 
 
-def test_an_end_that_nobody_asked_for_is_noted_and_the_process_starts_again(tmp_path: Path) -> None:
+def test_an_unexpected_exit_is_recorded_and_the_process_restarted(tmp_path: Path) -> None:
     async def main() -> None:
         fleet = Fleet(SoakSetup.draw(1, SECONDS), tmp_path, "127.1")
         await fleet.start_all()
@@ -127,7 +127,7 @@
         process_of(fleet.controllers[0]).send_signal(9)
         await asyncio.sleep(2.0)
         supervising.cancel()
-        assert fleet.unexpected_ends == ["core-0 ended by itself with 0"]
+        assert fleet.unexpected_exits == ["core-0 exited unexpectedly with 0"]
         assert fleet.controllers[0].running
 
     with fake_processes():
@@ -136,14 +136,14 @@
 
 def test_a_lost_disk_counts_until_every_machine_has_run_for_long_enough() -> None:
     losses = DiskLosses(survive=2, sync_s=6.0)
-    losses.lose("core-1")
-    losses.lose("core-2")
+    losses.record_loss("core-1")
+    losses.record_loss("core-2")
     assert losses.allowed == 0
-    assert losses.is_outstanding("core-1")
-    losses.pass_calm_time(4.0)
-    losses.lose("core-1")  # again, before it was made up for
-    losses.pass_calm_time(4.0)
+    assert losses.is_counted("core-1")
+    losses.credit_calm_time(4.0)
+    losses.record_loss("core-1")  # again, before its data was restored
+    losses.credit_calm_time(4.0)
     assert losses.allowed == 1
-    assert losses.is_outstanding("core-1")
-    losses.pass_calm_time(4.0)
+    assert losses.is_counted("core-1")
+    losses.credit_calm_time(4.0)
     assert losses.allowed == 2
--- a/tests/soak/test_host.py
+++ b/tests/soak/test_host.py
@@ -1,4 +1,4 @@
-"""The monitor of the machine: it keeps what was slow, and nothing else."""
+"""The host monitor records slow syncs and late timers only."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from tests import virtual
 
 
-def test_slow_syncs_and_late_timers_are_kept(tmp_path: Path) -> None:
+def test_slow_syncs_and_late_timers_are_recorded(tmp_path: Path) -> None:
     loop = virtual.VirtualLoop()
     syncs_s = iter([0.01, 0.6, 0.01])
 
-    async def in_thread(*_: object) -> None:
+    async def sync_in_thread(*_: object) -> None:
         await asyncio.sleep(next(syncs_s, 0.01))
 
     async def main() -> None:
         monitor = HostMonitor(tmp_path / "host")
-        with mock.patch.object(asyncio, "to_thread", in_thread):
+        with mock.patch.object(asyncio, "to_thread", sync_in_thread):
             task = asyncio.ensure_future(monitor.run())
             await asyncio.sleep(1.05)
             loop.stand_still(2.0)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""One short soak with real processes; the long ones are started by hand (docs/operations.md)."""
+"""One short soak with real processes; long soaks are started manually (docs/operations.md)."""
 
 from __future__ import annotations
 
@@ -9,45 +9,45 @@
 
 from otterreach.simulation.coordination_history import Rule, Violation
 from otterreach.soak import __main__ as main_module
-from otterreach.soak.__main__ import Options, fits, read_seeds
+from otterreach.soak.__main__ import Options, fits_machine, read_seeds
 from otterreach.soak.result import SoakResult
-from otterreach.soak.run import soak
+from otterreach.soak.run import run_soak
 from otterreach.soak.setup import SMALL_CORE, SoakSetup
 
 SEED = 7
 SECONDS = 12.0
-LEAST_SERVED = 100
-LEAST_DISRUPTIONS = 3
+MIN_SERVED_CALLS = 100
+MIN_DISRUPTIONS = 3
 
 
 def test_a_short_soak_breaks_no_rule(tmp_path: Path) -> None:
-    """Acknowledged locks, numbers, keys and watches are kept over signals, restarts, lost disks and changes."""
+    """Acknowledged locks, numbers, keys and watches survive signals, restarts, disk losses and changes."""
     setup = replace(
         SoakSetup.draw(SEED, SECONDS), controllers=SMALL_CORE, survive=1, mean_pause_s=1.0, final_power_loss=True
     )
 
     async def main() -> SoakResult:
-        return await soak(setup, tmp_path, quiet=True)
+        return await run_soak(setup, tmp_path, quiet=True)
 
     result = asyncio.run(main())
     assert result.violations == [], result.details()
-    assert sum(counts.get("200", 0) for counts in result.calls.values()) > LEAST_SERVED
+    assert sum(counts.get("200", 0) for counts in result.calls.values()) > MIN_SERVED_CALLS
     assert result.calls["Acquire"].get("200", 0) > 0
-    assert len(result.disruptions) >= LEAST_DISRUPTIONS
+    assert len(result.disruptions) >= MIN_DISRUPTIONS
 
 
 def test_a_soak_begins_on_empty_disks(tmp_path: Path) -> None:
-    """It once began on those of an earlier soak, which know other addresses."""
+    """Guards against reuse of the disks of an earlier soak, which hold a membership with other addresses."""
     old = tmp_path / "disk" / "core-0" / "control.journal"
     old.parent.mkdir(parents=True)
     old.touch()
     setup = SoakSetup.draw(SEED, SECONDS)
 
-    async def play(*_: object) -> SoakResult:
+    async def run_cancellable(*_: object) -> SoakResult:
         assert not old.exists()
         return SoakResult(setup)
 
-    with mock.patch.object(main_module, "play", play):
+    with mock.patch.object(main_module, "run_cancellable", run_cancellable):
         assert main_module.soak_seed(setup, tmp_path, quiet=True)
 
 
@@ -59,18 +59,18 @@
     assert {setup.may_lose_majority for setup in setups} == {True, False}
 
 
-def test_seeds_and_sizes() -> None:
+def test_seed_lists_process_limit_and_options() -> None:
     assert list(read_seeds("4")) == [4]
     assert list(read_seeds("1,7,20-22")) == [1, 7, 20, 21, 22]
-    assert fits(Options(proxies=10).setup(1))
-    assert not fits(Options(proxies=100_000).setup(1))
+    assert fits_machine(Options(proxies=10).setup(1))
+    assert not fits_machine(Options(proxies=100_000).setup(1))
     setup = Options(controllers=5).setup(1)
     assert (setup.controllers, setup.survive) == (5, 2)
 
 
-def test_late_answers_are_told_apart_from_broken_rules(tmp_path: Path) -> None:
+def test_late_answers_are_separate_from_broken_rules(tmp_path: Path) -> None:
     result = SoakResult(SoakSetup.draw(1, SECONDS))
-    result.add([Violation(Rule.PROMPT, "slow"), Violation(Rule.ONE, "two holders")])
+    result.add_violations([Violation(Rule.PROMPT, "slow"), Violation(Rule.ONE, "two holders")])
     assert result.violations == ["ONE: two holders"]
     assert result.late == ["PROMPT: slow"]
     assert "1 VIOLATIONS" in result.line()
