--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""The same verdict each time: generated cases are the same ones in every run. Known faults are told apart."""
+"""Pytest configuration: generated cases are the same in every run, and known faults are reported separately."""
 
 import pytest
 from hypothesis import settings
--- a/tests/late_reader.py
+++ b/tests/late_reader.py
@@ -1,16 +1,18 @@
-"""A server on loopback that reads what was sent to it late, as behind a path that was cut meanwhile."""
+"""Loopback server that reads its connections late, as after a network partition between sender and receiver."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
 
-LOOP_TURNS = 5  # the loop closes a socket that was given up a turn later, and reading might never give it that turn
-BUFFER_BYTES = 4096  # the less fits here, the more waits in the sender's kernel
+# Iterations of the event loop before reading. The loop closes an aborted socket one iteration later, and reads that
+# find data may never yield to it.
+LOOP_ITERATIONS = 5
+BUFFER_BYTES = 4096  # small, so that most of the data waits in the sender's kernel
 
 
 class LateReader:
-    """Listens from the start on; a context manager."""
+    """Context manager that listens from its construction until its exit."""
 
     def __init__(self) -> None:
         self._listener = socket.socket()
@@ -27,14 +29,14 @@
         self._listener.close()
 
     async def accept(self) -> socket.socket:
-        """The connection that has been opened."""
+        """Accept and return a connection."""
         connection, _ = await asyncio.get_running_loop().sock_accept(self._listener)
         return connection
 
 
 async def read_to_the_end(connection: socket.socket) -> tuple[int, bool]:
-    """How many bytes still come, and whether a reset ends them."""
-    for _ in range(LOOP_TURNS):
+    """Read to the end; return the number of bytes, and True if the connection ended with a reset."""
+    for _ in range(LOOP_ITERATIONS):
         await asyncio.sleep(0)
     loop = asyncio.get_running_loop()
     received = 0
