--- a/otterreach/scaletest/__init__.py
+++ b/otterreach/scaletest/__init__.py
@@ -1,1 +1,1 @@
-"""A scale run on one machine: real processes beside hollow ones, and what each role costs at a size."""
+"""Scale test on one machine: real processes and hollow ones, and the resource usage of each role at a given size."""
--- a/otterreach/scaletest/__main__.py
+++ b/otterreach/scaletest/__main__.py
@@ -1,4 +1,4 @@
-"""python3 -m otterreach.scaletest: a scale run on one machine."""
+"""Command line of the scale test, `python3 -m otterreach.scaletest`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from otterreach.scaletest import meter
 
-app = App(name="scaletest", help="Runs real processes beside hollow ones, and prints what each role costs.")
+app = App(name="scaletest", help="Run real processes and hollow ones, and print the resource usage of each role.")
 
 
 @app.command
@@ -31,20 +31,20 @@
     joins_per_s: float = 100.0,
     folder: Path | None = None,
 ) -> None:
-    """Start all, measure, stop all; prints JSON.
+    """Start all processes, measure, stop them; print the results as JSON.
 
     Parameters
     ----------
-    fronts: hollow sidecars, besides the real proxies.
-    servers: hollow servers.
-    controllers: real.
-    store_nodes: real.
-    proxies: real; without traffic.
-    hollow: processes that the hollow sidecars share.
-    heartbeat_ms: of servers.
-    seconds: of measuring, once everything is known everywhere.
-    joins_per_s: servers that register in a second, at the start; sidecars come a quarter as fast.
-    folder: for logs, settings, disks and counts.
+    fronts: number of hollow proxies, in addition to the real ones.
+    servers: number of hollow servers.
+    controllers: number of real controllers.
+    store_nodes: number of real job store nodes.
+    proxies: number of real proxies, which get no traffic.
+    hollow: number of processes that the hollow proxies share.
+    heartbeat_ms: heartbeat interval of servers.
+    seconds: duration of the measurement, after all state has reached all followers.
+    joins_per_s: servers that register per second at the start; hollow proxies start at a quarter of that rate.
+    folder: folder for logs, settings, disks and message counts.
     """
     from otterreach.scaletest.run import Run
     from otterreach.scaletest.size import Size
@@ -52,33 +52,33 @@
     size = Size(
         fronts, servers, controllers, store_nodes, proxies, hollow, heartbeat_ms=heartbeat_ms, joins_per_s=joins_per_s
     )
-    place = (folder or Path(tempfile.mkdtemp(prefix="scaletest-"))).absolute()
-    place.mkdir(parents=True, exist_ok=True)
+    run_folder = (folder or Path(tempfile.mkdtemp(prefix="scaletest-"))).absolute()
+    run_folder.mkdir(parents=True, exist_ok=True)
 
-    async def whole() -> None:
-        """The run, ended in order by a signal."""
+    async def run_cancellable() -> None:
+        """Run to the end; SIGTERM and SIGINT cancel the run and shut it down cleanly."""
         task = asyncio.current_task()
         assert task is not None
-        # Danger: ended at once, it would leave its processes behind.
+        # A signal has to cancel the task: the default action would leave the child processes running.
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, task.cancel)
-        print(json.dumps(await Run(size, seconds, place).run(), indent=1))
+        print(json.dumps(await Run(size, seconds, run_folder).run(), indent=1))
 
-    asyncio.run(whole())
+    asyncio.run(run_cancellable())
 
 
 @app.command
 def cost(*, servers: int = 1800, fronts: int = 340) -> None:
-    """Processor time of the steps that grow with the size: at a tenth, a third and the whole of it; prints JSON."""
-    from otterreach.scaletest.cost import table
+    """Print, as JSON, the processor time of the steps that grow with the size, at a tenth, a third and all of it."""
+    from otterreach.scaletest.cost import measure_sizes
 
-    sizes = [(servers // part, max(1, fronts // part)) for part in (10, 3, 1)]
-    print(json.dumps(table(sizes), indent=1))
+    sizes = [(servers // divisor, max(1, fronts // divisor)) for divisor in (10, 3, 1)]
+    print(json.dumps(measure_sizes(sizes), indent=1))
 
 
 @app.command
 def role(kind: str) -> None:
-    """A real process, counted. Started by `run`."""
+    """Run a real process and count its messages. Started by `run`."""
     from otterreach.loadtest.machines import MODULES
 
     meter.install()
@@ -87,22 +87,22 @@
 
 @app.command
 def hollow_fronts(file: Path, servers: int, members: int, gap_s: float) -> None:
-    """Hollow sidecars, as the file has their settings. Started by `run`."""
+    """Run hollow proxies with the settings in the file. Started by `run`."""
     meter.install()
     from otterreach.runtime import settings
     from otterreach.scaletest import hollow
 
     rows = [settings.read(row) for row in json.loads(file.read_text())]
-    asyncio.run(hollow.fronts(rows, servers, members, gap_s))
+    asyncio.run(hollow.run_proxies(rows, servers, members, gap_s))
 
 
 @app.command
 def hollow_servers(first: int, last: int, controllers: str, beat_s: float, gap_s: float) -> None:
-    """Hollow servers with these numbers. Started by `run`."""
+    """Run hollow servers with the numbers from `first` to `last`, exclusive. Started by `run`."""
     meter.install()
     from otterreach.scaletest import hollow
 
-    asyncio.run(hollow.servers(range(first, last), controllers.split(","), beat_s, gap_s))
+    asyncio.run(hollow.run_servers(range(first, last), controllers.split(","), beat_s, gap_s))
 
 
 if __name__ == "__main__":
--- a/otterreach/scaletest/cost.py
+++ b/otterreach/scaletest/cost.py
@@ -1,6 +1,7 @@
-"""Processor time of single steps that grow with the size, at several sizes: slopes without the noise of a busy machine.
+"""Processor time of single steps that grow with the size, at several sizes.
 
-Each figure is the least of a few rounds of `time.process_time`, in ms for one step.
+Each value is the minimum over a few rounds of `time.process_time`, in ms for one step, so that other
+load on the machine has little effect on the values and their growth.
 """
 
 from __future__ import annotations
@@ -37,8 +38,8 @@
 from otterreach.scaletest.size import registration, server_id
 
 ROUNDS = 5
-# What the primary controller looks through in each plan.
-SCANNED_IN_A_PLAN: tuple[type[Record], ...] = (
+# Record types that the primary controller scans in each planning pass, in order and with repetitions.
+SCANNED_PER_PLAN: tuple[type[Record], ...] = (
     MemberRecord,
     RetirementRecord,
     PartitionRecord,
@@ -51,8 +52,8 @@
 )
 
 
-def store_of(servers: int, fronts: int, versions: int = 1) -> ReplicatedStore:
-    """A copy of the control state of that size, as it is at rest."""
+def build_store(servers: int, fronts: int, versions: int = 1) -> ReplicatedStore:
+    """Return a replica of the control state of that size, in its steady state."""
     changes: list[ItemChange] = []
     for number in range(servers):
         ident = server_id(number)
@@ -71,63 +72,63 @@
     return store
 
 
-def cost_ms(step: Callable[[], Any], times: int) -> float:
-    """The least processor time of a step, over a few rounds."""
+def measure_ms(step: Callable[[], Any], times: int) -> float:
+    """Return the minimum processor time of a step, in ms, over `ROUNDS` rounds of `times` repetitions."""
     best = float("inf")
     for _ in range(ROUNDS):
-        begun = time.process_time()
+        started = time.process_time()
         for _ in range(times):
             step()
-        best = min(best, (time.process_time() - begun) / times)
+        best = min(best, (time.process_time() - started) / times)
     return round(best * 1000, 4)
 
 
-def orders_of(store: ReplicatedStore, node: str) -> WeightOrders:
-    """The duties of a proxy over that state. Needs a running loop."""
+def build_weight_orders(store: ReplicatedStore, node: str) -> WeightOrders:
+    """Return the weight orders of a proxy over that state. Requires a running event loop."""
     follower = SimpleNamespace(age_s=lambda: 0.0)
     fake = SimpleNamespace(store=store, settings=SimpleNamespace(node=node), follower=follower)
     return WeightOrders(cast(Node, fake), JsonClient())
 
 
-async def costs(servers: int, fronts: int) -> dict[str, float]:
-    """Ms for one step at a size."""
-    store = store_of(servers, fronts)
+async def measure_steps(servers: int, fronts: int) -> dict[str, float]:
+    """Return the processor time of each step in ms, and the sizes of messages in bytes, at one size."""
+    store = build_store(servers, fronts)
     kinds: tuple[type[Record], ...] = (ServerRecord, OrderLeaseRecord, MemberRecord)
     for kind in kinds:
-        store.records(kind)  # decoded once
+        store.records(kind)  # fills the cache of decoded records
     items = list(store.items.values())
     one = next(i for i in items if i.key.startswith("server/"))
-    beat = Changes(5, store.revision, [], store.digest, 1)
+    heartbeat = Changes(5, store.revision, [], store.digest, 1)
     change = Changes(5, store.revision, [one], store.digest, 0)
-    whole = Changes(5, store.revision, items, store.digest, 0)
-    body = encode(beat)
-    whole_body = encode(whole)
-    orders = orders_of(store, "front-1")
+    full_state = Changes(5, store.revision, items, store.digest, 0)
+    body = encode(heartbeat)
+    full_body = encode(full_state)
+    orders = build_weight_orders(store, "front-1")
     random = Random(1)
-    other = [0] * 16
+    other_digest = [0] * 16
 
     def scan() -> None:
-        """What the primary controller looks through each 0.2 s."""
-        for kind in SCANNED_IN_A_PLAN:
+        """Scan the records that the primary controller scans every 0.2 s."""
+        for kind in SCANNED_PER_PLAN:
             store.records(kind)
 
     return {
-        "ReplicatedStore.records(ServerRecord)": cost_ms(lambda: store.records(ServerRecord), 10),
-        "WeightOrders.step (every proxy, 10/s)": cost_ms(orders.step, 10),
-        "a primary's _plan (5/s), its scans": cost_ms(scan, 5),
-        "encode a beat of Changes": cost_ms(lambda: encode(beat), 200),
-        "decode it": cost_ms(lambda: decode(11, body), 200),
-        "encode one changed server": cost_ms(lambda: encode(change), 200),
-        "encode the whole state": cost_ms(lambda: encode(whole), 1),
-        "decode the whole state": cost_ms(lambda: decode(11, whole_body), 1),
-        "find what differs": cost_ms(lambda: store.differing(other), 3),
+        "ReplicatedStore.records(ServerRecord)": measure_ms(lambda: store.records(ServerRecord), 10),
+        "WeightOrders.step (every proxy, 10/s)": measure_ms(orders.step, 10),
+        "a primary's _plan (5/s), its scans": measure_ms(scan, 5),
+        "encode a beat of Changes": measure_ms(lambda: encode(heartbeat), 200),
+        "decode it": measure_ms(lambda: decode(11, body), 200),
+        "encode one changed server": measure_ms(lambda: encode(change), 200),
+        "encode the whole state": measure_ms(lambda: encode(full_state), 1),
+        "decode the whole state": measure_ms(lambda: decode(11, full_body), 1),
+        "find what differs": measure_ms(lambda: store.differing(other_digest), 3),
         "bytes of a beat": float(len(body)),
         "bytes of one changed server": float(len(encode(change))),
-        "bytes of the whole state": float(len(whole_body)),
-        "a draw of one in a list (for scale)": cost_ms(lambda: random.choice(items), 1000),
+        "bytes of the whole state": float(len(full_body)),
+        "a draw of one in a list (for scale)": measure_ms(lambda: random.choice(items), 1000),
     }
 
 
-def table(sizes: list[tuple[int, int]]) -> dict[str, dict[str, float]]:
-    """By size, "servers x fronts"."""
-    return {f"{servers} x {fronts}": asyncio.run(costs(servers, fronts)) for servers, fronts in sizes}
+def measure_sizes(sizes: list[tuple[int, int]]) -> dict[str, dict[str, float]]:
+    """Return the costs by size, with keys "servers x fronts"."""
+    return {f"{servers} x {fronts}": asyncio.run(measure_steps(servers, fronts)) for servers, fronts in sizes}
--- a/otterreach/scaletest/meter.py
+++ b/otterreach/scaletest/meter.py
@@ -1,6 +1,7 @@
-"""What a process says and hears, by message: counted at its connections, told once a second in a file.
+"""Counts of the messages that a process sends and receives, taken at its connections and written to a file.
 
-A line holds the steady clock, which all processes of one machine share, and the counts so far.
+A line is written every `WRITE_INTERVAL_S`. It holds the time of the monotonic clock, which all processes of one machine
+share, and the counts so far.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 from otterreach.runtime.codec import REGISTRY, encode
 
 WRITE_INTERVAL_S = 0.5
-VARIABLE = "OTTERREACH_METER"  # the file to write; a process without it is not counted
+METER_VARIABLE = "OTTERREACH_METER"  # names the file to write; messages are not counted if it is unset
 
 counts: Counter[str] = Counter()
-NAMES: dict[int, str] = {}
+MESSAGE_NAMES: dict[int, str] = {}
 
 
 class CountedLink(rpc.Link):
-    """A connection that counts both ways: messages by name, and bytes."""
+    """RPC connection that counts received messages by name, and received bytes."""
 
     def data_received(self, data: bytes) -> None:
-        """Count the bytes that come in."""
+        """Count received bytes."""
         counts["in bytes"] += len(data)
         super().data_received(data)
 
@@ -37,7 +38,7 @@
 
 
 def counted_encode(value: Any) -> bytes:
-    """Every frame that is written is encoded once."""
+    """Encode a message and count it as sent: every frame that is written is encoded exactly once."""
     body = encode(value)
     counts["out bytes"] += len(body) + rpc.HEADER.size
     counts[f"out {type(value).__name__}"] += 1
@@ -45,46 +46,46 @@
 
 
 class CountedCaller(http._CallerConnection):
-    """A connection of a caller over HTTP."""
+    """HTTP connection of a caller that counts received chunks and bytes."""
 
     def data_received(self, data: bytes) -> None:
-        """Count the bytes that come in."""
+        """Count received bytes."""
         counts["in http"] += 1
         counts["in http bytes"] += len(data)
         super().data_received(data)
 
 
 def _name(kind: int) -> str:
-    name = NAMES.get(kind)
+    name = MESSAGE_NAMES.get(kind)
     if name is None:
         cls = REGISTRY.get(kind)
-        name = NAMES[kind] = cls.__name__ if cls else str(kind)
+        name = MESSAGE_NAMES[kind] = cls.__name__ if cls else str(kind)
     return name
 
 
-def line(now: float, values: Counter[str]) -> str:
-    """The counts as a line of JSON."""
+def format_line(now: float, values: Counter[str]) -> str:
+    """Return the counts as a line of JSON."""
     return json.dumps({"t": round(now, 3), "counts": values})
 
 
 def install() -> None:
-    """Count from now on, if the environment names a file."""
-    name = os.environ.get(VARIABLE, "")
+    """Start to count messages if the environment names a file."""
+    name = os.environ.get(METER_VARIABLE, "")
     if not name:
         return
-    for module, attribute, counted in (
+    for module, attribute, replacement in (
         (rpc, "Link", CountedLink),
         (rpc, "encode", counted_encode),
         (http, "_CallerConnection", CountedCaller),
     ):
-        setattr(module, attribute, counted)
+        setattr(module, attribute, replacement)
     threading.Thread(target=_write_counts, args=(Path(name),), daemon=True).start()
 
 
 def _write_counts(path: Path) -> None:
     with path.open("a", encoding="utf-8") as file:
         while True:
-            print(line(time.monotonic(), Counter(counts)), file=file, flush=True)
+            print(format_line(time.monotonic(), Counter(counts)), file=file, flush=True)
             time.sleep(WRITE_INTERVAL_S)
 
 
@@ -92,8 +93,8 @@
     return min(rows, key=lambda row: abs(float(row["t"]) - at))
 
 
-def between(text: str, begin: float, end: float) -> tuple[float, Counter[str]]:
-    """From the lines of a file: seconds, and what was counted, between the lines nearest to two moments."""
+def counts_between(text: str, begin: float, end: float) -> tuple[float, Counter[str]]:
+    """Return the seconds and the counts between the two lines of a meter file that are nearest to two times."""
     rows = [json.loads(row) for row in text.splitlines() if row.endswith("}}")]
     if len(rows) < 2:
         return 0.0, Counter()
--- a/otterreach/scaletest/size.py
+++ b/otterreach/scaletest/size.py
@@ -1,4 +1,4 @@
-"""The size of a run, and what is made from it: machines, configuration, registrations. Pure."""
+"""Size of a run, and pure functions that derive machines, configuration and registrations from it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 ZONES = 12
 SERVICES = 24
-ROUTES_EACH = 3
+ROUTES_PER_SERVICE = 3
 SERVER_PORT = 8080
 MODEL = "m-one"
 SEEDS = 3
@@ -21,80 +21,91 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """How many there are. `hollow`: processes that the hollow fronts share; servers have `server_hosts` more."""
+    """Numbers of nodes and processes. Hollow proxies share `hollow` processes, servers `server_hosts` others."""
 
     fronts: int = 300  # hollow proxies
     servers: int = 1800
     controllers: int = 5
     store_nodes: int = 3
-    proxies: int = 2  # real ones
+    proxies: int = 2  # real proxies
     hollow: int = 6
     server_hosts: int = 2
     heartbeat_ms: int = 1200
-    joins_per_s: float = 100.0  # servers that register in a second, at the start
+    joins_per_s: float = 100.0  # servers that register per second at the start
 
     @property
     def front_gap_s(self) -> float:
-        """Between the starts of two hollow fronts of a process: a quarter as fast as servers."""
+        """Seconds between starts of hollow proxies of one process, at a quarter of the servers' rate in total."""
         return 4 * self.hollow / self.joins_per_s
 
     @property
     def joining_s(self) -> float:
-        """Seconds until all have joined."""
+        """Seconds until all hollow proxies and servers have been started."""
         return max(self.servers / self.joins_per_s, 4 * self.fronts / self.joins_per_s)
 
     @property
     def processes(self) -> int:
-        """Processes on this machine."""
+        """Number of processes on this machine, the run itself included."""
         return self.controllers + self.store_nodes + self.proxies + self.hollow + self.server_hosts + 1
 
     @property
     def members(self) -> int:
-        """Members of the system, hollow ones included."""
+        """Number of members of the system, hollow ones included."""
         return self.fronts + self.controllers + self.store_nodes + self.proxies
 
 
 def plan(size: Size) -> Plan:
-    """What the settings files are made from."""
+    """Return the plan from which the settings files are generated."""
     return Plan("scaletest", 30.0, zones=[f"hall-{n}" for n in range(ZONES)], heartbeat_ms=size.heartbeat_ms)
 
 
-def machines(size: Size, net: str, folder: Path) -> dict[str, list[Machine]]:
-    """Real machines by class, and the hollow fronts as `hollow`. `net`: the first two parts of their addresses."""
+def machines(size: Size, network_prefix: str, folder: Path) -> dict[str, list[Machine]]:
+    """Return the real machines by class, and the hollow proxies under `hollow`.
+
+    :param network_prefix: first two octets of their addresses
+    """
     classes = (
         ("core", "core", size.controllers, 10),
         ("store", "store", size.store_nodes, 30),
         ("front", "front", size.proxies, 50),
         ("hollow", "front", size.fronts, 100),
     )
-    found: dict[str, list[Machine]] = {}
+    machines_by_class: dict[str, list[Machine]] = {}
     for name, kind, count, first in classes:
-        found[name] = []
+        machines_by_class[name] = []
         for n in range(count):
-            place = n % ZONES
-            last = first + n // ZONES
-            found[name].append(Machine(f"{name}-{n}", kind, f"{net}.{place + 1}.{last}", f"hall-{place}", folder))
-    return found
+            zone_index = n % ZONES
+            host_number = first + n // ZONES
+            machines_by_class[name].append(
+                Machine(
+                    f"{name}-{n}",
+                    kind,
+                    f"{network_prefix}.{zone_index + 1}.{host_number}",
+                    f"hall-{zone_index}",
+                    folder,
+                )
+            )
+    return machines_by_class
 
 
 def bounds() -> dict[str, Any]:
-    """The bounds of the settings files."""
+    """Return the bounds that are written to the settings files."""
     return dict(BOUNDS)
 
 
 def seeds(cores: list[Machine]) -> list[str]:
-    """The addresses that a process asks first."""
+    """Return the addresses that a process contacts first."""
     return [core.ctl for core in cores[:SEEDS]]
 
 
-def shares(count: int, parts: int) -> list[range]:
-    """The numbers up to `count`, cut into so many runs that differ by one at most."""
+def split_range(count: int, parts: int) -> list[range]:
+    """Split the numbers below `count` into `parts` ranges whose lengths differ by at most one."""
     edges = [count * n // parts for n in range(parts + 1)]
     return [range(a, b) for a, b in pairwise(edges)]
 
 
 def configuration(gen: int) -> dict[str, Any]:
-    """A whole configuration; each version differs in one route's time-out."""
+    """Return a complete configuration; versions differ in the time-out of one route."""
     backends = [
         {
             "name": f"service-{n}",
@@ -125,19 +136,19 @@
             "tries": 3,
             "backend": f"service-{n % SERVICES}",
         }
-        for n in range(SERVICES * ROUTES_EACH)
+        for n in range(SERVICES * ROUTES_PER_SERVICE)
     ]
     caps = {"headerBytes": 16384, "bodyBytes": 33554432, "headerMs": 3000, "idleMs": 15000}
     return {"gen": gen, "routes": routes, "backends": backends, "caps": caps}
 
 
 def server_id(n: int) -> str:
-    """The id of the server with this number."""
+    """Return the id of the server with this number."""
     return f"i-{zlib.crc32(f'server {n}'.encode()):08x}"
 
 
 def registration(n: int, calls: int, state: str = "up", gen: int = 1) -> dict[str, Any]:
-    """The heartbeat of a server, as PROTOCOL has it. Nothing listens at its address."""
+    """Return the heartbeat of a server, in the format of the protocol. Nothing listens at its address."""
     return {
         "backend": f"service-{n % SERVICES}",
         "addr": f"127.250.{n // 250}.{n % 250 + 1}:{SERVER_PORT}",
--- a/otterreach/scaletest/table.py
+++ b/otterreach/scaletest/table.py
@@ -1,4 +1,4 @@
-"""From what was measured to the table. Pure."""
+"""Pure functions that compute the table of results from the measurements."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from statistics import median
 from typing import Any
 
-TOP = 6  # kinds of messages shown for a role
+TOP_MESSAGE_KINDS = 6  # number of message kinds shown for a role
 
 
 @dataclass(slots=True)
 class Sample:
-    """One process over one phase."""
+    """Measurements of one process over one phase."""
 
     role: str
     seconds: float
@@ -24,12 +24,12 @@
 
 
 def rate(count: float, seconds: float) -> float:
-    """Counts per second."""
+    """Return the counts per second."""
     return round(count / seconds, 1) if seconds > 0 else 0.0
 
 
 def _row(samples: list[Sample], nodes: int) -> dict[str, Any]:
-    """Means for one node of a role; `nodes` share these processes."""
+    """Return the means per node of a role, whose `nodes` nodes share these processes."""
     seconds = max(s.seconds for s in samples)
     counted = max(s.counted_s for s in samples)
     total: Counter[str] = Counter()
@@ -48,31 +48,34 @@
         "messages out": rate(sum(n for k, n in kinds.items() if k.startswith("out ")) / nodes, counted),
         "bytes in": rate((total["in bytes"] + total["in http bytes"]) / nodes, counted),
         "bytes out": rate(total["out bytes"] / nodes, counted),
-        "most": {k: rate(n / nodes, counted) for k, n in Counter(kinds).most_common(TOP)},
+        "most": {k: rate(n / nodes, counted) for k, n in Counter(kinds).most_common(TOP_MESSAGE_KINDS)},
     }
 
 
 def by_role(samples: list[Sample], nodes: dict[str, int]) -> dict[str, dict[str, Any]]:
-    """A row for each role; `nodes` tells how many nodes its processes stand for."""
+    """Return a row for each role; `nodes` is the number of nodes that the processes of a role represent."""
     roles = list(dict.fromkeys(s.role for s in samples))
     return {role: _row([s for s in samples if s.role == role], nodes[role]) for role in roles}
 
 
-def spread(begun: float, times: dict[str, float], expected: int) -> dict[str, Any]:
-    """Seconds from `begun` until it was in force: median and most over the followers, and how many lack it."""
-    delays = [t - begun for t in times.values()]
+def propagation_delays(started: float, times: dict[str, float], expected: int) -> dict[str, Any]:
+    """Return the seconds from `started` until a change took effect, and the number of followers that lack it.
+
+    The seconds are the median and the maximum over the followers.
+    """
+    delays = [t - started for t in times.values()]
     middle, most = (round(median(delays), 3), round(max(delays), 3)) if delays else (None, None)
     return {"median s": middle, "max s": most, "missing": expected - len(delays)}
 
 
 def slope(small: tuple[float, float], large: tuple[float, float]) -> tuple[float, float]:
-    """(value at nothing, growth for each one) of the line through two points (count, value).
+    """Return the intercept and the slope of the line through two points (count, value).
 
-    Of the same count: their mean, no growth.
+    For equal counts: the mean of the values and a slope of 0.
     """
     (x0, y0) = small
     (x1, y1) = large
     if x0 == x1:
         return (y0 + y1) / 2, 0.0
-    each = (y1 - y0) / (x1 - x0)
-    return y0 - each * x0, each
+    growth = (y1 - y0) / (x1 - x0)
+    return y0 - growth * x0, growth
--- a/tests/scaletest/test_scaletest.py
+++ b/tests/scaletest/test_scaletest.py
@@ -1,4 +1,4 @@
-"""The pure parts of the scale run: sizes, what is made from them, counting, the table."""
+"""Parts of the scale test that need no run: sizes and what is derived from them, message counts, the table."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
     def test_stays_below_a_hundred_processes(self) -> None:
         self.assertLess(Size().processes, 100)
 
-    def test_joining_goes_at_the_pace_that_is_asked(self) -> None:
+    def test_joining_follows_the_requested_rate(self) -> None:
         self.assertEqual(Size(hollow=5, joins_per_s=20.0).front_gap_s, 1.0)
         self.assertEqual(Size(fronts=10, servers=100, joins_per_s=20.0).joining_s, 5.0)
         self.assertEqual(Size(fronts=100, servers=100, joins_per_s=20.0).joining_s, 20.0)
 
-    def test_shares_are_whole_and_even(self) -> None:
+    def test_split_ranges_are_complete_and_even(self) -> None:
         for count, parts in ((300, 6), (7, 3), (2, 5), (0, 2)):
-            found = size.shares(count, parts)
+            found = size.split_range(count, parts)
             self.assertEqual([n for part in found for n in part], list(range(count)))
             self.assertEqual(len(found), parts)
             self.assertLessEqual(max(map(len, found)) - min(map(len, found)), 1)
@@ -69,16 +69,20 @@
 
 
 class MeterTest(unittest.TestCase):
-    def test_between_takes_the_nearest_lines(self) -> None:
+    def test_counts_between_uses_the_nearest_lines(self) -> None:
         counted = ((1.0, 10), (2.0, 20), (3.0, 50), (4.0, 90))
-        rows = [meter.line(t, Counter({"in A": n, "out B": 5})) for t, n in counted]
-        seconds, found = meter.between("\n".join(rows), 1.9, 3.2)
+        rows = [meter.format_line(t, Counter({"in A": n, "out B": 5})) for t, n in counted]
+        seconds, found = meter.counts_between("\n".join(rows), 1.9, 3.2)
         self.assertEqual((seconds, found), (1.0, Counter({"in A": 30})))
 
-    def test_between_of_a_torn_line_or_none(self) -> None:
-        rows = [meter.line(1.0, Counter({"in A": 1})), meter.line(2.0, Counter({"in A": 4})), '{"t": 3.0, "cou']
-        self.assertEqual(meter.between("\n".join(rows), 0.0, 9.0), (1.0, Counter({"in A": 3})))
-        self.assertEqual(meter.between("", 0.0, 1.0), (0.0, Counter()))
+    def test_counts_between_ignores_a_torn_line_and_accepts_an_empty_file(self) -> None:
+        rows = [
+            meter.format_line(1.0, Counter({"in A": 1})),
+            meter.format_line(2.0, Counter({"in A": 4})),
+            '{"t": 3.0, "cou',
+        ]
+        self.assertEqual(meter.counts_between("\n".join(rows), 0.0, 9.0), (1.0, Counter({"in A": 3})))
+        self.assertEqual(meter.counts_between("", 0.0, 1.0), (0.0, Counter()))
 
     def test_a_written_message_is_counted(self) -> None:
         before = Counter(meter.counts)
@@ -100,14 +104,14 @@
         self.assertEqual((row["messages in"], row["messages out"]), (40.0, 20.0))
         self.assertEqual((row["bytes in"], row["bytes out"]), (500.0, 200.0))
 
-    def test_nothing_counted_is_no_rate(self) -> None:
+    def test_without_counts_rates_are_zero(self) -> None:
         row = table.by_role([Sample("core", 10.0, 1.0, 50.0, 20, 0.0)], {"core": 1})["core"]
         self.assertEqual((row["messages in"], row["most"]), (0.0, {}))
 
-    def test_spread_tells_who_lacks_it(self) -> None:
-        found = table.spread(10.0, {"a": 10.5, "b": 11.0, "c": 12.0}, 4)
+    def test_propagation_delays_count_followers_that_lack_the_change(self) -> None:
+        found = table.propagation_delays(10.0, {"a": 10.5, "b": 11.0, "c": 12.0}, 4)
         self.assertEqual(found, {"median s": 1.0, "max s": 2.0, "missing": 1})
-        self.assertEqual(table.spread(1.0, {}, 2), {"median s": None, "max s": None, "missing": 2})
+        self.assertEqual(table.propagation_delays(1.0, {}, 2), {"median s": None, "max s": None, "missing": 2})
 
     def test_slope(self) -> None:
         self.assertEqual(table.slope((100.0, 5.0), (300.0, 9.0)), (3.0, 0.02))
@@ -116,28 +120,28 @@
 
 class HollowTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.told: list[dict[str, Any]] = []
+        self.events: list[dict[str, Any]] = []
         self.store = ReplicatedStore()
-        self.view = hollow.FollowerView("front-1", self.store, 2, 1, self.told.append)
+        self.view = hollow.FollowerView("front-1", self.store, 2, 1, self.events.append)
 
     def put(self, key: str, revision: int, value: dict[str, Any]) -> None:
         self.store.apply([Item(key, revision, json.dumps(value).encode())])
 
-    def test_tells_once_that_it_knows_all(self) -> None:
+    def test_emits_full_once_when_all_are_known(self) -> None:
         self.put("server/a", 1, size.registration(1, 1))
         self.put("member/x", 2, {"role": "front"})
-        self.assertEqual(self.told, [])
+        self.assertEqual(self.events, [])
         self.put("server/b", 3, size.registration(2, 1))
         self.put("server/b", 4, size.registration(2, 2))
-        self.assertEqual(self.told, [{"event": "full", "node": "front-1"}])
+        self.assertEqual(self.events, [{"event": "full", "node": "front-1"}])
 
-    def test_tells_configurations_drains_and_a_version_on_all_servers(self) -> None:
+    def test_emits_configurations_drains_and_a_version_on_all_servers(self) -> None:
         self.put("config", 1, size.configuration(4))
         self.put("server/a", 2, size.registration(1, 2, "draining"))
         self.put("server/a", 3, size.registration(1, 3, gen=2))
         self.put("server/b", 4, size.registration(2, 2, gen=2))
         self.assertEqual(
-            self.told,
+            self.events,
             [
                 {"event": "config", "node": "front-1", "gen": 4},
                 {"event": "drain", "node": "front-1", "server": "a"},
@@ -151,28 +155,32 @@
     async def _orders(self) -> None:
         from random import Random
 
-        servers = {n: hollow.Server(n, ["127.0.0.1:1"], 1.0, 0.0, Random(n)) for n in (4, 5)}
-        later: list[tuple[float, Any]] = []
-        hollow.obey(servers, {"order": "drain", "servers": [5, 9]}, lambda s, work: later.append((s, work)))
+        servers = {n: hollow.HollowServer(n, ["127.0.0.1:1"], 1.0, 0.0, Random(n)) for n in (4, 5)}
+        scheduled: list[tuple[float, Any]] = []
+        hollow.execute_order(
+            servers, {"order": "drain", "servers": [5, 9]}, lambda s, work: scheduled.append((s, work))
+        )
         self.assertEqual([servers[n].state for n in (4, 5)], ["up", "draining"])
-        hollow.obey(servers, {"order": "version", "over_s": 2.0, "count": 8}, lambda s, w: later.append((s, w)))
-        self.assertEqual([s for s, _ in later], [1.0, 1.25])
-        for _, work in later:
+        hollow.execute_order(
+            servers, {"order": "version", "over_s": 2.0, "count": 8}, lambda s, w: scheduled.append((s, w))
+        )
+        self.assertEqual([s for s, _ in scheduled], [1.0, 1.25])
+        for _, work in scheduled:
             work()
         self.assertEqual([servers[n].gen for n in (4, 5)], [2, 2])
-        self.assertTrue(all(server.soon.is_set() for server in servers.values()))
+        self.assertTrue(all(server.send_now.is_set() for server in servers.values()))
 
 
 class CostTest(unittest.TestCase):
-    def test_the_state_has_the_size(self) -> None:
-        store = cost.store_of(20, 3)
+    def test_the_store_has_the_requested_size(self) -> None:
+        store = cost.build_store(20, 3)
         self.assertEqual(len(store.records(ServerRecord)), 20)
         self.assertEqual(len(store.records(OrderLeaseRecord)), 20)
         self.assertEqual(len(store.records(MemberRecord)), 3)
 
-    def test_what_it_times_is_what_a_proxy_does(self) -> None:
+    def test_the_timed_step_is_that_of_a_proxy(self) -> None:
         async def work() -> None:
-            orders = cost.orders_of(cost.store_of(6, 2), "front-1")
+            orders = cost.build_weight_orders(cost.build_store(6, 2), "front-1")
             self.assertEqual(len(orders.leased_servers()), 3)
             orders.step()
             self.assertEqual(orders.loading, {})
@@ -181,8 +189,8 @@
 
 
 class ProcessesTest(unittest.TestCase):
-    def test_what_this_process_has_used(self) -> None:
-        found = processes.used(os.getpid())
+    def test_usage_of_this_process(self) -> None:
+        found = processes.read_usage(os.getpid())
         self.assertGreater(found.cpu_s, 0)
         self.assertGreater(found.memory_mb, 1)
         self.assertGreater(found.files, 0)
