--- a/otterreach/simulation/control.py
+++ b/otterreach/simulation/control.py
@@ -154,7 +154,7 @@
             await asyncio.sleep(CHECK_S)
             self.history.check()
             if self.injector is not None and self.injector.calm_for() > SYNC_S:
-                self.invariants.check_strength()
+                self.invariants.check_redundancy()
 
     # Promises with a time in them ------------------------------------------------------------------
 
--- a/otterreach/simulation/disk.py
+++ b/otterreach/simulation/disk.py
@@ -1,6 +1,6 @@
 """A disk in memory and a journal on it, with the interface of otterreach.runtime.journal.Journal and its record format.
 
-What was synced lasts; of what was written later, at a loss of power, some first part is there, perhaps torn, or none.
+Synced data survives a power loss; of data written later, a prefix (possibly torn) survives, or none.
 """
 
 from __future__ import annotations
@@ -13,26 +13,29 @@
 from otterreach.runtime.journal import LiveSlices, Slice
 from otterreach.runtime.journal_format import Record, pack, scan
 
-SLICES_IN_ONE_SYNC = 4  # of a rewrite: so many are written in the time that a sync takes
+SLICES_PER_SYNC = 4  # a rewrite writes this many slices in the time of one sync
 
 
 class Disk:
-    """One file, as the machine's kernel sees it (`data`) and as far as it lasts (`synced` bytes of it)."""
+    """One file: its content as the kernel sees it (`data`), of which `synced` bytes are durable."""
 
     def __init__(self, random: Random, sync_s: tuple[float, float] = (0.0005, 0.004)) -> None:
         self.random = random
         self.sync_s = sync_s
         self.data = b""
         self.synced = 0
-        self.broken = False  # refuses writes
+        self.broken = False  # writes fail
         self.slow_s = 0.0
-        self.stalled_until = 0.0  # no sync ends before that time
-        self.room: int | None = None  # bytes that it takes, all files together
-        self.second = 0  # bytes of the file that a rewrite is writing
-        self.former: bytes | None = None  # the file that was replaced, while the folder's change may still be lost
+        self.stalled_until = 0.0  # virtual time before which no sync completes
+        self.room: int | None = None  # capacity in bytes, for all files together; None: unlimited
+        self.second = 0  # size of the new file of a rewrite in progress
+        self.former: bytes | None = None  # content of the replaced file, until the rename is synced in the directory
 
     def power_lost(self) -> None:
-        """Of the unsynced rest: all, none, a part, or a part with bad bytes. A rewrite that isn't in place is gone."""
+        """Lose unsynced data: nothing, all or a part of it survives, or zero bytes take its place.
+
+        A rewrite that is not in place yet is lost; a rename that is not synced may be undone.
+        """
         if self.former is not None and self.random.random() < 0.5:
             self.data = self.former
             self.synced = len(self.former)
@@ -44,22 +47,25 @@
         self.former = None
 
     def wipe(self) -> None:
-        """Lose everything."""
+        """Erase the disk."""
         self.data = b""
         self.synced = 0
 
     def delay(self) -> float:
-        """How long a sync that begins now takes."""
+        """Return the duration of a sync that starts now, in seconds."""
         stalled = max(0.0, self.stalled_until - asyncio.get_running_loop().time())
         return self.random.uniform(*self.sync_s) + self.slow_s + stalled
 
     def fits(self, size: int) -> bool:
-        """Whether so many bytes more find room."""
+        """Return True if `size` more bytes fit on the disk."""
         return self.room is None or len(self.data) + self.second + size <= self.room
 
 
 class VirtualJournal:
-    """As otterreach.runtime.journal.Journal, on virtual time. An instance ends with its process; the disk stays."""
+    """The counterpart of otterreach.runtime.journal.Journal on virtual time.
+
+    An instance ends with its process; the disk outlives it.
+    """
 
     def __init__(self, disk: Disk) -> None:
         self.disk = disk
@@ -70,11 +76,11 @@
         self._waiting: list[asyncio.Future[bool]] = []
         self._flushing: asyncio.Task[None] | None = None
         self._in_use = asyncio.Lock()
-        self._copied: list[bytes] | None = None  # of a rewrite that is under way
-        self._given_up = False  # the log needed the room
+        self._copied: list[bytes] | None = None  # records of the rewrite in progress; None: no rewrite runs
+        self._rewrite_abandoned = False  # the space was needed for new records
 
     def read(self) -> list[Record]:
-        """The records on the disk."""
+        """Return the records on the disk and cut off a damaged tail."""
         disk = self.disk
         records, end = scan(disk.data)
         disk.data = disk.data[:end]
@@ -84,7 +90,7 @@
         return records
 
     def append(self, kind: int, payload: bytes) -> None:
-        """Take a record; it is lost with the power until it is synced."""
+        """Append a record, which a power loss may drop until it is synced."""
         record = pack(kind, payload, self._synced)
         self._pending.append(record)
         self.size += len(record)
@@ -92,7 +98,7 @@
             self._copied.append(pack(kind, payload, 0))
 
     async def sync(self) -> bool:
-        """Whether everything that was appended so far got onto the disk."""
+        """Sync, and return True once everything appended so far is durable; False if the disk failed."""
         if self.failed is not None:
             return False
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
@@ -120,13 +126,13 @@
         disk = self.disk
         if disk.second and not disk.fits(len(data)):
             disk.second = 0
-            self._given_up = True
+            self._rewrite_abandoned = True
         if disk.broken or not disk.fits(len(data)):
             disk.data += data[: disk.random.randint(0, len(data))]
             self._fail()
             return
         disk.data += data
-        # The process may be killed between the write and its sync; the thread that waits is not the loop's.
+        # The process may be killed between the write and its sync: the real sync runs in a thread outside the event loop.
         await asyncio.sleep(disk.delay())
         if disk.broken:
             self._fail()
@@ -143,11 +149,11 @@
                 future.set_result(self.failed is None)
 
     async def rewrite(self, live: LiveSlices) -> bool:
-        """As Journal.rewrite."""
+        """Replace the file by the live records, as Journal.rewrite does."""
         if self._copied is not None or self.failed is not None:
             return False
         self._copied = []
-        self._given_up = False
+        self._rewrite_abandoned = False
         try:
             return await self._fill(live()) and await self._replace()
         finally:
@@ -155,27 +161,27 @@
             self.disk.second = 0
 
     def abandon_rewrite(self) -> None:
-        """As Journal.abandon_rewrite."""
-        self._given_up = True
+        """Stop a rewrite in progress, as Journal.abandon_rewrite does."""
+        self._rewrite_abandoned = True
 
     async def _fill(self, slices: Iterable[Slice]) -> bool:
-        """Write slices and what is appended meanwhile, some at a time, each as slow as the disk is."""
+        """Write the slices, and the records appended meanwhile, to the new file at the speed of the disk."""
         assert self._copied is not None
         for part in slices:
             self._copied += [pack(kind, payload, 0) for kind, payload in part]
-            await asyncio.sleep(self.disk.delay() / SLICES_IN_ONE_SYNC)
+            await asyncio.sleep(self.disk.delay() / SLICES_PER_SYNC)
             if not self._second_fits():
                 return False
         return True
 
     def _second_fits(self) -> bool:
-        """Whether the disk takes the second file; without room for it the first is still in use."""
+        """Return True if the new file fits on the disk; if it does not, the current file stays in use."""
         assert self._copied is not None
         size = sum(len(record) for record in self._copied)
         self.disk.second = 0
         if self.disk.broken:
             self._fail()
-        if self.failed is not None or self._given_up or not self.disk.fits(size):
+        if self.failed is not None or self._rewrite_abandoned or not self.disk.fits(size):
             return False
         self.disk.second = size
         return True
@@ -195,6 +201,6 @@
             disk.synced = self._synced = len(disk.data)
             self.size = self._synced + sum(len(record) for record in self._pending)
             self._copied = None
-            await asyncio.sleep(disk.delay())  # the folder's sync
+            await asyncio.sleep(disk.delay())  # the sync of the directory
             disk.former = None
         return True
--- a/otterreach/simulation/invariants.py
+++ b/otterreach/simulation/invariants.py
@@ -1,6 +1,7 @@
-"""What has to hold of the controllers at each step, whoever asks.
+"""Invariants of the controllers, checked at each step independently of the answers to callers.
 
-One primary for each number; every acknowledged change at each new primary; within one life no process' copy goes back.
+Each proposal number has one primary; each new primary has every acknowledged change; within one incarnation, the
+replica of a process never goes back to an older state.
 """
 
 from __future__ import annotations
@@ -18,97 +19,98 @@
 from otterreach.simulation.history import History
 from otterreach.simulation.world import ZONES, Box, World
 
-RANKS = {"up": 0, "draining": 1}
-GONE = 2
-CHANGING = (
+STATE_RANKS = {"up": 0, "draining": 1}
+GONE_RANK = 2
+CHANGING_METHODS = (
     (LocalReplica, "load"),
     (LocalReplica, "become"),
     (LocalReplica, "promise"),
     (LocalReplica, "adopt_configuration"),
     (ReplicatedStore, "apply"),
 )
-LEAST = {"": 0, "up": 0, "draining": 1, "gone": GONE}  # rank of a server by what was acknowledged
+# minimum rank of a server, by its last acknowledged state
+MIN_RANKS = {"": 0, "up": 0, "draining": 1, "gone": GONE_RANK}
 
 
 class ControlInvariants:
-    """Watches all controllers and copies of one run."""
+    """Checks all controllers and replicas of one run."""
 
     def __init__(self, world: World, history: History) -> None:
         self.world = world
         self.history = history
-        self.primaries: dict[int, str] = {}  # id by number
+        self.primaries: dict[int, str] = {}  # proposal number -> id
         self.acked_items: dict[str, int] = {}  # key -> rev
-        self.ends: dict[str, int] = {}  # key -> rev of its last end, acknowledged or not
-        self._copies: dict[tuple[str, int], _ObservedReplica] = {}  # by machine and life
-        world.watch(self.summary, self._check_primaries, self._check_copies, always=False)
+        self.ends: dict[str, int] = {}  # key -> rev of its last tombstone, acknowledged or not
+        self._replicas: dict[tuple[str, int], _ObservedReplica] = {}  # by machine and incarnation
+        world.watch(self.summary, self._check_primaries, self._check_replicas, always=False)
 
     def watch(self) -> None:
-        """For as long as the run lasts: look after each step that may have changed a copy or an epoch."""
-        for owner, name in CHANGING:
-            self.world.wrap(owner, name, self._noting)
+        """Check after each step that may have changed a replica or an epoch, for the rest of the run."""
+        for owner, name in CHANGING_METHODS:
+            self.world.wrap(owner, name, self._marking_changes)
         self._watch_acknowledgements()
 
-    def _noting(self, plain: Any) -> Any:
-        def noted(*args: Any) -> Any:
-            """Set the mark that the checks are due."""
+    def _marking_changes(self, original: Any) -> Any:
+        def marked(*args: Any) -> Any:
+            """Mark the checks as due."""
             self.world.changed = True
-            return plain(*args)
+            return original(*args)
 
-        return noted
+        return marked
 
     def _watch_acknowledgements(self) -> None:
-        """Note what `propose` acknowledges, and hold it against each new primary."""
+        """Record what `propose` acknowledges, and check that each new primary has it."""
         invariants = self
 
-        def proposing(plain: Any) -> Any:
-            """The wrapped `propose`."""
+        def wrap_propose(original: Any) -> Any:
+            """Wrap `propose`."""
 
             def propose(control: ControlReplication, changes: Any) -> Any:
-                """Propose, and record what is acknowledged."""
+                """Propose, and record the changes once they are acknowledged."""
                 changes = list(changes)
-                future = plain(control, changes)
+                future = original(control, changes)
                 items = control.state.items
                 revs = {key: items[key].revision for key, _ in changes if key in items}
                 invariants.ends |= {key: revision for key, revision in revs.items() if items[key].is_tombstone}
-                future.add_done_callback(lambda done: invariants._note(done, revs))
+                future.add_done_callback(lambda done: invariants._record_acknowledgement(done, revs))
                 return future
 
             return propose
 
-        def becoming(plain: Any) -> Any:
-            """The wrapped `become_primary`."""
+        def wrap_become_primary(original: Any) -> Any:
+            """Wrap `become_primary`."""
 
             def become_primary(control: ControlReplication, installed: Any) -> None:
-                """Become primary, and check that nothing acknowledged is missing."""
-                plain(control, installed)
+                """Become primary, and check that no acknowledged change is missing."""
+                original(control, installed)
                 if control.is_primary:
                     invariants.check_acknowledged(control)
 
             return become_primary
 
-        self.world.wrap(ControlReplication, "propose", proposing)
-        self.world.wrap(ControlReplication, "become_primary", becoming)
+        self.world.wrap(ControlReplication, "propose", wrap_propose)
+        self.world.wrap(ControlReplication, "become_primary", wrap_become_primary)
 
-    def _note(self, done: asyncio.Future[bool], revs: dict[str, int]) -> None:
+    def _record_acknowledgement(self, done: asyncio.Future[bool], revs: dict[str, int]) -> None:
         if not done.cancelled() and done.result() is True:
             for key, revision in revs.items():
                 self.acked_items[key] = max(self.acked_items.get(key, 0), revision)
 
     def controls(self) -> list[tuple[Box, ControlReplication]]:
-        """The living controllers."""
+        """Return the controllers that are up."""
         return [(box, box.object.control) for box in self.world.of_role("core") if box.up and box.object]
 
     def leader(self) -> str:
-        """Name of the machine that is primary, with the highest number if there are several; empty if none is."""
+        """Return the name of the machine that is primary with the highest number; empty if there is none."""
         numbers = {control.number: box.name for box, control in self.controls() if control.is_primary}
         return numbers[max(numbers)] if numbers else ""
 
     def summary(self) -> Any:
-        """The state of the run as it is counted: order among numbers and revs, not the figures themselves."""
+        """Return the state of the run for counting: the ranks of numbers and revisions, not their values."""
         rows = [(box.name, c.mode, c.promised, c.number) for box, c in self.controls()]
         frozen = tuple(box.process.frozen for box in self.world.boxes.values() if box.process)
         revs = [box.node.store.revision if box.up and box.node else -1 for box in self.world.boxes.values()]
-        return _ranked(rows), frozen, _order(revs)
+        return _rank_numbers(rows), frozen, _rank_values(revs)
 
     def _check_primaries(self) -> None:
         for _, control in self.controls():
@@ -117,22 +119,22 @@
             known = self.primaries.setdefault(control.number, control.id)
             self.world.expect(known == control.id, "one primary", f"{known} and {control.id} in {control.number}")
 
-    def _check_copies(self) -> None:
+    def _check_replicas(self) -> None:
         for box in self.world.boxes.values():
             if box.up and box.node is not None:
-                seen = self._copies.setdefault((box.name, box.incarnations), _ObservedReplica(box.name, self.world))
+                seen = self._replicas.setdefault((box.name, box.incarnations), _ObservedReplica(box.name, self.world))
                 seen.check(box.node.store, self.history)
 
     def check_acknowledged(self, control: ControlReplication) -> None:
-        """Each acknowledged change is there, or a newer one; an end may have been collected."""
+        """Check that each acknowledged change or a newer one is present; a tombstone may have been collected."""
         for key, revision in self.acked_items.items():
             item = control.state.items.get(key)
             collected = item is None and revision <= self.ends.get(key, 0) <= control.state.collected_up_to
             what = f"{key} {revision} at {control.settings.node} in {control.number}"
             self.world.expect(collected or item and item.revision >= revision, "acknowledged is gone", what)
 
-    def check_strength(self) -> None:
-        """With any further loss that is allowed, a majority of the witnesses in force is left, and a member."""
+    def check_redundancy(self) -> None:
+        """Check that any further tolerated loss leaves a majority of the current witnesses, and a member."""
         leading = [control for _, control in self.controls() if control.is_primary]
         for control in leading:
             configuration = control.accepted
@@ -147,7 +149,7 @@
                 self.check_acknowledged(control)
 
     def _allowed_losses(self) -> list[set[str]]:
-        """Names of machines that may be lost together."""
+        """Return the sets of machines whose simultaneous loss has to be survived."""
         cores = self.world.of_role("core")
         losses = [set(names) for names in combinations([box.name for box in cores], self.world.survive)]
         losses.extend(
@@ -156,7 +158,7 @@
         return losses
 
     def check_end(self) -> None:
-        """After all trouble: one primary, and what callers were told is there."""
+        """Check after all faults that there is one primary, which has everything acknowledged to callers."""
         primaries = [c for _, c in self.controls() if c.is_primary]
         self.world.expect(len(primaries) == 1, "in time", f"{len(primaries)} primaries at the end")
         for control in primaries:
@@ -169,18 +171,20 @@
             record = control.state.record(VersionRecord, model)
             found = record.version if record else 0
             self.world.expect(
-                found >= version, "acknowledged is gone", f"version {version} of {model}, {found} is there"
+                found >= version,
+                "acknowledged is gone",
+                f"version {version} of {model} is acknowledged, version {found} is present",
             )
 
     def _check_servers(self, control: ControlReplication) -> None:
         for ident, state in self.history.servers.items():
             known = control.state.record(ServerRecord, ident)
-            rank = GONE if known is None else RANKS[known.state]
-            self.world.expect(rank >= LEAST[state], "acknowledged is gone", f"server {ident} {state}: {known}")
+            rank = GONE_RANK if known is None else STATE_RANKS[known.state]
+            self.world.expect(rank >= MIN_RANKS[state], "acknowledged is gone", f"server {ident} {state}: {known}")
 
 
 class _ObservedReplica:
-    """What one process' copy has held so far in its life."""
+    """The newest state seen in the replica of one process during its incarnation."""
 
     def __init__(self, name: str, world: World) -> None:
         self.name = name
@@ -190,7 +194,7 @@
         self._servers: dict[str, tuple[int, int]] = {}  # rev, rank
 
     def check(self, store: Any, history: History) -> None:
-        """The state has not gone back since the last look."""
+        """Check that the state has not gone back since the last check."""
         if store.revision == self._rev:
             return
         self._rev = store.revision
@@ -207,16 +211,16 @@
         revision, old = self._servers.get(ident, (0, 0))
         if item is None or item.revision == revision:
             return
-        rank = GONE if item.is_tombstone else RANKS[json.loads(item.value)["state"]]
+        rank = GONE_RANK if item.is_tombstone else STATE_RANKS[json.loads(item.value)["state"]]
         self.world.expect(rank >= old, "server comes back", f"{self.name}: {ident} {rank} after {old}")
         self._servers[ident] = (item.revision, rank)
 
 
-def _order(values: list[int]) -> tuple[int, ...]:
-    places = {value: place for place, value in enumerate(sorted(set(values)))}
-    return tuple(places[value] for value in values)
+def _rank_values(values: list[int]) -> tuple[int, ...]:
+    ranks = {value: rank for rank, value in enumerate(sorted(set(values)))}
+    return tuple(ranks[value] for value in values)
 
 
-def _ranked(rows: list[tuple[str, Any, int, int]]) -> Any:
+def _rank_numbers(rows: list[tuple[str, Any, int, int]]) -> Any:
     numbers = sorted({n for row in rows for n in row[2:]})
     return tuple((name, mode.value, numbers.index(p), numbers.index(n)) for name, mode, p, n in rows)
--- a/otterreach/simulation/loop.py
+++ b/otterreach/simulation/loop.py
@@ -1,6 +1,6 @@
-"""An event loop on virtual time: nothing waits, time jumps to the next timer.
+"""An event loop on virtual time, which advances to the next timer as soon as nothing is ready to run.
 
-Callbacks belong to processes, which may be frozen (their callbacks are held and run later) or dead (they are dropped).
+Each callback belongs to a process; the callbacks of a frozen process are deferred, those of a dead one are dropped.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from typing import Any, TypeVar
 
 T = TypeVar("T")
-STEPS_IN_ONE_INSTANT = 200_000  # more callbacks without time going on: something spins
+MAX_CALLBACKS_PER_INSTANT = 200_000  # more callbacks at the same virtual time mean a busy loop
 
 
 class StalledError(RuntimeError):
-    """Nothing is left to run and no timer is set, or time does not go on."""
+    """Nothing is ready and no timer is set, or virtual time does not advance."""
 
 
 class Process:
-    """Whatever runs in one context: `start` a coroutine as this process, freeze it, kill it."""
+    """A simulated process: all tasks started in one context, which can be frozen, thawed and killed together."""
 
     def __init__(self, name: str, address: str) -> None:
         self.name = name
@@ -29,31 +29,31 @@
         self.frozen = False
         self.dead = False
         self.deferred: list[asyncio.Handle] = []
-        # All tasks that are not done. A dead process' are kept to the end of the run: collected, they would run their
-        # `finally` blocks on somebody else's time.
+        # All unfinished tasks. Those of a dead process are kept until the run ends: garbage collection would run their
+        # `finally` blocks in the middle of another process.
         self.tasks: dict[asyncio.Task[Any], None] = {}
         self.context: Context = copy_context()
         self.context.run(OWNER.set, self)
 
     def start(self, loop: VirtualLoop, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-        """Start a task of this process."""
+        """Start a coroutine as a task of this process."""
         return loop.create_task(work, context=self.context)
 
     def forget(self, task: asyncio.Task[Any]) -> None:
-        """A task is done."""
+        """Remove a finished task."""
         self.tasks.pop(task, None)
 
     def kill(self) -> None:
-        """It stops between two callbacks and never runs again."""
+        """Stop the process between two callbacks, for good."""
         self.dead = True
         self.deferred.clear()
 
     def freeze(self) -> None:
-        """What becomes due waits."""
+        """Suspend the process: its callbacks are deferred."""
         self.frozen = True
 
     def thaw(self, loop: VirtualLoop, due: list[asyncio.Handle] | None = None) -> None:
-        """What has become due meanwhile runs now: `due`, or all in the order in which it became due."""
+        """Resume the process; its deferred callbacks run in the order of `due`, by default that of their due times."""
         self.frozen = False
         deferred = self.deferred
         self.deferred = []
@@ -74,40 +74,40 @@
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """Run with `run(coroutine)`. `after` is called behind each instant in which something ran."""
+    """The event loop; start it with `run(coroutine)`. `after` is called after each iteration of the loop."""
 
     def __init__(self, start_s: float = 1000.0) -> None:
         super().__init__()
         self.now = start_s
-        self.steps = 0  # callbacks run
+        self.steps = 0  # number of callbacks run
         self.after: Callable[[], None] | None = None
-        self.network: Any = None  # what create_connection and create_server are asked of
+        self.network: Any = None  # implements create_connection and create_server
         self.over = False
         self._clock_resolution = 1e-9
         self.set_task_factory(_make_task)
-        self._at_this_instant = 0
+        self._callbacks_at_this_instant = 0
 
     def time(self) -> float:
-        """Virtual seconds."""
+        """Return the virtual time, in seconds."""
         return self.now
 
     def ready(self, handle: asyncio.Handle) -> None:
-        """Run a handle in the next turn."""
+        """Run a handle in the next iteration."""
         self._ready.append(handle)  # type: ignore[attr-defined]
 
     def call_as(self, process: Process, callback: Callable[..., Any], *args: Any) -> None:
-        """As `call_soon`, on behalf of a process."""
+        """Call `call_soon` in the context of a process; nothing is scheduled for a dead one."""
         if not process.dead:
             self.call_soon(callback, *args, context=process.context)
 
     def call_soon(self, callback: Any, *args: Any, context: Context | None = None) -> asyncio.Handle:  # type: ignore[override]
-        """As asyncio's; after the end of the run nothing is scheduled."""
-        if self.over:  # leftovers of dead processes are being collected
+        """Schedule a callback as asyncio does; nothing is scheduled after the end of the run."""
+        if self.over:  # the remaining tasks of dead processes are being collected
             return asyncio.Handle(callback, args, self, context)
         return super().call_soon(callback, *args, context=context)
 
     def call_at(self, when: float, callback: Any, *args: Any, context: Context | None = None) -> asyncio.TimerHandle:  # type: ignore[override]
-        """As asyncio's; after the end of the run nothing is scheduled."""
+        """Schedule a timer as asyncio does; nothing is scheduled after the end of the run."""
         if self.over:
             return asyncio.TimerHandle(when, callback, args, self, context)
         return super().call_at(when, callback, *args, context=context)
@@ -116,7 +116,7 @@
         ready: Any = self._ready  # type: ignore[attr-defined]
         scheduled: Any = self._scheduled  # type: ignore[attr-defined]
         if not ready:
-            self._jump(scheduled)
+            self._advance_clock(scheduled)
         while scheduled and (scheduled[0]._cancelled or scheduled[0]._when <= self.now + 1e-9):
             timer = heapq.heappop(scheduled)
             timer._scheduled = False
@@ -127,16 +127,16 @@
         if self.after is not None:
             self.after()
 
-    def _jump(self, scheduled: Any) -> None:
+    def _advance_clock(self, scheduled: Any) -> None:
         while scheduled and scheduled[0]._cancelled:
             heapq.heappop(scheduled)._scheduled = False
         if not scheduled:
             if self._stopping:  # type: ignore[attr-defined]
                 return
-            raise StalledError(f"nothing to run at {self.now:.3f}")
+            raise StalledError(f"no callback is ready and no timer is set at virtual time {self.now:.3f} s")
         if scheduled[0]._when > self.now:
             self.now = scheduled[0]._when
-            self._at_this_instant = 0
+            self._callbacks_at_this_instant = 0
 
     def _run_handle(self, handle: Any) -> None:
         if handle._cancelled:
@@ -148,13 +148,15 @@
             owner.deferred.append(handle)
             return
         self.steps += 1
-        self._at_this_instant += 1
-        if self._at_this_instant > STEPS_IN_ONE_INSTANT:
-            raise StalledError(f"time stands still at {self.now:.3f}: {handle!r}")
+        self._callbacks_at_this_instant += 1
+        if self._callbacks_at_this_instant > MAX_CALLBACKS_PER_INSTANT:
+            raise StalledError(
+                f"more than {MAX_CALLBACKS_PER_INSTANT} callbacks at virtual time {self.now:.3f} s, last one: {handle!r}"
+            )
         handle._run()
 
     def run(self, work: Coroutine[Any, Any, T]) -> T:
-        """To the end of the coroutine; then what is left of all processes is dropped."""
+        """Run the coroutine to its end, then drop what is left of all processes."""
         try:
             return self.run_until_complete(work)
         finally:
@@ -164,13 +166,13 @@
             self.close()
 
     def _close_unstarted_coroutines(self) -> None:
-        """A task that never got its first turn would otherwise warn, when it is collected, that nobody awaited it."""
+        """Close coroutines whose tasks never ran; collecting them would otherwise warn that they were never awaited."""
         for task in asyncio.all_tasks(self):
             coroutine = task.get_coro()
             if inspect.iscoroutine(coroutine) and inspect.getcoroutinestate(coroutine) == inspect.CORO_CREATED:
                 coroutine.close()
 
-    # What the selector loop has and this one does without.
+    # Methods of the selector event loop that have no function here.
 
     def _process_events(self, event_list: Any) -> None:
         pass
@@ -190,5 +192,5 @@
         return self.network.listen(OWNER.get(), protocol_factory, host, port)
 
     def run_in_executor(self, executor: Any, func: Any, *args: Any) -> Any:  # type: ignore[override]
-        """There are no threads on virtual time."""
-        raise NotImplementedError("threads have no place on virtual time")
+        """Raise NotImplementedError: threads do not run on virtual time."""
+        raise NotImplementedError("run_in_executor is not supported on virtual time")
--- a/otterreach/simulation/roles.py
+++ b/otterreach/simulation/roles.py
@@ -1,4 +1,4 @@
-"""The processes of the real roles, as a simulated machine starts them."""
+"""Entry points of the real roles on a simulated machine."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 async def controller(box: Box) -> None:
-    """A controller on the machine's disk, until SIGTERM."""
+    """Run a controller on the machine's disk until SIGTERM."""
     node = box.new_node()
     journal = box.journal()
     records = journal.read()
@@ -20,13 +20,13 @@
 
 
 async def open_virtual(address: tuple[str, int], factory: Any) -> Any:
-    """Takes the place of otterreach.sidecar.transport.open_tcp."""
+    """Open a connection on the virtual network; replaces otterreach.sidecar.transport.open_tcp."""
     _, connection = await asyncio.get_running_loop().create_connection(factory, *address)
     return connection
 
 
 async def proxy(box: Box) -> None:
-    """A proxy: here it follows, and holds the duty of orders to servers."""
+    """Run a proxy until SIGTERM: it follows the control state and can hold the singleton role of orders to servers."""
     node = box.new_node()
     box.object = Proxy(node, node.random, open_virtual)
     await node.start("front")
--- a/otterreach/simulation/transport.py
+++ b/otterreach/simulation/transport.py
@@ -1,4 +1,4 @@
-"""One simulated TCP connection: its two directions, and the asyncio transport at each end."""
+"""A simulated TCP connection: its two directions and the asyncio transport at each end."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 from otterreach.simulation.loop import Process, VirtualLoop
 
-USER_TIMEOUT_S = 1.5  # as otterreach.runtime.rpc sets it
-HOLD_S = 0.003
-RETRANSMIT_S = 0.25  # a held-up byte comes so long after the cut has healed, at most
+USER_TIMEOUT_S = 1.5  # equals the TCP user timeout set by otterreach.runtime.rpc
+NOT_SENT_YET_S = 0.003  # bytes written less than this before a late freeze have not reached the kernel
+MAX_RETRANSMIT_S = 0.25  # maximum time from the healing of a partition to the retransmission of blocked bytes
 
 
 @dataclass(slots=True, eq=False)
 class Chunk:
-    """Bytes on their way."""
+    """Bytes in flight."""
 
-    data: bytes | None  # None: the end of what is sent
+    data: bytes | None  # None: end of stream
     sent_at: float
     delivered: bool = False
-    held: bool = False  # its sender was frozen before the kernel had it
+    held: bool = False  # the sender was frozen before the kernel received it
 
 
 class Machine:
-    """One address of the network; `life` rises each time it loses power."""
+    """A machine at one address; `incarnation` is incremented each time it loses power."""
 
     def __init__(self, ip: str, zone: str = "") -> None:
         self.ip = ip
@@ -38,27 +38,27 @@
 
 
 class Medium(Protocol):
-    """What a connection needs of the network that carries it."""
+    """The part of the network that a connection uses."""
 
     loop: VirtualLoop
     random: Random
     stuck: list[tuple[Flow, Chunk]]
 
     def later(self, seconds: float, callback: Callable[..., Any], *args: Any) -> None:
-        """Call back after `seconds` of virtual time, also while processes are frozen."""
+        """Call back after `seconds` of virtual time, even while processes are frozen."""
 
     def delay(self, source: Machine, target: Machine) -> float:
-        """Draw how long a packet takes, in seconds."""
+        """Draw the delay of a packet, in seconds."""
 
     def path(self, source: Machine, target: Machine) -> bool:
-        """Whether packets get from one to the other now."""
+        """Return True if packets currently get from `source` to `target`."""
 
     def refuse(self, source: Transport, target: Transport) -> None:
-        """Send a reset from one end to the other."""
+        """Send a reset from one end of a connection to the other."""
 
 
 class Flow:
-    """One direction of a connection."""
+    """One direction of a connection, with its unacknowledged bytes."""
 
     def __init__(self, network: Medium, source: Transport, target: Transport) -> None:
         self.network = network
@@ -66,21 +66,22 @@
         self.target = target
         self.chunks: deque[Chunk] = deque()  # not yet acknowledged
         self.last_at = 0.0
-        self._watching = False
+        self._user_timeout_set = False
 
     def send(self, data: bytes | None) -> None:
-        """Bytes leave this end."""
+        """Send bytes, or the end of the stream (None)."""
         net = self.network
         chunk = Chunk(data, net.loop.time())
         self.chunks.append(chunk)
         self._schedule(chunk, net.delay(self.source.machine, self.target.machine))
-        if not self._watching:
-            self._watching = True
-            net.later(USER_TIMEOUT_S, self._watch)
+        if not self._user_timeout_set:
+            self._user_timeout_set = True
+            net.later(USER_TIMEOUT_S, self._check_user_timeout)
 
     def _schedule(self, chunk: Chunk, delay: float) -> None:
         now = self.network.loop.time()
-        self.last_at = max(self.last_at + 1e-6, now + delay)  # equal times would not keep their order
+        # strictly increasing, as timers with equal times may run in any order
+        self.last_at = max(self.last_at + 1e-6, now + delay)
         self.network.later(self.last_at - now, self._arrive, chunk)
 
     def _arrive(self, chunk: Chunk) -> None:
@@ -109,72 +110,72 @@
         return earlier[: earlier.index(chunk)]
 
     def hold(self) -> None:
-        """The sender is frozen right before it hands over what it sends at this moment."""
+        """Hold back the bytes just written: the sender is frozen before the kernel receives them."""
         for chunk in self.chunks:
-            chunk.held = chunk.held or not chunk.delivered and self.network.loop.time() - chunk.sent_at < HOLD_S
+            chunk.held = chunk.held or not chunk.delivered and self.network.loop.time() - chunk.sent_at < NOT_SENT_YET_S
 
-    def again(self, chunk: Chunk) -> None:
-        """Send a chunk again that was held up."""
+    def retransmit(self, chunk: Chunk) -> None:
+        """Retransmit a blocked chunk."""
         if chunk.held and not self.source.process.frozen:
             chunk.held, chunk.sent_at = False, self.network.loop.time()
-        self._schedule(chunk, self.network.random.uniform(0.0, RETRANSMIT_S))
+        self._schedule(chunk, self.network.random.uniform(0.0, MAX_RETRANSMIT_S))
 
-    def _watch(self) -> None:
-        """The sender's user timeout."""
-        self._watching = False
+    def _check_user_timeout(self) -> None:
+        """Lose the connection if its oldest bytes were not acknowledged within the TCP user timeout."""
+        self._user_timeout_set = False
         if not self.chunks or self.source.lost:
             return
         first = self.chunks[0]
-        waits = first.held and self.source.process.frozen  # the kernel does not have it yet
+        waits = first.held and self.source.process.frozen  # the kernel has not received it yet
         left = USER_TIMEOUT_S if waits else first.sent_at + USER_TIMEOUT_S - self.network.loop.time()
         if left <= 1e-6:
             self.source.lose(TimeoutError("user timeout"))
         else:
-            self._watching = True
-            self.network.later(left, self._watch)
+            self._user_timeout_set = True
+            self.network.later(left, self._check_user_timeout)
 
     @property
     def size(self) -> int:
-        """Bytes that have not arrived yet."""
+        """Number of bytes that have not been delivered yet."""
         return sum(len(c.data) for c in self.chunks if c.data is not None and not c.delivered)
 
 
-QUIET, _OPEN = os.pipe()  # never readable: what polls a virtual socket finds nothing
+NEVER_READABLE_FD, _WRITE_END = os.pipe()  # a descriptor that is never readable, for code that polls a virtual socket
 
 
 class Socket:
-    """What the code asks of a socket."""
+    """The methods of a socket that the code under test uses."""
 
     def __init__(self, address: tuple[str, int], transport: Transport | None = None) -> None:
         self.address = address
         self.transport = transport
 
     def setsockopt(self, *_: Any) -> None:
-        """Options change nothing here."""
+        """Ignore the option."""
         pass
 
     def fileno(self) -> int:
-        """A descriptor that is never readable."""
-        return QUIET
+        """Return a descriptor that is never readable."""
+        return NEVER_READABLE_FD
 
     def shutdown(self, _: int) -> None:
-        """End this side."""
+        """Send the end of the stream."""
         if self.transport is not None:
             self.transport.write_eof()
 
     def getsockname(self) -> tuple[str, int]:
-        """The own address."""
+        """Return the address."""
         return self.address
 
     def getpeername(self) -> tuple[str, int]:
-        """The other address."""
+        """Return the address."""
         return self.address
 
 
 class Transport(asyncio.Transport):
     """One end of a connection.
 
-    More than 20 methods: asyncio asks for most of them.
+    It has more than 20 methods because the asyncio transport interface requires most of them.
     """
 
     def __init__(self, network: Medium, machine: Machine, process: Process, incarnation: int) -> None:
@@ -185,30 +186,30 @@
         self.incarnation = incarnation
         self.protocol: Any = None
         self.out: Flow
-        self.lost = False  # connection_lost has been called or is on its way
-        self.reset = False  # what was in flight is lost too
+        self.lost = False  # connection_lost has been called or scheduled
+        self.reset = False  # bytes in flight are lost as well
         self.closing = False
-        self.ended = False  # the other end has ended its half
+        self.ended = False  # the other end has sent the end of its stream
         self._paused = False
         self._unread: list[bytes | None] = []
 
     @property
     def gone(self) -> bool:
-        """Whether nobody is there any more to take bytes."""
+        """True if this end can no longer receive bytes."""
         return self.lost or self.process.dead or self.incarnation != self.machine.incarnation
 
     @property
     def can_send(self) -> bool:
-        """Whether the kernel of this end still has what it was to send."""
+        """True if the kernel of this end still has its send buffer, that is, its machine has not lost power since."""
         return self.incarnation == self.machine.incarnation and self.machine.powered
 
     def accept(self, factory: Callable[[], Any]) -> None:
-        """Begin to serve: make the protocol of this end and tell it so."""
+        """Accept the connection: create the protocol of this end and call its `connection_made`."""
         self.protocol = factory()
         self.protocol.connection_made(self)
 
     def arrived(self, data: bytes | None) -> None:
-        """Bytes have come, or the end (None)."""
+        """Receive bytes, or the end of the stream (None)."""
         self.network.loop.call_as(self.process, self._take, data)
 
     def _take(self, data: bytes | None) -> None:
@@ -224,36 +225,36 @@
             self.protocol.data_received(data)
 
     def lose(self, error: Exception | None) -> None:
-        """This end is over."""
+        """End this side of the connection and schedule `connection_lost`."""
         if not self.lost:
             self.lost = True
             self.closing = True
-            self.network.loop.call_as(self.process, self._ended, error)
+            self.network.loop.call_as(self.process, self._connection_lost, error)
 
-    def _ended(self, error: Exception | None) -> None:
+    def _connection_lost(self, error: Exception | None) -> None:
         if self.protocol is not None:
             self.protocol.connection_lost(error)
 
     def write(self, data: Any) -> None:
-        """Send bytes."""
+        """Send bytes; dropped after the connection is closed."""
         if data and not self.closing and not self.process.dead:
             self.out.send(bytes(data))
 
     def writelines(self, list_of_data: Any) -> None:
-        """Send bytes."""
+        """Send several pieces of bytes at once."""
         self.write(b"".join(list_of_data))
 
     def write_eof(self) -> None:
-        """End this side."""
+        """Send the end of the stream."""
         if not self.closing:
             self.out.send(None)
 
     def can_write_eof(self) -> bool:
-        """Always, as with TCP."""
+        """Return True, as TCP does."""
         return True
 
     def close(self) -> None:
-        """Close after what was written has been sent."""
+        """Close after the written bytes have been sent."""
         if not self.closing:
             self.out.send(None)
             self.closing = True
@@ -268,30 +269,30 @@
             self.lose(None)
 
     def is_closing(self) -> bool:
-        """Whether it is closed or closing."""
+        """Return True if the transport is closed or closing."""
         return self.closing
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """The socket and both addresses."""
+        """Return the socket or one of the two addresses."""
         own = (self.machine.ip, 40_000)
         other = (self.out.target.machine.ip, 40_001)
         known = {"socket": Socket(own, self), "sockname": own, "peername": other}
         return known.get(name, default)
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that have not arrived yet."""
+        """Return the number of bytes that have not been delivered yet."""
         return self.out.size
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Buffers have no limit here."""
+        """Ignore the limits: the write buffer is unbounded."""
         pass
 
     def pause_reading(self) -> None:
-        """Keep what comes."""
+        """Buffer received bytes instead of passing them to the protocol."""
         self._paused = True
 
     def resume_reading(self) -> None:
-        """Hand over what came meanwhile."""
+        """Pass the buffered bytes to the protocol."""
         self._paused = False
         unread = self._unread
         self._unread = []
@@ -299,11 +300,11 @@
             self.network.loop.call_as(self.process, self._take, data)
 
     def is_reading(self) -> bool:
-        """Whether reading is not paused."""
+        """Return True if reading is not paused."""
         return not self._paused
 
     def get_protocol(self) -> Any:
-        """The protocol of this end."""
+        """Return the protocol of this end."""
         return self.protocol
 
     def set_protocol(self, protocol: Any) -> None:
--- a/otterreach/simulation/world.py
+++ b/otterreach/simulation/world.py
@@ -1,4 +1,4 @@
-"""Machines, their processes and disks on a virtual network, and what may happen to them."""
+"""Simulated machines with processes and disks on a virtual network, and the faults that can be applied to them."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 CTL = 8000
 BINDS = {"ctl": CTL, "front": 8001, "readyz": 8002}
 ZONES = ("hall-a", "hall-b", "hall-c")
-LINES = 4000  # of the log that are kept
+LOG_LINES_KEPT = 4000  # of the log; older lines are dropped
 RESTART_S = 0.5
 
 
 class InvariantViolationError(AssertionError):
-    """A promise was not kept. `rule` names it."""
+    """An invariant was violated; `rule` is its name."""
 
     def __init__(self, rule: str, what: str) -> None:
         super().__init__(f"{rule}: {what}")
@@ -38,7 +38,7 @@
 
 
 class Box:
-    """A machine: its disk, and the life that its process is in."""
+    """A machine: its address, its disk and the current incarnation of its process."""
 
     def __init__(self, world: World, name: str, role: str, ip: str, zone: str, main: Main) -> None:
         self.world = world
@@ -52,21 +52,21 @@
         self.incarnations = 0
         self.first = True
         self.node: Node | None = None
-        self.object: Any = None  # what the role put together
-        self.wanted = True  # to be started again when its process ends
+        self.object: Any = None  # the top-level object of the role, set by `main`
+        self.wanted = True  # the process is restarted when it ends
 
     @property
     def up(self) -> bool:
-        """Whether its process is there, frozen or not."""
+        """True if the process exists, frozen or not."""
         return self.process is not None and not self.process.dead
 
     @property
     def runs(self) -> bool:
-        """Whether its process is there and not frozen."""
+        """True if the process exists and is not frozen."""
         return self.up and self.process is not None and not self.process.frozen
 
     def settings(self) -> Settings:
-        """The settings of its process."""
+        """Return the settings of the process."""
         raw = {
             "node": self.name,
             "machine": self.role,
@@ -89,17 +89,17 @@
         return settings.read(raw)
 
     def journal(self) -> VirtualJournal:
-        """A journal on its disk."""
+        """Return a new journal on the disk of the machine."""
         return VirtualJournal(self.disk)
 
     def new_node(self) -> Node:
-        """The node of a new incarnation."""
+        """Create the node of a new incarnation."""
         random = Random(zlib.crc32(f"{self.world.seed} {self.name} {self.incarnations}".encode()))
         self.node = Node(self.settings(), Endpoint(), random)
         return self.node
 
     def start(self) -> None:
-        """Start the process, unless it runs or the power is off."""
+        """Start the process, unless it is already up or the machine has no power."""
         if self.up or not self.world.net.machine(self.ip).powered:
             return
         self.incarnations += 1
@@ -107,24 +107,24 @@
         process = self.process = Process(self.name, self.ip)
         self.world.processes.append(process)
         task = process.start(self.world.loop, self._run())
-        task.add_done_callback(lambda done: self._over(process, done))
+        task.add_done_callback(lambda done: self._on_exit(process, done))
 
     async def _run(self) -> None:
         await self.main(self)
 
-    def _over(self, process: Process, task: asyncio.Task[None]) -> None:
+    def _on_exit(self, process: Process, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and (error := task.exception()):
             self.world.broken(InvariantViolationError("ended by itself", f"{self.name}: {error!r}"))
-        self.world.plainly(RESTART_S, self._again, process)
+        self.world.plainly(RESTART_S, self._restart, process)
 
-    def _again(self, process: Process) -> None:
+    def _restart(self, process: Process) -> None:
         if self.process is process and not process.dead:
             self.kill()
         if self.wanted:
             self.start()
 
     def kill(self) -> None:
-        """SIGKILL: the kernel resets its connections; the disk has all that was written."""
+        """Kill the process as SIGKILL does: the kernel resets its connections, and the disk keeps all written data."""
         if self.process and not self.process.dead:
             self.process.kill()
             self.world.net.process_ended(self.process)
@@ -134,12 +134,12 @@
             self.object = None
 
     def terminate(self) -> None:
-        """SIGTERM; it is started again if it is wanted."""
+        """Stop the process as SIGTERM does; it is restarted if `wanted` is set."""
         if self.runs and self.node is not None and self.process is not None:
             self.world.loop.call_as(self.process, self.node.stopping.set)
 
     def power_off(self, wipe: bool = False) -> None:
-        """Lose the power, and the disk as well if `wipe`."""
+        """Cut the power; `wipe` erases the disk as well."""
         self.world.net.power_off(self.ip)
         self.kill()
         self.disk.power_lost()
@@ -147,18 +147,18 @@
             self.disk.wipe()
 
     def power_on(self) -> None:
-        """Power comes back, and the process is started."""
+        """Restore the power and start the process."""
         self.world.net.power_on(self.ip)
         self.start()
 
     def freeze(self, late: bool = False) -> None:
-        """The process stands still; `late`: right before what it just sent leaves."""
+        """Suspend the process; with `late`, before the kernel receives what the process has just sent."""
         if self.process and not self.process.dead:
             self.world.changed = True
             self.world.net.freeze(self.process, late)
 
     def thaw(self) -> None:
-        """The process runs again."""
+        """Resume the process."""
         if self.process and self.process.frozen:
             self.world.changed = True
             self.world.net.thaw(self.process)
@@ -168,7 +168,7 @@
 
 
 class World:
-    """One run: everything in it follows from the seed."""
+    """One run of a simulation, determined completely by its seed."""
 
     def __init__(self, seed: int, survive: int = 1, slas: dict[str, Any] | None = None, survive_zones: int = 0) -> None:
         self.seed = seed
@@ -179,10 +179,10 @@
         self.loop = VirtualLoop()
         self.net = Network(self.loop, Random(seed ^ 0x5EED))
         self.boxes: dict[str, Box] = {}
-        self._addresses = [0] * len(ZONES)  # given out, by zone
-        self.processes: list[Process] = []  # the dead too, see Process.tasks
+        self._addresses = [0] * len(ZONES)  # number of addresses assigned, by zone
+        self.processes: list[Process] = []  # includes dead ones, see Process.tasks
         self.seeds: list[str] = []
-        self.lines: deque[str] = deque(maxlen=LINES)
+        self.lines: deque[str] = deque(maxlen=LOG_LINES_KEPT)
         self.failure: InvariantViolationError | None = None
         self.checks: list[Callable[[], None]] = []
         self.states: set[int] = set()
@@ -195,7 +195,7 @@
         self.loop.after = self._after
 
     def add(self, name: str, role: str, zone: int, main: Main, ip: str = "") -> Box:
-        """A machine at a new address, or at one that another has left."""
+        """Add a machine at a new address, or at `ip`, which a removed machine may have had before."""
         if not ip:
             self._addresses[zone] += 1
             ip = f"10.{zone + 1}.0.{self._addresses[zone]}"
@@ -203,33 +203,33 @@
         return box
 
     def of_role(self, role: str) -> list[Box]:
-        """The machines of a role."""
+        """Return the machines of a role."""
         return [box for box in self.boxes.values() if box.role == role]
 
     @property
     def now(self) -> float:
-        """Virtual seconds since the start."""
+        """The virtual time, in seconds."""
         return self.loop.time()
 
     def plainly(self, seconds: float, callback: Callable[..., Any], *args: Any) -> None:
-        """Later, on nobody's behalf."""
+        """Call back after a delay, outside of any simulated process."""
         self.net.later(seconds, callback, *args)
 
     def broken(self, failure: InvariantViolationError) -> None:
-        """Record the first failure; it ends the run."""
+        """Record the first violation, which ends the run; later ones are ignored."""
         if self.failure is None:
             self.failure = failure
             self.lines.append(f"{self.now:9.3f} BROKEN {failure}")
 
     def expect(self, holds: Any, rule: str, what: str) -> None:
-        """Fail the run if this does not hold."""
+        """Fail the run with the name of the rule if `holds` is false."""
         if not holds:
             self.broken(InvariantViolationError(rule, what))
 
     def watch(self, summary: Callable[[], Any], *checks: Callable[[], None], always: bool = True) -> None:
-        """`checks` run whenever `summary` has changed; its values are the states that are counted.
+        """Run `checks` whenever the value of `summary` changes; its distinct values are counted as states.
 
-        Not `always`: it is asked only after steps in which `changed` was set.
+        Without `always`, `summary` is evaluated only after steps in which `changed` was set.
         """
         self._summary = summary
         self.checks = list(checks)
@@ -248,10 +248,10 @@
                 check()
 
     def run(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Play it. `failure` has what went wrong, if anything did."""
+        """Run the simulation to its end or to the first violation, which is stored in `failure`."""
 
         async def guarded() -> None:
-            """The work, until it is done or something fails."""
+            """Run the work until it is done or an invariant is violated."""
             task = Process("judge", "10.9.9.9").start(self.loop, work())
             while not task.done() and self.failure is None:
                 await asyncio.wait([task], timeout=0.25)
@@ -259,7 +259,7 @@
                 task.result()
 
         self.loop.set_exception_handler(self._unhandled)
-        with self._stand_ins():
+        with self._patched_globals():
             try:
                 self.loop.run(guarded())
             except StalledError as error:
@@ -270,7 +270,7 @@
         self.broken(InvariantViolationError("unhandled", f"{context.get('message')}: {context.get('exception')!r}"))
 
     def _collect(self) -> None:
-        """What dead processes left ends in silence, and not in the middle of the next run."""
+        """Collect what dead processes left behind now, without warnings, rather than in the middle of the next run."""
         for box in self.boxes.values():
             box.process = None
             box.node = None
@@ -286,37 +286,37 @@
         finally:
             sys.unraisablehook = hook
 
-    def wrap(self, owner: type, name: str, around: Callable[[Callable[..., Any]], Callable[..., Any]]) -> None:
-        """Put something around a method for as long as this run lasts."""
-        plain = getattr(owner, name)
-        self._wrapped.append((owner, name, plain))
-        setattr(owner, name, around(plain))
+    def wrap(self, owner: type, name: str, wrapper: Callable[[Callable[..., Any]], Callable[..., Any]]) -> None:
+        """Wrap a method for the duration of this run."""
+        original = getattr(owner, name)
+        self._wrapped.append((owner, name, original))
+        setattr(owner, name, wrapper(original))
 
     def _unwrap(self) -> None:
-        for owner, name, plain in reversed(self._wrapped):
-            setattr(owner, name, plain)
+        for owner, name, original in reversed(self._wrapped):
+            setattr(owner, name, original)
         self._wrapped.clear()
 
     @contextmanager
-    def _stand_ins(self) -> Iterator[None]:
-        """Ids and the log follow the seed and virtual time; all else is handed in."""
+    def _patched_globals(self) -> Iterator[None]:
+        """Replace the global id generator and logger by deterministic ones; everything else is passed in explicitly."""
         ids = Random(self.seed ^ 0x1D)
-        drawn = identity.draw_disk_id
+        original_draw = identity.draw_disk_id
         logger = otterreach.runtime.log._logger
         identity.draw_disk_id = lambda: f"{ids.getrandbits(48):012x}"
-        otterreach.runtime.log._logger = _Lines(self)
+        otterreach.runtime.log._logger = _LogCapture(self)
         try:
             yield
         finally:
-            identity.draw_disk_id = drawn
+            identity.draw_disk_id = original_draw
             otterreach.runtime.log._logger = logger
             self._unwrap()
 
 
-class _Lines:
-    """Takes the place of the logger."""
+class _LogCapture:
+    """Replacement of the logger: keeps the lines in memory and fails the run on forbidden events."""
 
-    NOT_ALLOWED = (
+    FORBIDDEN_EVENTS = (
         "event=handler_failed",
         "event=task_failed",
         "event=call_failed",
@@ -330,11 +330,11 @@
         self.world = world
 
     def log(self, level: str, _: str, line: str) -> None:
-        """A line of the log; some end the run."""
+        """Store a log line; a forbidden event ends the run."""
         owner = OWNER.get()
         text = line.partition(" ")[2]
         name = owner.name if owner else "-"
         self.world.lines.append(f"{self.world.now:9.3f} {name:10} {text}")
         event = text.partition("event=")[2].partition(" ")[0]
-        if f"event={event}" in self.NOT_ALLOWED:
+        if f"event={event}" in self.FORBIDDEN_EVENTS:
             self.world.broken(InvariantViolationError(event, f"{name}: {text}"))
