--- a/otterreach/simulation/control.py
+++ b/otterreach/simulation/control.py
@@ -1,8 +1,9 @@
-"""The controllers under faults: operators, trainers and servers call them, and what they promise is held against them.
+"""The controllers under faults, with operators, trainers and servers as clients.
 
-Checked: the operators' calls are a linearizable history; one primary for each number; every acknowledged change is
-there when a primary comes into office; within one life no process' copy goes back; orders to a server have one holder
-at a time, with fences that rise; in calm times changes are acknowledged, and reach all, in time.
+Checked guarantees: the operators' calls form a linearizable history; each proposal number has one primary; a new
+primary has every acknowledged change; within one incarnation, the replica of a process never goes back; orders to a
+server come from one holder at a time, with increasing fencing tokens; without faults, changes are acknowledged and
+replicated to all processes within their time limits.
 """
 
 from __future__ import annotations
@@ -31,13 +32,13 @@
 THAW_S = 0.3
 START_S = 8.0
 SYNC_S = 4.5
-CHECK_S = 1.0  # between looks at the history, and at what another loss would leave
-CLOSE_S = 5.0  # for a caller to come to its end
+CHECK_INTERVAL_S = 1.0  # interval of the checks of the history and of redundancy
+CALLER_STOP_S = 5.0  # for a caller to finish after the end of the run
 
 
 @dataclass(frozen=True, slots=True)
 class Setup:
-    """Who is there."""
+    """The number of machines and callers in a run, and the tolerated losses."""
 
     controllers: int = 5
     proxies: int = 3
@@ -45,12 +46,12 @@
     servers: int = 3
     survive_nodes: int = 1
     survive_zones: int = 0
-    members: bool = True  # controllers come and go
-    lost_share: float = 0.0  # of the answers to callers
+    members: bool = True  # whether controllers are added, replaced and removed
+    lost_share: float = 0.0  # share of the answers to callers that are lost
 
     @classmethod
     def draw(cls, random: Random) -> Setup:
-        """A setup drawn from the seed."""
+        """Draw a setup."""
         controllers = random.choice([3, 5, 5, 7])
         return cls(
             controllers=controllers,
@@ -61,12 +62,12 @@
         )
 
 
-# Cheap: three controllers, a short run, and the end's promises in place of those of calm times.
+# Three controllers and a short run, whose guarantees are checked at the end instead of during fault-free spans.
 BRIEF = Setup(controllers=3, proxies=0, servers=0, members=False)
 
 
 class Scenario:
-    """One run."""
+    """One run of the controllers under a plan of faults."""
 
     def __init__(self, world: World, setup: Setup) -> None:
         self.world = world
@@ -91,41 +92,41 @@
     # The run -------------------------------------------------------------------------------------
 
     async def play(self) -> None:
-        """Start the world, carry the plan out, and check what is left at the end."""
+        """Start all machines, inject the planned faults, and check the final state."""
         world = self.world
         for box in world.boxes.values():
             world.plainly(self.random.uniform(0.0, 0.3), box.start)
         self.invariants.watch()
         tasks = self._start_callers()
-        await self._until(lambda: self.history.newest > 0, START_S, "first configuration")
+        await self._wait_until(lambda: self.history.newest > 0, START_S, "first configuration")
         self.injector = faults.FaultInjector(world, self.plan)
         self.injector.leader = self.invariants.leader
         self.injector.watch_messages()
         start = world.now
         for begin, end in self.plan.calm:
             await asyncio.sleep(max(0.0, start + begin + CONTACT_S - world.now))
-            await self._calm_ack(start + end)
+            await self._check_progress(start + end)
         await asyncio.sleep(max(0.0, start + self.plan.end - world.now))
         self.stopping = True
         for task in tasks:
-            await asyncio.wait([task], timeout=CLOSE_S)
+            await asyncio.wait([task], timeout=CALLER_STOP_S)
             if task.done():
                 task.result()
         await self._final()
 
     def _start_callers(self) -> list[asyncio.Task[None]]:
-        """Each caller is a process on a machine without faults."""
-        works: list[Any] = [self._operate(n) for n in range(self.setup.operators)]
-        works += [watch_reads(self._caller(), self.history, n, self._over) for n in range(self.setup.controllers)]
-        works += [train(self._caller(), self.history, self._over), self._check_history()]
-        people = [Process(f"caller-{n}", f"10.9.0.{n + 1}") for n in range(len(works))]
+        """Start the callers, each as a process on a machine without faults."""
+        coroutines: list[Any] = [self._operate(n) for n in range(self.setup.operators)]
+        coroutines += [watch_reads(self._caller(), self.history, n, self._over) for n in range(self.setup.controllers)]
+        coroutines += [train(self._caller(), self.history, self._over), self._check_history()]
+        callers = [Process(f"caller-{n}", f"10.9.0.{n + 1}") for n in range(len(coroutines))]
         for n in range(self.setup.servers):
-            people.append(Process(f"server-{n}", f"10.8.0.{n + 1}"))
-            address = people[-1].address
-            works.append(
+            callers.append(Process(f"server-{n}", f"10.8.0.{n + 1}"))
+            address = callers[-1].address
+            coroutines.append(
                 ServerAddress(f"s-{n}", address, self._caller(), self.history, self._new_server, self._over).run()
             )
-        return [person.start(self.world.loop, work) for person, work in zip(people, works, strict=True)]
+        return [caller.start(self.world.loop, work) for caller, work in zip(callers, coroutines, strict=True)]
 
     def _over(self) -> bool:
         return self.stopping
@@ -140,25 +141,25 @@
         await Operator(f"op{number}", self._caller(), self.history, self._over).run()
 
     def _new_server(self, ident: str) -> ModelServer:
-        gen = max(1, self.history.models.get("m", 1))  # a new server has the newest
-        return ModelServer(self.world, self.random, ident, gen, self._excused)
+        gen = max(1, self.history.models.get("m", 1))  # a new server starts with the newest version
+        return ModelServer(self.world, self.random, ident, gen, self._is_excused)
 
-    def _excused(self, owner: str) -> bool:
-        """Orders right after their sender was thawed, or a link healed, don't count."""
+    def _is_excused(self, owner: str) -> bool:
+        """Return True if orders of `owner` are exempt: it was just thawed, or a partition has just healed."""
         injector = self.injector
         last = max(injector.thawed.get(owner, -1e9), injector.healed) if injector else -1e9
         return self.world.now - last < THAW_S
 
     async def _check_history(self) -> None:
         while not self.stopping:
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             self.history.check()
             if self.injector is not None and self.injector.calm_for() > SYNC_S:
                 self.invariants.check_redundancy()
 
-    # Promises with a time in them ------------------------------------------------------------------
+    # Guarantees with a time limit ------------------------------------------------------------------
 
-    async def _until(self, holds: Any, within_s: float, what: str) -> None:
+    async def _wait_until(self, holds: Any, within_s: float, what: str) -> None:
         end = self.world.now + within_s
         while not holds():
             if self.world.now > end:
@@ -166,10 +167,10 @@
                 return
             await asyncio.sleep(0.05)
 
-    async def _calm_ack(self, end: float) -> None:
-        """In touch: a change is acknowledged within ackMs, and reaches every process within applyMs."""
-        acked = self.history.newest
-        await self._until(lambda: self.history.newest > acked, ACK_S, "an acknowledgement in calm times")
+    async def _check_progress(self, end: float) -> None:
+        """Check that a change is acknowledged within ackMs and reaches every process within applyMs."""
+        acknowledged = self.history.newest
+        await self._wait_until(lambda: self.history.newest > acknowledged, ACK_S, "an acknowledgement without faults")
         newest = self.history.newest
         await asyncio.sleep(APPLY_S)
         if self.world.now > end:
@@ -193,7 +194,7 @@
 
 
 def run_brief(seed: int, plan: faults.Plan | None = None) -> tuple[World, faults.Plan]:
-    """Play a short run of few machines: for many seeds in little time."""
+    """Play a short run of few machines, which allows many seeds in little time."""
     random = Random(seed ^ 0xB41EF)
     names = [f"core-{n}" for n in range(BRIEF.controllers)]
     setup = replace(BRIEF, lost_share=random.choice([0.0, 0.05, 0.3]))
@@ -201,7 +202,7 @@
 
 
 def run(seed: int, plan: faults.Plan | None = None, setup: Setup | None = None) -> tuple[World, faults.Plan]:
-    """Play one seed, with its own plan of faults and setup or others."""
+    """Play one seed, with the plan of faults and the setup drawn from it or with given ones."""
     drawn = setup or Setup.draw(Random(seed ^ 0x5E7))
     world = World(seed, drawn.survive_nodes, SLAS, drawn.survive_zones)
     scenario = Scenario(world, drawn)
--- a/otterreach/simulation/job_members.py
+++ b/otterreach/simulation/job_members.py
@@ -1,7 +1,7 @@
-"""Store machines that come and go: added, stopped by SIGTERM, retired and taken away, replaced.
+"""Membership changes of job store machines: added, stopped by SIGTERM, retired and replaced.
 
-A machine whose retirement was answered with `done` goes at once, its disk too: what it held must then be on enough
-other disks.
+A machine whose retirement was answered with `done` is removed at once together with its disk, so its data must be on
+enough other disks by then.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 from otterreach.simulation.world import CTL, Box, Main, World
 
 PAUSE_S = (1.0, 6.0)  # between two changes
-ASK_AGAIN_S = 0.3
-RETIRE_S = 30.0  # an order that is not done by then is left to itself
-EMPTY_S = (0.5, 4.0)  # from a machine's end to its replacement
-MOST_STORES = 7
+RETRY_S = 0.3
+RETIRE_S = 30.0  # a retirement that takes longer is no longer followed
+REPLACEMENT_DELAY_S = (0.5, 4.0)  # from the removal of a machine to its replacement
+MAX_STORES = 7
 
 
-def has_job(box: Box, job: str) -> bool:
-    """Whether this machine's disk has the batch job, in the copy that it goes by."""
+def holds_job(box: Box, job: str) -> bool:
+    """Return True if the batch job is on the disk of the machine and, if it is up, in its complete replica."""
     on_disk = f"{job}.0".encode() in box.disk.data[: box.disk.synced]
     if not box.up or box.object is None:
         return on_disk
-    copy = box.object.replication.replicas[partition_of(job)]
-    return on_disk and copy.is_complete and copy.jobs.get(job) is not None
+    replica = box.object.replication.replicas[partition_of(job)]
+    return on_disk and replica.is_complete and replica.jobs.get(job) is not None
 
 
 class Members:
-    """Changes of store machines, one after the other."""
+    """Changes the membership of job store machines, one change after the other."""
 
     def __init__(self, world: World, random: Random, store_node: Main, batch_jobs: dict[str, BatchJob]) -> None:
         self.world = world
@@ -41,12 +41,12 @@
         self.store_node = store_node
         self.batch_jobs = batch_jobs
         self.stopping = False
-        self.leaving: set[str] = set()  # machines that are to be emptied
-        self.lost_disk_at = -1e9  # when a disk was last lost by a fault
-        self.done: dict[str, int] = {}  # changes made, by kind
+        self.retiring: set[str] = set()  # machines that are being retired
+        self.lost_disk_at = -1e9  # time of the last loss of a disk by a fault
+        self.done: dict[str, int] = {}  # number of changes, by kind
 
     async def run(self) -> None:
-        """Until told to stop."""
+        """Make changes until `stopping` is set."""
         kinds: list[tuple[str, Callable[[], Awaitable[bool]]]] = [
             ("add", self._add),
             ("stop", self._stop_one),
@@ -59,13 +59,13 @@
             if not self.stopping and await change():
                 self.done[kind] = self.done.get(kind, 0) + 1
 
-    def _staying(self) -> list[Box]:
-        return [b for b in self.world.of_role("store") if b.runs and b.name not in self.leaving]
+    def _remaining(self) -> list[Box]:
+        return [b for b in self.world.of_role("store") if b.runs and b.name not in self.retiring]
 
     async def _add(self) -> bool:
-        """One more machine, at an address of its own."""
+        """Add a machine at a new address."""
         number = len(self.world.of_role("store"))
-        if number >= MOST_STORES:
+        if number >= MAX_STORES:
             return False
         box = self.world.add(f"store-{number}", "store", number % 3, self.store_node)
         box.first = False
@@ -74,11 +74,11 @@
         return True
 
     async def _stop_one(self) -> bool:
-        """SIGTERM; it starts again by itself."""
-        staying = self._staying()
-        if len(staying) <= self.world.survive + 1:
+        """Send SIGTERM to a machine, whose process is then restarted."""
+        remaining = self._remaining()
+        if len(remaining) <= self.world.survive + 1:
             return False
-        box = self.random.choice(staying)
+        box = self.random.choice(remaining)
         if box.node is None:
             return False
         self.world.lines.append(f"{self.world.now:9.3f} SIGTERM {box.name}")
@@ -88,23 +88,23 @@
         return True
 
     async def _retire_one(self) -> bool:
-        staying = self._staying()
-        if len(staying) <= self.world.survive + 2:
+        remaining = self._remaining()
+        if len(remaining) <= self.world.survive + 2:
             return False
-        box = self.random.choice(staying)
-        self.leaving.add(box.name)
+        box = self.random.choice(remaining)
+        self.retiring.add(box.name)
         end = self.world.now + RETIRE_S
         self.world.lines.append(f"{self.world.now:9.3f} RETIRE {box.name}")
         try:
-            if await self._ask("POST", box, end) and await self._ask("GET", box, end):
-                await self._take_away(box)
+            if await self._order_retirement("POST", box, end) and await self._order_retirement("GET", box, end):
+                await self._remove_retired(box)
                 return True
             return False
         finally:
-            self.leaving.discard(box.name)
+            self.retiring.discard(box.name)
 
-    async def _ask(self, method: str, box: Box, end: float) -> bool:
-        """Whether the order was taken (POST), or is done (GET); another controller each time."""
+    async def _order_retirement(self, method: str, box: Box, end: float) -> bool:
+        """Return True once the retirement is accepted (POST) or done (GET); each attempt asks a random controller."""
         cores = self.world.of_role("core")
         while self.world.now < end and not self.stopping:
             address = f"{self.random.choice(cores).ip}:{CTL}"
@@ -114,24 +114,24 @@
                     return True
             elif response is not None and response.status in (404, 409):
                 return False
-            await asyncio.sleep(ASK_AGAIN_S)
+            await asyncio.sleep(RETRY_S)
         return False
 
-    async def _take_away(self, box: Box) -> None:
-        """The machine goes with its disk; later an empty one is there in its place."""
+    async def _remove_retired(self, box: Box) -> None:
+        """Remove the machine with its disk; an empty one replaces it later."""
         if not box.up:
-            return  # it died meanwhile, and whoever comes back with its disk may still be needed
+            return  # it died meanwhile; its disk may still be needed when it comes back
         self.world.lines.append(f"{self.world.now:9.3f} RETIRED {box.name}")
         for batch_job in self.batch_jobs.values():
             if batch_job.accepted_at:
                 self.check_copies(batch_job.id, "retired before its copies are elsewhere", without=box)
         box.power_off(wipe=True)
-        await asyncio.sleep(self.random.uniform(*EMPTY_S))
+        await asyncio.sleep(self.random.uniform(*REPLACEMENT_DELAY_S))
         box.power_on()
 
     def check_copies(self, job: str, rule: str, without: Box | None = None) -> None:
-        """The batch job is on enough disks to bear the loss of `survive` machines."""
+        """Check that the batch job is on enough disks to survive the loss of `survive` machines."""
         if self.world.now - self.lost_disk_at < RETIRE_S / 2:
-            return  # a disk was lost, and what it held may not yet be on another
-        holders = [b.name for b in self.world.of_role("store") if b is not without and has_job(b, job)]
-        self.world.expect(len(holders) > self.world.survive, rule, f"{job} is at {','.join(holders) or 'none'}")
+            return  # a disk was lost, and its data may not be replicated again yet
+        holders = [b.name for b in self.world.of_role("store") if b is not without and holds_job(b, job)]
+        self.world.expect(len(holders) > self.world.survive, rule, f"{job} is only on {','.join(holders) or 'no disk'}")
--- a/otterreach/simulation/job_proxy.py
+++ b/otterreach/simulation/job_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy that runs items by waiting a moment; what it sends and when is the real JobStoreDirectory's to say."""
+"""A proxy that simulates running items by a delay; the real JobStoreDirectory decides what is sent and when."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 
 CALL_S = 0.8
 SLOTS = 6
-RUN_S = (0.02, 0.8)
-LONG_S = (2.0, 5.0)
+ITEM_S = (0.02, 0.8)
+LONG_ITEM_S = (2.0, 5.0)
 
 
-class Judge(Protocol):
-    """Who is told of what a proxy does."""
+class ProxyObserver(Protocol):
+    """Is notified of the actions of a proxy."""
 
     def begins(self, box: Box, key: tuple[str, str]) -> None:
-        """It is about to send an item to a server."""
+        """Called before the proxy sends an item to a server."""
 
     def item_assigned(self, job: str, item: str, body: bytes) -> None:
-        """It got an item."""
+        """Called when the proxy is assigned an item."""
 
     def result_answered(self, key: tuple[str, str], reply: Any) -> None:
-        """Its result was taken, or refused for good."""
+        """Called when a result is acknowledged or finally rejected."""
 
 
 class Draw:
-    """What JobStoreDirectory uses of a proxy's draw."""
+    """The part of a proxy's Draw that JobStoreDirectory uses."""
 
     def __init__(self, random: Random) -> None:
         self.random = random
 
 
 class DirectoryFleet:
-    """What JobStoreDirectory uses of a proxy's fleet."""
+    """The part of a proxy's fleet that JobStoreDirectory uses."""
 
     def __init__(self, node: Node) -> None:
         self.store = node.store
@@ -52,23 +52,23 @@
 
 
 def text_of(job: str, item: str) -> str:
-    """The text that an item always gets."""
+    """Return the result text of an item, which is the same at each run."""
     return f"text of {job} {item}"
 
 
 def is_long(job: str) -> bool:
-    """Items of such a batch job keep their slots, so that others wait at their proxies for seconds."""
+    """Return True if the items of a batch job are long, so that other items wait at the proxy for seconds."""
     return zlib.crc32(job.encode()) % 3 == 0
 
 
-class SmallProxy:
-    """Runs items by waiting a moment, under the rule of the real one.
+class SimulatedProxy:
+    """Simulates running items by a delay, under the same rule as the real proxy.
 
-    Right before one goes out, JobStoreDirectory must say that its batch job is in force.
+    Right before an item is sent, JobStoreDirectory must have confirmed recently that its batch job is still open.
     """
 
-    def __init__(self, scenario: Judge, box: Box, node: Node) -> None:
-        self.scenario = scenario
+    def __init__(self, observer: ProxyObserver, box: Box, node: Node) -> None:
+        self.observer = observer
         self.box = box
         self.node = node
         self.loop = asyncio.get_running_loop()
@@ -82,7 +82,7 @@
         node.endpoint.on(CancelJob, self._cancel)
 
     async def run(self) -> None:
-        """Run what is assigned; for ever."""
+        """Run assigned items until the process ends."""
         spawn = self.node.endpoint.spawn
         spawn(self.directory.run())
         while True:
@@ -91,19 +91,19 @@
                 busy = key in self.running or key in self.reporting or len(self.running) >= SLOTS
                 if not busy and self.directory.is_confirmed_recently(key[0]):
                     self.running.add(key)
-                    self.scenario.begins(self.box, key)
-                    spawn(self._one(key))
+                    self.observer.begins(self.box, key)
+                    spawn(self._run_item(key))
 
     def load(self) -> ItemLoad:
-        """What the job store nodes are told of the items here."""
+        """Return the load that is reported to the job store nodes."""
         return ItemLoad(SLOTS, max(0, SLOTS - len(self.queue)), tuple(sorted({job for job, _ in self.queue})))
 
     async def _assign(self, link: Link, assign: AssignItems) -> None:
-        hold = self.directory.owners.get(assign.partition)
-        if assign.job in self.ended or hold and assign.epoch < hold.epoch:
+        owner = self.directory.owners.get(assign.partition)
+        if assign.job in self.ended or owner and assign.epoch < owner.epoch:
             return
         for work in assign.items:
-            self.scenario.item_assigned(assign.job, work.item, work.body)
+            self.observer.item_assigned(assign.job, work.item, work.body)
             self.queue.setdefault((assign.job, work.item), assign)
         if link.address:
             self.directory.confirm(assign.job, link.address)
@@ -112,22 +112,22 @@
         self.end_job(cancel.job)
 
     def end_job(self, job: str) -> None:
-        """Nothing of it may begin any more."""
+        """Drop the queued items of a batch job; none of its items may start any more."""
         self.ended.add(job)
         for key in [k for k in self.queue if k[0] == job]:
             del self.queue[key]
 
     def on_confirmed(self) -> None:
-        """The queue is looked at soon in any case."""
+        """Do nothing: the queue is polled anyway."""
 
     def report_running(self, partition: int, address: str) -> None:
-        """Tell a partition's new primary what is here."""
+        """Report the items here to the new primary of a partition."""
         items = [" ".join(key) for key in self.queue if partition_of(key[0]) == partition]
         running = RunningItems(partition, self.node.settings.node, items)
         self.node.endpoint.spawn(self.node.endpoint.call(address, running, CALL_S))
 
-    async def _one(self, key: tuple[str, str]) -> None:
-        await asyncio.sleep(self.node.random.uniform(*(LONG_S if is_long(key[0]) else RUN_S)))
+    async def _run_item(self, key: tuple[str, str]) -> None:
+        await asyncio.sleep(self.node.random.uniform(*(LONG_ITEM_S if is_long(key[0]) else ITEM_S)))
         self.running.discard(key)
         self.reporting.add(key)
         finished = ItemFinished(*key, "done", "", text_of(*key), [2], "score")
@@ -135,6 +135,6 @@
             reply = await self.directory.ask(key[0], finished, CALL_S * 2, CALL_S)
             final = (Code.JOB_ENDED, Code.UNKNOWN_ITEM, Code.UNKNOWN_JOB, Code.BAD_MESSAGE)
             if isinstance(reply, Done) or isinstance(reply, Failure) and reply.code in final:
-                self.scenario.result_answered(key, reply)
+                self.observer.result_answered(key, reply)
                 self.queue.pop(key, None)
         self.reporting.discard(key)
--- a/otterreach/simulation/job_trainers.py
+++ b/otterreach/simulation/job_trainers.py
@@ -1,4 +1,4 @@
-"""Trainers: they submit batch jobs, read results as they come, end jobs, and look back at what they were told."""
+"""Trainers, which submit batch jobs, read results as they come, end jobs, and read earlier results again."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 
 @dataclass
 class BatchJob:
-    """A batch job as its trainer has seen it."""
+    """A batch job as seen by its trainer."""
 
     id: str
     items: dict[str, bytes]
     sent_at: float
-    accepted_at: float = 0.0  # 202
-    refused: bool = False  # at every try
+    accepted_at: float = 0.0  # time of the answer 202; 0: none
+    refused: bool = False  # every attempt was rejected
     unclear: bool = False
-    ended_at: float = 0.0  # acknowledged
+    ended_at: float = 0.0  # time of the acknowledgement; 0: none
     end_sent: bool = False
-    results: list[tuple[str, str, str]] = field(default_factory=list)  # by position, as first read
+    results: list[tuple[str, str, str]] = field(default_factory=list)  # id, state and text by position, as first read
 
 
 class Trainers:
-    """All trainers of a run, and what they have been told."""
+    """All trainers of a run, and the answers that they received."""
 
     def __init__(self, world: World, random: Random) -> None:
         self.world = world
@@ -47,11 +47,11 @@
         self.stopping = False
 
     async def train(self, number: int, process: Process) -> None:
-        """A trainer speaks to the proxies' side of the store_nodes: it stands on a machine without faults."""
+        """Run a trainer, which calls the job store nodes as a proxy does, from a machine without faults."""
         box = Box(self.world, process.name, "front", process.address, "hall-a", _no_role)
         box.first = True
         node = box.new_node()
-        # It is known to nobody: only follows.
+        # The node is not announced to the others; it only follows the control state.
         await node.endpoint.listen(node.settings.ip, node.settings.port)
         node.endpoint.spawn(node.follower.run())
         fleet: Any = DirectoryFleet(node)
@@ -62,12 +62,12 @@
             batch_job = self._draw_batch_job(f"job-{number}-{count}", quick=number == TRAINERS)
             self.batch_jobs[batch_job.id] = batch_job
             await self._submit(directory, batch_job)
-            if number == TRAINERS:  # shows that batch jobs are taken, whatever the others wait for
+            if number == TRAINERS:  # only submits, to show that batch jobs are accepted while other trainers wait
                 await asyncio.sleep(0.5)
                 continue
             if batch_job.accepted_at:
                 await self._follow(directory, batch_job)
-            await self._look_back(directory, number)
+            await self._reread_some(directory, number)
         for batch_job in [one for one in self.batch_jobs.values() if one.id.startswith(f"job-{number}-")]:
             await self._read_all_results(directory, batch_job)
 
@@ -103,14 +103,14 @@
         batch_job.refused = not batch_job.unclear
 
     async def _follow(self, directory: JobStoreDirectory, batch_job: BatchJob) -> None:
-        """Read as results come; end it when enough is there, or for some reason sooner."""
-        patience = self.world.now + self.random.choice([0.3, 2.0, 12.0])
-        while len(batch_job.results) < len(batch_job.items) and self.world.now < patience and not self.stopping:
+        """Read results as they come; end the batch job when all are there, or earlier at random."""
+        read_until = self.world.now + self.random.choice([0.3, 2.0, 12.0])
+        while len(batch_job.results) < len(batch_job.items) and self.world.now < read_until and not self.stopping:
             known = len(batch_job.results)
             past = known if self.random.random() < 0.8 else self.random.randint(0, known)
             await self._read(directory, batch_job, past, 500)
             if self.random.random() < 0.2:
-                await self._body(directory, batch_job)
+                await self._read_body(directory, batch_job)
         if self.random.random() < 0.8:
             batch_job.end_sent = True
             while not batch_job.ended_at:
@@ -118,10 +118,10 @@
                 if isinstance(reply, Done) or reply.code is Code.JOB_ENDED:
                     batch_job.ended_at = self.world.now
                 else:
-                    self._not_unknown(batch_job, reply)
+                    self._check_known(batch_job, reply)
                     await asyncio.sleep(0.1)
 
-    def _not_unknown(self, batch_job: BatchJob, reply: Failure) -> None:
+    def _check_known(self, batch_job: BatchJob, reply: Failure) -> None:
         gone = reply.code is Code.UNKNOWN_JOB
         is_visible = batch_job.accepted_at and self.world.now > batch_job.accepted_at + VISIBLE_WITHIN_S
         self.world.expect(not (gone and is_visible), "taken is gone", f"{batch_job.id}: {reply}")
@@ -131,13 +131,15 @@
         within = CALL_S + wait_ms / 1000
         reply = await directory.ask(batch_job.id, ReadJob(batch_job.id, past, wait_ms), within, within)
         if isinstance(reply, Failure):
-            self._not_unknown(batch_job, reply)
+            self._check_known(batch_job, reply)
             return False
         assert isinstance(reply, JobResults)
-        self._take(batch_job, past, reply, known)
+        self._check_results(batch_job, past, reply, known)
         return True
 
-    def _take(self, batch_job: BatchJob, past: int, reply: JobResults, known: list[tuple[str, str, str]]) -> None:
+    def _check_results(
+        self, batch_job: BatchJob, past: int, reply: JobResults, known: list[tuple[str, str, str]]
+    ) -> None:
         expect = self.world.expect
         ident = batch_job.id
         rows = [(r["id"], r["state"], r.get("text", "")) for r in json.loads(b"[" + reply.body + b"]")]
@@ -154,8 +156,8 @@
             expect(row[1] != "done" or row[2] == text_of(ident, row[0]), "another text", f"{ident}: {row}")
             expect(row[1] == "done" or batch_job.end_sent, "errored without reason", f"{ident}: {row}")
 
-    async def _body(self, directory: JobStoreDirectory, batch_job: BatchJob) -> bool:
-        """The body of an item that has not been seen listed."""
+    async def _read_body(self, directory: JobStoreDirectory, batch_job: BatchJob) -> bool:
+        """Read the body of an item whose result has not been listed yet."""
         listed = {row[0] for row in batch_job.results}
         waiting = [item for item in batch_job.items if item not in listed]
         if not waiting:
@@ -165,19 +167,19 @@
         if isinstance(reply, ItemBody):
             self.world.expect(reply.body == batch_job.items[item], "other bytes", f"{batch_job.id} {item}")
             return True
-        if reply.code is Code.UNKNOWN_ITEM and not batch_job.end_sent:  # listed meanwhile, then
+        if reply.code is Code.UNKNOWN_ITEM and not batch_job.end_sent:  # then its result has to be listed by now
             await self._read(directory, batch_job, 0, 0)
-        self._not_unknown(batch_job, reply)
+        self._check_known(batch_job, reply)
         return False
 
-    async def _look_back(self, directory: JobStoreDirectory, number: int) -> None:
+    async def _reread_some(self, directory: JobStoreDirectory, number: int) -> None:
         prefix = f"job-{number}-"
-        mine = [one for one in self.batch_jobs.values() if one.accepted_at and one.id.startswith(prefix)]
-        for batch_job in self.random.sample(mine, min(2, len(mine))):
+        accepted = [one for one in self.batch_jobs.values() if one.accepted_at and one.id.startswith(prefix)]
+        for batch_job in self.random.sample(accepted, min(2, len(accepted))):
             await self._read(directory, batch_job, self.random.randint(0, len(batch_job.results)), 0)
 
     async def _read_all_results(self, directory: JobStoreDirectory, batch_job: BatchJob) -> None:
-        """After all is over: what was taken is there, from the start."""
+        """Check at the end that an accepted batch job is complete from the first position."""
         if not batch_job.accepted_at:
             return
         end = self.world.now + 10.0
@@ -185,8 +187,8 @@
             if await self._read(directory, batch_job, 0, 0):
                 return
             await asyncio.sleep(0.2)
-        self.world.expect(False, "in time", f"{batch_job.id} can't be read at the end")
+        self.world.expect(False, "in time", f"{batch_job.id}: results not readable within 10 s after the end")
 
 
 async def _no_role(box: Box) -> None:
-    """A trainer's machine runs nothing by itself."""
+    """Do nothing: the machine of a trainer runs no role."""
--- a/otterreach/simulation/jobs.py
+++ b/otterreach/simulation/jobs.py
@@ -1,8 +1,9 @@
-"""JobStoreNodes, controllers and what speaks to them under faults: batch jobs are submitted, run, read and ended.
+"""Job store nodes, controllers and their clients under faults: batch jobs are submitted, run, read and ended.
 
-Checked: what was taken is never unknown, at any time when somebody answers; a position keeps its result; no item stands
-twice; what is listed is what was run; a refused batch job never runs; nothing of an ended batch job begins later than
-cancelMs after; one primary for each epoch of a partition; in calm times calls are answered in time.
+Checked guarantees: an accepted batch job is never answered as unknown; a position keeps its result; no item is listed
+twice; the listed results are those of the items that were run; a rejected batch job never runs; no item of an ended
+batch job starts later than cancelMs after its end; each epoch of a partition has one primary; without faults, calls are
+answered in time.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from otterreach.runtime.rpc import Done
 from otterreach.simulation import control, faults
 from otterreach.simulation.job_members import Members
-from otterreach.simulation.job_proxy import SmallProxy
+from otterreach.simulation.job_proxy import SimulatedProxy
 from otterreach.simulation.job_trainers import TRAINERS, Trainers
 from otterreach.simulation.loop import Process
 from otterreach.simulation.world import Box, World
@@ -30,11 +31,11 @@
 SLAS = control.SLAS | {"cancelMs": 3000, "settleMs": 1000, "statusS": 600}
 CANCEL_S = 3.0
 START_S = 10.0
-CLEAR_S = 4.0  # a call in calm times
+CALM_CALL_S = 4.0  # time limit of a call during fault-free spans
 
 
 async def store_node(box: Box) -> None:
-    """Run a job store node."""
+    """Run a job store node until SIGTERM, then shut it down gracefully."""
     node = box.new_node()
     journal = box.journal()
     records = journal.read()
@@ -49,7 +50,7 @@
 
 
 class Scenario:
-    """One run."""
+    """One run of batch jobs under a plan of faults."""
 
     def __init__(self, world: World, controllers: int = 5, store_nodes: int = 4, proxies: int = 2) -> None:
         self.world = world
@@ -72,76 +73,76 @@
         self.injector: faults.FaultInjector
         world.watch(self._summary, self._check_primaries, always=False)
 
-    def _hook(self) -> None:
-        """The summary is dear: it is looked at when a copy may have changed."""
+    def _wrap_methods(self) -> None:
+        """Wrap the methods after which a check is due, as evaluating the summary after each step would be expensive."""
 
-        def noting(plain: Any) -> Any:
-            """The wrapped method."""
+        def mark_changes(original: Any) -> Any:
+            """Wrap a method that may change a replica."""
 
-            def noted(*args: Any) -> Any:
-                """Set the mark that the checks are due."""
+            def marked(*args: Any) -> Any:
+                """Mark the checks as due."""
                 self.world.changed = True
-                return plain(*args)
+                return original(*args)
 
-            return noted
+            return marked
 
         for name in ("become", "promise", "finish_replay"):
-            self.world.wrap(PartitionReplica, name, noting)
-        self.world.wrap(JobRequests, "handle_submit", self._answered)
-        self.world.wrap(Box, "power_off", self._lost)
+            self.world.wrap(PartitionReplica, name, mark_changes)
+        self.world.wrap(JobRequests, "handle_submit", self._check_acknowledged_copies)
+        self.world.wrap(Box, "power_off", self._record_disk_loss)
 
-    def _answered(self, plain: Any) -> Any:
-        """A submission that is acknowledged is on enough disks at that moment."""
+    def _check_acknowledged_copies(self, original: Any) -> Any:
+        """Wrap `handle_submit`: an acknowledged submission has to be on enough disks at that moment."""
 
-        async def answered(requests: JobRequests, link: Any, ask: SubmitJob) -> Any:
-            """Answer, and check the disks if it is an acknowledgement."""
-            reply = await plain(requests, link, ask)
+        async def handle_submit(requests: JobRequests, link: Any, ask: SubmitJob) -> Any:
+            """Answer the request, and check the disks if it is acknowledged."""
+            reply = await original(requests, link, ask)
             if isinstance(reply, Done):
                 self.members.check_copies(ask.job, "acknowledged with too few copies")
             return reply
 
-        return answered
+        return handle_submit
 
-    def _lost(self, plain: Any) -> Any:
+    def _record_disk_loss(self, original: Any) -> Any:
         def lost(box: Box, wipe: bool = False) -> None:
-            """Record when a disk was last lost."""
-            if wipe and box.role == "store" and box.name not in self.members.leaving:
+            """Record the time of the last loss of a disk."""
+            if wipe and box.role == "store" and box.name not in self.members.retiring:
                 self.members.lost_disk_at = self.world.now
-            plain(box, wipe)
+            original(box, wipe)
 
         return lost
 
     async def _proxy(self, box: Box) -> None:
         node = box.new_node()
-        box.object = SmallProxy(self, box, node)
+        box.object = SimulatedProxy(self, box, node)
         await node.start("front")
         await box.object.run()
 
-    # What is looked at after each step -----------------------------------------------------------
+    # Checks after each step -----------------------------------------------------------------------
 
     def _store_nodes(self) -> list[tuple[Box, JobStoreNode]]:
         return [(b, b.object) for b in self.world.of_role("store") if b.up and isinstance(b.object, JobStoreNode)]
 
     def _summary(self) -> Any:
         rows: list[tuple[Any, ...]] = []
-        for box, one in self._store_nodes():
+        for box, node in self._store_nodes():
             rows.extend(
-                (box.name, copy.partition, copy.state, copy.epoch, copy.is_complete)
-                for copy in one.replication.replicas
+                (box.name, replica.partition, replica.state, replica.epoch, replica.is_complete)
+                for replica in node.replication.replicas
             )
         return tuple(rows)
 
     def _check_primaries(self) -> None:
-        for box, one in self._store_nodes():
-            for copy in one.replication.replicas:
-                if copy.state is ReplicaState.SERVING:
+        for box, node in self._store_nodes():
+            for replica in node.replication.replicas:
+                if replica.state is ReplicaState.SERVING:
                     name = f"{box.name}#{box.node.disk if box.node else ''}"
-                    known = self.primaries.setdefault((copy.partition, copy.epoch), name)
-                    what = f"{known} and {name}: part {copy.partition} {copy.epoch}"
+                    known = self.primaries.setdefault((replica.partition, replica.epoch), name)
+                    what = f"{known} and {name}: partition {replica.partition}, epoch {replica.epoch}"
                     self.world.expect(known == name, "one primary", what)
 
     def begins(self, box: Box, key: tuple[str, str]) -> None:
-        """A proxy is about to send an item to a server."""
+        """Check an item that a proxy is about to send to a server."""
         batch_job = self.batch_jobs.get(key[0])
         self.world.expect(batch_job and key[1] in batch_job.items, "runs what was never sent", " ".join(key))
         assert batch_job is not None
@@ -150,12 +151,12 @@
         self.world.expect(not late, "runs what was ended", f"{' '.join(key)} at {box.name}")
 
     def item_assigned(self, job: str, item: str, body: bytes) -> None:
-        """A proxy got an item."""
+        """Check an item that was assigned to a proxy."""
         batch_job = self.batch_jobs.get(job)
         self.world.expect(batch_job and batch_job.items.get(item) == body, "other bytes", f"{job} {item}")
 
     def result_answered(self, key: tuple[str, str], reply: Any) -> None:
-        """A result of a proxy was acknowledged, or rejected for good."""
+        """Check a result of a proxy that was acknowledged or finally rejected."""
         batch_job = self.batch_jobs[key[0]]
         gone = isinstance(reply, Failure) and reply.code is Code.UNKNOWN_JOB
         in_force = batch_job.accepted_at and not batch_job.end_sent
@@ -166,28 +167,32 @@
     # The run -------------------------------------------------------------------------------------
 
     async def play(self) -> None:
-        """Start the world, carry the plan out, and check what is left at the end."""
+        """Start all machines, inject the planned faults, and read all results at the end."""
         world = self.world
         for box in world.boxes.values():
             world.plainly(self.random.uniform(0.0, 0.3), box.start)
-        self._hook()
+        self._wrap_methods()
         trainers = [Process(f"trainer-{n}", f"10.9.0.{n + 1}") for n in range(TRAINERS + 1)]
-        tasks = [person.start(world.loop, self.trainers.train(n, person)) for n, person in enumerate(trainers)]
-        await self._until(lambda: self.trainers.accepted_count > 0, START_S, "first batch job")
+        tasks = [process.start(world.loop, self.trainers.train(n, process)) for n, process in enumerate(trainers)]
+        await self._wait_until(lambda: self.trainers.accepted_count > 0, START_S, "first batch job")
         self.injector = faults.FaultInjector(world, self.plan)
         changes = Process("operator", "10.9.1.1").start(world.loop, self.members.run())
         start = world.now
         for begin, _ in self.plan.calm:
             await asyncio.sleep(max(0.0, start + begin + control.CONTACT_S + 1.5 - world.now))
             before = self.trainers.accepted_count
-            await self._until(partial(self._has_accepted_more_than, before), CLEAR_S, "a batch job in calm times")
+            await self._wait_until(
+                partial(self._has_accepted_more_than, before), CALM_CALL_S, "a batch job accepted without faults"
+            )
         await asyncio.sleep(max(0.0, start + self.plan.end - world.now))
         self.trainers.stopping = True
         self.members.stopping = True
         tasks.append(changes)
         for task in tasks:
             await asyncio.wait([task], timeout=30.0)
-        world.expect(all(task.done() for task in tasks), "in time", "trainers don't come to their end")
+        world.expect(
+            all(task.done() for task in tasks), "in time", "a trainer or the operator did not finish within 30 s"
+        )
         for task in tasks:
             if task.done():
                 task.result()
@@ -195,7 +200,7 @@
     def _has_accepted_more_than(self, count: int) -> bool:
         return self.trainers.accepted_count > count
 
-    async def _until(self, holds: Any, within_s: float, what: str) -> None:
+    async def _wait_until(self, holds: Any, within_s: float, what: str) -> None:
         end = self.world.now + within_s
         while not holds():
             if self.world.now > end:
@@ -205,7 +210,7 @@
 
 
 def run(seed: int, plan: faults.Plan | None = None) -> tuple[World, faults.Plan]:
-    """Play one seed, with its own plan of faults or another one."""
+    """Play one seed, with the plan of faults drawn from it or with a given one."""
     world = World(seed, slas=SLAS)
     scenario = Scenario(world)
     if plan is not None:
