--- a/otterreach/simulation/__init__.py
+++ b/otterreach/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A model that checks the protocols: own processes on virtual time and under faults, promises held against deeds."""
+"""Deterministic simulation of the system on virtual time, which checks the guarantees of the protocols under faults."""
--- a/otterreach/simulation/__main__.py
+++ b/otterreach/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""python3 -m otterreach.simulation: play seeds of the scenarios, print what was seen, make a failing one smaller."""
+"""python3 -m otterreach.simulation: play seeds of the scenarios, print the results, and minimize a failing plan."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from cyclopts import App
 
 from otterreach.simulation import control, coordination, explore, jobs, planted, planted_table
-from otterreach.simulation.explore import Found
+from otterreach.simulation.explore import SearchResult
 from otterreach.simulation.faults import Plan
 from otterreach.simulation.world import World
 
@@ -24,12 +24,12 @@
     "brief": control.run_brief,
     "coordination": coordination.run,
 }
-SEEDS_AT_ONCE = 5  # handed to a process together
+SEEDS_PER_CHUNK = 5  # submitted to a process together
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What one run came to."""
+    """The result of one run."""
 
     scenario: str
     seed: int
@@ -47,22 +47,22 @@
     return Outcome(scenario, seed, failure, rule, frozenset(world.states), world.depth, world.loop.steps)
 
 
-def _settle_memory() -> None:
-    """What is loaded stays: the collections between runs need not look at it."""
+def _freeze_memory() -> None:
+    """Exempt the loaded modules from garbage collection, which speeds up the collections between runs."""
     gc.collect()
     gc.freeze()
 
 
 def shrink(scenario: str, seed: int, rule: str) -> tuple[World, Plan]:
-    """The smallest plan of faults found that still breaks the same rule, one fault left out after the other."""
+    """Minimize the plan of a failing run: leave out each fault without which the same rule is still violated."""
     run = SCENARIOS[scenario]
     world, plan = run(seed)
     index = len(plan.faults) - 1
     while index >= 0:
         smaller = plan.without(index)
-        tried, _ = run(seed, smaller)
-        if tried.failure is not None and tried.failure.rule == rule:
-            world = tried
+        attempt, _ = run(seed, smaller)
+        if attempt.failure is not None and attempt.failure.rule == rule:
+            world = attempt
             plan = smaller
         index -= 1
     return world, plan
@@ -70,15 +70,15 @@
 
 @app.default
 def main(seeds: int = 20, first: int = 1, jobs_at_once: int = 1, scenario: str = "", lines: int = 60) -> None:
-    """Play seeds FIRST to FIRST + SEEDS - 1 of each scenario; the exit status is 1 if a promise was broken.
+    """Play seeds FIRST to FIRST + SEEDS - 1 of each scenario; the exit status is 1 if an invariant was violated.
 
     Parameters
     ----------
-    seeds: how many
-    first: the lowest
-    jobs_at_once: processes
-    scenario: control, jobs, brief (the controllers, short runs) or coordination; all if none is named
-    lines: of the log of a failing run, after it was made smaller
+    seeds: number of seeds
+    first: the lowest seed
+    jobs_at_once: number of processes
+    scenario: control, jobs, brief (the controllers, short runs) or coordination; all by default
+    lines: number of log lines printed of a failing run, after its plan was minimized
     """
     names = [scenario] if scenario else list(SCENARIOS)
     work = [(name, seed) for seed in range(first, first + seeds) for name in names]
@@ -86,8 +86,8 @@
     states: dict[str, set[int]] = {name: set() for name in names}
     depth = dict.fromkeys(names, 0)
     runs = dict.fromkeys(names, 0)
-    with ProcessPoolExecutor(jobs_at_once, initializer=_settle_memory) as pool:
-        for outcome in pool.map(play, *zip(*work, strict=True), chunksize=min(SEEDS_AT_ONCE, seeds)):
+    with ProcessPoolExecutor(jobs_at_once, initializer=_freeze_memory) as pool:
+        for outcome in pool.map(play, *zip(*work, strict=True), chunksize=min(SEEDS_PER_CHUNK, seeds)):
             states[outcome.scenario] |= outcome.states
             depth[outcome.scenario] = max(depth[outcome.scenario], outcome.depth)
             runs[outcome.scenario] += 1
@@ -107,21 +107,21 @@
     sys.exit(1 if failed else 0)
 
 
-def search(name: str, within_s: float, seed: int) -> tuple[str, Found]:
+def search(name: str, within_s: float, seed: int) -> tuple[str, SearchResult]:
     """Search one scenario of the small model."""
     return name, explore.explore(name, within_s, seed=seed)
 
 
 @app.command(name="explore")
 def explore_all(scenario: str = "", within_s: float = 60.0, jobs_at_once: int = 1, seed: int = 0) -> None:
-    """Search the small model's orders of events; the exit status is 1 if an invariant was broken.
+    """Search the orders of events of the small model; the exit status is 1 if an invariant was violated.
 
     Parameters
     ----------
-    scenario: one of otterreach.simulation.explore.SCENARIOS; all if none is named
-    within_s: at most so long for each
-    jobs_at_once: processes
-    seed: of the order in which choices are tried; 0: as they are listed
+    scenario: one of otterreach.simulation.explore.SCENARIOS; all by default
+    within_s: time limit for each scenario
+    jobs_at_once: number of processes
+    seed: shuffles the order in which events are explored; 0 keeps the listed order
     """
     names = [scenario] if scenario else list(explore.SCENARIOS)
     broken = False
@@ -135,8 +135,8 @@
     sys.exit(1 if broken else 0)
 
 
-def look_for(name: str, first: int, seeds: int) -> tuple[planted.Planted, planted.Find, bool]:
-    """Play a planted fault until it is found; whether the code without it passes."""
+def play_planted(name: str, first: int, seeds: int) -> tuple[planted.Planted, planted.Find, bool]:
+    """Play a planted fault until it is found; the last value is True if the code without it passes the same run."""
     fault = next(f for f in planted_table.TABLE if f.name == name)
     found = planted.find(fault, fault.seed if first < 0 else first, seeds)
     return fault, found, bool(found.rule) and planted.passes(fault, found.seed)
@@ -146,31 +146,31 @@
 def find_planted(name: str = "", first: int = -1, seeds: int = 8, jobs_at_once: int = 1) -> None:
     """Play each planted fault until it is found; rows of the table in docs/planted-faults.md.
 
-    The exit status is 1 if one was not found, or if the code without it breaks the same run.
+    The exit status is 1 if one was not found, or if the code without it fails the same run.
 
     Parameters
     ----------
-    name: of one fault; all if none is named
-    first: the lowest seed; -1: the known one of each
-    seeds: tried at most, for each
-    jobs_at_once: processes
+    name: name of one fault; all by default
+    first: the lowest seed; -1: the known seed of each fault
+    seeds: maximum number of seeds for each fault
+    jobs_at_once: number of processes
     """
     names = [name] if name else [fault.name for fault in planted_table.TABLE]
-    missed = 0
+    failures = 0
     print("| fault | what is wrong | found by | rule that tells it | seed | seeds played | steps |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     with ProcessPoolExecutor(jobs_at_once) as pool:
         work = [(n, first, seeds) for n in names]
-        for fault, found, sound in pool.map(look_for, *zip(*work, strict=True)):
-            missed += not sound
-            rule = found.rule if sound or not found.rule else f"{found.rule}, also without the fault"
+        for fault, found, confirmed in pool.map(play_planted, *zip(*work, strict=True)):
+            failures += not confirmed
+            rule = found.rule if confirmed or not found.rule else f"{found.rule}, also without the fault"
             numbers = f"{found.seed} | {found.seeds} | {found.steps}"
             print(f"| {fault.name} | {fault.what} | {fault.found_by} | {rule or 'not found'} | {numbers} |", flush=True)
-    sys.exit(1 if missed else 0)
+    sys.exit(1 if failures else 0)
 
 
 if __name__ == "__main__":
-    if os.environ.get("PYTHONHASHSEED") != "0":  # the order of sets of names would differ from start to start
+    if os.environ.get("PYTHONHASHSEED") != "0":  # otherwise sets of strings have another order in each process
         command = [sys.executable, "-m", "otterreach.simulation", *sys.argv[1:]]
         os.execve(sys.executable, command, os.environ | {"PYTHONHASHSEED": "0"})
     app()
--- a/otterreach/simulation/client.py
+++ b/otterreach/simulation/client.py
@@ -1,4 +1,4 @@
-"""An HTTP client on the virtual network: one connection for each call, as the operator's are."""
+"""An HTTP client on the virtual network, which opens a connection for each call, as operator tools do."""
 
 from __future__ import annotations
 
@@ -7,7 +7,9 @@
 from otterreach.sidecar import http1
 
 
-class _Answer(asyncio.Protocol):
+class _ResponseProtocol(asyncio.Protocol):
+    """Sends one request and receives its response."""
+
     def __init__(self, data: bytes) -> None:
         self.data = data
         self.done: asyncio.Future[http1.Response | None] = asyncio.get_running_loop().create_future()
@@ -19,13 +21,13 @@
         transport.write(self.data)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come of the answer."""
+        """Parse the received bytes of the response."""
         response = self._parser.feed(data)
         if response is not None and not self.done.done():
             self.done.set_result(response)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the call."""
+        """End the call without a response, unless it is complete."""
         if not self.done.done():
             self.done.set_result(None)
 
@@ -38,7 +40,7 @@
     headers: dict[bytes, bytes] | None = None,
     timeout_s: float = 1.0,
 ) -> http1.Response | None:
-    """The answer, or None: silence, a refusal or a cut, and it may have been taken."""
+    """Return the response, or None after a time-out, refusal or reset: the request may still have been processed."""
     host, _, port = address.rpartition(":")
     request = http1.Request(method.encode(), path.encode(), {}, body, True)
     data = http1.encode_request(request, address.encode(), headers or {})
@@ -46,8 +48,8 @@
     try:
         async with asyncio.timeout(timeout_s):
             loop = asyncio.get_running_loop()
-            transport, answer = await loop.create_connection(lambda: _Answer(data), host, int(port))
-            return await answer.done
+            transport, protocol = await loop.create_connection(lambda: _ResponseProtocol(data), host, int(port))
+            return await protocol.done
     except (OSError, TimeoutError):
         return None
     finally:
--- a/otterreach/simulation/explore.py
+++ b/otterreach/simulation/explore.py
@@ -1,7 +1,8 @@
 """Exhaustive search over the orders of events of a small model, within bounds.
 
-Depth first, each prefix run again from the start. A state that was seen with as many deviations left is not gone into
-again. With `deviations` None every order of messages, syncs, time-outs and faults within the bounds is tried.
+The search is depth first and replays each prefix from the start. A state that was already reached with at least as many
+deviations left is not explored again. With `deviations` None, every order of messages, syncs, time-outs and faults
+within the bounds is explored.
 """
 
 from __future__ import annotations
@@ -38,14 +39,14 @@
 
 
 @dataclass(slots=True)
-class Found:
-    """What a search came to."""
+class SearchResult:
+    """The result of a search."""
 
     states: int = 0
     runs: int = 0
     events: int = 0
     depth: int = 0
-    cut: int = 0  # runs that ended at the bound on depth
+    cut: int = 0  # runs that ended at the depth bound
     seconds: float = 0.0
     complete: bool = False
     rule: str = ""
@@ -62,32 +63,32 @@
 
 @dataclass(slots=True)
 class _Frame:
-    """A state on the present path and the choices that are left in it."""
+    """A state on the current path, and its choices."""
 
-    choices: list[tuple[Event, int]]  # with the deviations left behind it
+    choices: list[tuple[Event, int]]  # event, and the number of deviations left after it
     next: int = 0
 
 
 class Search:
-    """One exploration."""
+    """One search of the model within its bounds."""
 
     def __init__(self, bounds: Bounds, within_s: float = 1e9, most_states: int = 10**9, seed: int = 0) -> None:
-        """`seed`: tries what clients and faults do in another order; 0: as they are listed."""
+        """Prepare a search; `seed` shuffles the events of clients and faults, 0 keeps the listed order."""
         self.bounds = bounds
         self.most_states = most_states
         self.random = Random(seed) if seed else None
-        self.found = Found()
+        self.found = SearchResult()
         self._seen: dict[Any, int] = {}
-        self._began = time.monotonic()
-        self._end = self._began + within_s
+        self._started = time.monotonic()
+        self._end = self._started + within_s
 
-    def run(self) -> Found:
-        """Until all is seen, an invariant is broken, or a limit is reached."""
+    def run(self) -> SearchResult:
+        """Search until all states are explored, an invariant is violated, or a limit is reached."""
         found = self.found
         frames: list[_Frame] = []
         with quiet():
             while True:
-                self._extend(frames)
+                self._run_path(frames)
                 found.runs += 1
                 if found.runs % COLLECT_EVERY == 0:
                     gc.collect()
@@ -98,28 +99,28 @@
                 if not frames:
                     found.complete = True
                     break
-        found.seconds = time.monotonic() - self._began
+        found.seconds = time.monotonic() - self._started
         return found
 
-    def _extend(self, frames: list[_Frame]) -> None:
-        """Run the present prefix with the next choice of its last state, then on to the end of that path."""
+    def _run_path(self, frames: list[_Frame]) -> None:
+        """Replay the current prefix with the next choice of its last state, then continue to the end of the path."""
         model = Model(self.bounds)
-        left = self._all_deviations()
+        left = self._deviation_limit()
         trace: list[Event] = []
         try:
             for frame in frames[:-1]:
                 event, left = frame.choices[frame.next - 1]
                 self._step(model, event, trace)
             if frames:
-                event, left = self._take(frames[-1])
+                event, left = self._next_choice(frames[-1])
                 self._step(model, event, trace)
-            while model.failure is None and self._new(model, left):
+            while model.failure is None and self._is_worth_extending(model, left):
                 choices = self._choices(model, left)
                 if not choices or len(trace) >= self.bounds.depth:
                     self.found.cut += bool(choices)
                     break
                 frames.append(_Frame(choices))
-                event, left = self._take(frames[-1])
+                event, left = self._next_choice(frames[-1])
                 self._step(model, event, trace)
         finally:
             model.end()
@@ -129,11 +130,11 @@
             self.found.failure = str(model.failure)
             self.found.trace = trace
 
-    def _all_deviations(self) -> int:
+    def _deviation_limit(self) -> int:
         return 10**9 if self.bounds.deviations is None else self.bounds.deviations
 
     @staticmethod
-    def _take(frame: _Frame) -> tuple[Event, int]:
+    def _next_choice(frame: _Frame) -> tuple[Event, int]:
         frame.next += 1
         return frame.choices[frame.next - 1]
 
@@ -142,8 +143,8 @@
         trace.append(event)
         self.found.events += 1
 
-    def _new(self, model: Model, left: int) -> bool:
-        """Whether more can be reached from here than was before."""
+    def _is_worth_extending(self, model: Model, left: int) -> bool:
+        """Return True if the state is new, or was only reached with fewer deviations left."""
         key = model.key(ordered=self.bounds.deviations is not None)
         best = self._seen.get(key)
         if best is None:
@@ -154,31 +155,32 @@
         return True
 
     def _choices(self, model: Model, left: int) -> list[tuple[Event, int]]:
-        """Messages and syncs out of their order, and timers while there are any, cost a deviation.
+        """Return the possible events with the deviations left after each.
 
-        What clients and faults do has bounds of its own.
+        A message or sync out of order costs deviations, as does a timer while a message or sync is pending; events of
+        clients and faults have bounds of their own.
         """
         network = model.network()
         timers = model.timers()
-        waiting = [*enumerate(network), *((min(1, len(network)), timer) for timer in timers)]
+        pending = [*enumerate(network), *((min(1, len(network)), timer) for timer in timers)]
         if self.bounds.deviations is None:
-            waiting = [(0, event) for _, event in waiting]
-        choices = [(event, left - cost) for cost, event in waiting if cost <= left]
+            pending = [(0, event) for _, event in pending]
+        choices = [(event, left - cost) for cost, event in pending if cost <= left]
         others = [(event, left) for event in model.others()]
         if self.random is not None:
             self.random.shuffle(others)
         return choices + others
 
 
-_codes: dict[str, bytes] = {}
+_encoded: dict[str, bytes] = {}
 
 
 def _encode(value: Any) -> bytes:
-    """The codec's bytes, worked out once for each value: a search writes the same records thousands of times."""
+    """Encode a value with a cache, as a search encodes the same records thousands of times."""
     key = repr(value)
-    known = _codes.get(key)
+    known = _encoded.get(key)
     if known is None:
-        known = _codes[key] = codec.encode(value)
+        known = _encoded[key] = codec.encode(value)
     return known
 
 
@@ -187,19 +189,20 @@
     return codec.decode_as(kind, data)
 
 
-class _Silent:
+class _NullLogger:
     def log(self, level: str, template: str, line: str) -> None:
-        """Nothing is written: a search runs the same lines thousands of times."""
+        """Drop the line, as a search runs the same code thousands of times."""
 
 
 @contextmanager
 def quiet() -> Iterator[None]:
-    """No log, ids in order, no collection of garbage in the middle of a run.
+    """Disable the log and garbage collection during runs, and make ids sequential.
 
-    Members promise at any time: how long one that hears a primary refuses another is a matter of speed, not of safety.
+    Members answer prepares at any time: how long a member in contact with a primary rejects other candidates
+    affects availability, not safety.
     """
     ids = iter(range(10**9))
-    logger: Any = _Silent()
+    logger: Any = _NullLogger()
     enabled = gc.isenabled()
     gc.disable()
     try:
@@ -219,6 +222,6 @@
         gc.collect()
 
 
-def explore(name: str, within_s: float = 1e9, most_states: int = 10**9, seed: int = 0, **changes: Any) -> Found:
-    """Search one of the scenarios, perhaps with other bounds."""
+def explore(name: str, within_s: float = 1e9, most_states: int = 10**9, seed: int = 0, **changes: Any) -> SearchResult:
+    """Search one of the scenarios; `changes` override its bounds."""
     return Search(replace(SCENARIOS[name], **changes), within_s, most_states, seed).run()
--- a/otterreach/simulation/faults.py
+++ b/otterreach/simulation/faults.py
@@ -149,7 +149,7 @@
 
 
 def _draw_loss_at_append(random: Random, names: list[str], at: float, wipes: int) -> list[Fault]:
-    """Draw a loss right after a change is sent to a backup: all lose power or are killed, or some lose disks as well."""
+    """Draw a loss right after a change is sent to a backup: all lose power or are killed, or some also lose disks."""
     kind = random.choice(["power", "kill", "wipe"])
     if kind != "wipe":
         return [Fault(at, f"{kind}@AppendItems", tuple(names), MESSAGE_WAIT_S)]
@@ -242,7 +242,7 @@
                 zone = name.removeprefix(ZONE)
                 on.update(box.name for box in self.world.of_role("core") if box.zone == zone)
             else:
-                on.add(self.members.present(name))
+                on.add(self.members.current_name(name))
         return replace(fault, on=tuple(sorted(on & set(self.world.boxes))))
 
     def _arm(self, fault: Fault) -> None:
--- a/otterreach/simulation/member_changes.py
+++ b/otterreach/simulation/member_changes.py
@@ -1,6 +1,6 @@
-"""Controllers that come and go: joins, planned and unplanned replacement, restarts in turn, other seeds.
+"""Membership changes of controllers: joins, planned and unplanned replacement, rolling restarts, changed seeds.
 
-Each is a kind of fault with a beginning and an end; what happens at either stands in one function here.
+Each change is a kind of fault with a beginning and an end, each handled by one function here.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from otterreach.simulation.world import ZONES, Box, World
 
 MEMBER_KINDS = ("join", "replace", "lose", "lose_same_address", "restart_in_turn", "seeds")
-LEAVE_S = 1.5  # from SIGTERM to the end of the machine
+TERMINATE_S = 1.5  # from SIGTERM to the removal of the machine
 SEEDS = 3
 
 
 class MemberChanges:
-    """Carries member changes out. A machine's successor takes its place in the rest of a plan."""
+    """Applies membership changes. The successor of a machine replaces it in the rest of a plan."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -38,16 +38,16 @@
             "lose_same_address": self._start_at_same_address,
         }
 
-    def present(self, name: str) -> str:
-        """The machine that stands for this name now."""
+    def current_name(self, name: str) -> str:
+        """Return the name of the machine that has replaced this one, or the name itself."""
         while name in self._successors:
             name = self._successors[name]
         return name
 
-    def _new_machine(self, like: Box, zone: str, ip: str = "") -> Box:
+    def _new_machine(self, template: Box, zone: str, ip: str = "") -> Box:
         self._count += 1
-        name = f"{like.role}-new-{self._count}"
-        box = self.world.add(name, like.role, ZONES.index(zone), like.main, ip)
+        name = f"{template.role}-new-{self._count}"
+        box = self.world.add(name, template.role, ZONES.index(zone), template.main, ip)
         box.first = False
         return box
 
@@ -56,7 +56,7 @@
         self._new_machine(box, min(ZONES, key=zones.count)).start()
 
     def _replace(self, box: Box, for_s: float) -> None:
-        """Planned: the new one first."""
+        """Start a planned replacement: the new machine is started before the old one is stopped."""
         new = self._new_machine(box, box.zone)
         self._successors[box.name] = new.name
         new.start()
@@ -64,7 +64,7 @@
     def _stop_replaced(self, box: Box) -> None:
         box.wanted = False
         box.terminate()
-        self.world.plainly(LEAVE_S, self._remove, box)
+        self.world.plainly(TERMINATE_S, self._remove, box)
 
     def _remove(self, box: Box) -> None:
         box.wanted = False
@@ -72,7 +72,7 @@
         self.world.boxes.pop(box.name, None)
 
     def _lose(self, box: Box, for_s: float) -> None:
-        """Gone for good, at once."""
+        """Remove the machine permanently, without a shutdown."""
         self._remove(box)
 
     def _start_successor(self, box: Box) -> None:
@@ -87,14 +87,16 @@
 
     def _restart_in_turn(self, box: Box, for_s: float) -> None:
         boxes = self.world.of_role(box.role)
-        for place, one in enumerate(boxes):
-            self.world.plainly(for_s * place / len(boxes), one.terminate)
+        for index, member in enumerate(boxes):
+            self.world.plainly(for_s * index / len(boxes), member.terminate)
 
     def _change_seeds(self, box: Box, for_s: float) -> None:
-        """Other seeds, for who runs and who starts later."""
+        """Change the seeds of running processes and of those started later."""
         boxes = self.world.of_role(box.role)
         chosen = self.random.sample(boxes, min(SEEDS, len(boxes)))
-        self.world.seeds = [one.ip for one in chosen]
-        for one in self.world.boxes.values():
-            if one.up and one.node is not None:
-                one.node.settings = one.node.follower.settings = replace(one.node.settings, seeds=one.settings().seeds)
+        self.world.seeds = [member.ip for member in chosen]
+        for machine in self.world.boxes.values():
+            if machine.up and machine.node is not None:
+                machine.node.settings = machine.node.follower.settings = replace(
+                    machine.node.settings, seeds=machine.settings().seeds
+                )
--- a/otterreach/simulation/registration.py
+++ b/otterreach/simulation/registration.py
@@ -1,4 +1,4 @@
-"""Servers that register with the control side, and a trainer that names versions."""
+"""Servers that register with the controllers, and a trainer that publishes model versions."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from otterreach.simulation.model_server import ModelServer
 from otterreach.simulation.operators import Caller
 
-AGAIN_S = 0.2
-REUSE_S = 2.0  # before another server takes the address
+RETRY_S = 0.2
+REUSE_S = 2.0  # before another server uses the address
 MODEL = "m"
-BEATS = (1, 3, 8, 20)
+HEARTBEAT_COUNTS = (1, 3, 8, 20)
 
 NewServer = Callable[[str], ModelServer]
 
 
 async def train(caller: Caller, history: History, stopping: Callable[[], bool]) -> None:
-    """Name one version after the other."""
+    """Publish one version after the other."""
     gen = 1
     while not stopping():
         gen += 1
@@ -30,12 +30,12 @@
             if response is not None and response.status == 200:
                 history.models[MODEL] = gen
                 break
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RETRY_S)
         await asyncio.sleep(caller.random.uniform(0.5, 3.0))
 
 
 class ServerAddress:
-    """One server after the other at an address: up, draining, gone."""
+    """Runs one server after the other at an address, each through the states up, draining and gone."""
 
     def __init__(
         self,
@@ -58,22 +58,22 @@
         count = 0
         while not self.stopping():
             count += 1
-            await self._live(f"{self.prefix}-{count}")
+            await self._run_server(f"{self.prefix}-{count}")
             await asyncio.sleep(REUSE_S)
 
-    async def _live(self, ident: str) -> None:
+    async def _run_server(self, ident: str) -> None:
         self.history.servers[ident] = ""
         server = self.new_server(ident)
-        port = JsonServer(server.handle)
-        await port.listen(self.address, 80)
+        listener = JsonServer(server.handle)
+        await listener.listen(self.address, 80)
         random = self.caller.random
-        for state in ["up"] * random.choice(BEATS) + ["draining"]:
-            if not await self._beat(state, server):
+        for state in ["up"] * random.choice(HEARTBEAT_COUNTS) + ["draining"]:
+            if not await self._send_heartbeat(state, server):
                 return
             await asyncio.sleep(random.uniform(0.2, 1.2))
         await self._remove(ident)
-        port.stop()
-        for connection in list(port.callers):
+        listener.stop()
+        for connection in list(listener.callers):
             connection.abort()
 
     async def _remove(self, ident: str) -> None:
@@ -82,9 +82,9 @@
             if response is not None and response.status == 200:
                 self.history.servers[ident] = "gone"
                 return
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RETRY_S)
 
-    async def _beat(self, state: str, server: ModelServer) -> bool:
+    async def _send_heartbeat(self, state: str, server: ModelServer) -> bool:
         server.calls += 1
         value = {
             "backend": "b",
@@ -102,5 +102,5 @@
             if response is not None and response.status == 200:
                 self.history.servers[server.ident] = state
                 return True
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RETRY_S)
         return False
