--- a/otterreach/simulation/disk.py
+++ b/otterreach/simulation/disk.py
@@ -132,7 +132,7 @@
             self._fail()
             return
         disk.data += data
-        # The process may be killed between the write and its sync: the real sync runs in a thread outside the event loop.
+        # The process may be killed between the write and its sync, as the real sync runs in a separate thread.
         await asyncio.sleep(disk.delay())
         if disk.broken:
             self._fail()
--- a/otterreach/simulation/loop.py
+++ b/otterreach/simulation/loop.py
@@ -151,7 +151,7 @@
         self._callbacks_at_this_instant += 1
         if self._callbacks_at_this_instant > MAX_CALLBACKS_PER_INSTANT:
             raise StalledError(
-                f"more than {MAX_CALLBACKS_PER_INSTANT} callbacks at virtual time {self.now:.3f} s, last one: {handle!r}"
+                f"more than {MAX_CALLBACKS_PER_INSTANT} callbacks at virtual time {self.now:.3f} s, last: {handle!r}"
             )
         handle._run()
 
--- a/otterreach/simulation/small_checks.py
+++ b/otterreach/simulation/small_checks.py
@@ -1,4 +1,4 @@
-"""The invariants that hold after each event of the small model, and for each reply before it leaves."""
+"""Invariants of the small model, checked after each event and for each reply before it is sent."""
 
 from __future__ import annotations
 
@@ -17,57 +17,59 @@
 
 
 @dataclass
-class Seen:
-    """What the outside has been told."""
+class Observed:
+    """What members found announced to others in one run."""
 
     acked: dict[str, int] = field(default_factory=lambda: {FIRST_ITEM.key: FIRST_ITEM.revision})
     primaries: dict[int, str] = field(default_factory=dict)
-    promised: dict[str, int] = field(default_factory=dict)  # by id: the highest number in a promise that has left
-    stood: dict[str, int] = field(default_factory=dict)  # by id: the highest number that it stood for
-    number: dict[tuple[str, int], int] = field(default_factory=dict)  # by id and life: the highest of a record
+    promised: dict[str, int] = field(default_factory=dict)  # id -> highest number in a promise that was sent
+    candidacies: dict[str, int] = field(default_factory=dict)  # id -> highest number for which it was a candidate
+    number: dict[tuple[str, int], int] = field(default_factory=dict)  # (id, incarnation) -> highest epoch number
 
 
 class Checks:
-    """What has been seen in one run, and what it broke first."""
+    """The observations of one run, and its first violation."""
 
     def __init__(self) -> None:
-        self.seen = Seen()
+        self.seen = Observed()
         self.failure: InvariantViolationError | None = None
 
     def expect(self, holds: Any, rule: str, what: str) -> None:
-        """Record the first invariant that does not hold."""
+        """Record the violation of an invariant, if it is the first one."""
         if not holds and self.failure is None:
             self.failure = InvariantViolationError(rule, what)
 
     def incarnation_begins(self, member: Member) -> None:
-        """A member that comes back goes on from what it has said."""
+        """Check that a restarted member has not forgotten its promises."""
         control = member.control
-        said = self.seen.promised.get(control.id, 0)
-        self.expect(control.promised >= said, "promise forgotten", f"{control.id}: {control.promised} after {said}")
+        promised = self.seen.promised.get(control.id, 0)
+        self.expect(
+            control.promised >= promised, "promise forgotten", f"{control.id}: {control.promised} after {promised}"
+        )
 
     def reply(self, member: Member, ask: Any, reply: Any) -> None:
-        """A reply is about to leave: what it says has to be on disk, and to fit with what was said before."""
+        """Check a reply before it is sent: its content has to be durable and consistent with earlier promises."""
         ident = member.control.id
-        said = self.seen.promised
+        promised = self.seen.promised
         if isinstance(reply, Promise) and reply.ok and not ask.probe:
             self.expect(member.control.accepted, "empty disk votes", f"{ident} promises {ask.number}")
-            self.expect(ask.number > said.get(ident, 0), "promised twice", f"{ident}: {ask.number}")
+            self.expect(ask.number > promised.get(ident, 0), "promised twice", f"{ident}: {ask.number}")
             self.expect(synced_promise(member.disk) >= ask.number, "answered before it was synced", f"{ident} {ask}")
-            said[ident] = max(said.get(ident, 0), ask.number)
+            promised[ident] = max(promised.get(ident, 0), ask.number)
         elif isinstance(reply, Accepted) and reply.ok:
             number = ask.configuration[0].number
             self.expect(synced_promise(member.disk) >= number, "answered before it was synced", f"{ident} {number}")
-            self._not_lower(ident, number)
+            self._check_not_below_promise(ident, number)
         elif isinstance(ask, AppendItems | SnapshotChunk | SnapshotCommit) and isinstance(reply, Done):
             self.expect(synced(member.disk, ask), "answered before it was synced", f"{ident} {type(ask).__name__}")
-            self._not_lower(ident, ask.number)
+            self._check_not_below_promise(ident, ask.number)
 
-    def _not_lower(self, ident: str, number: int) -> None:
-        said = self.seen.promised.get(ident, 0)
-        self.expect(number >= said, "acts under a lower epoch", f"{ident} in {number}, promised {said}")
+    def _check_not_below_promise(self, ident: str, number: int) -> None:
+        promised = self.seen.promised.get(ident, 0)
+        self.expect(number >= promised, "acts under a lower epoch", f"{ident} in {number}, promised {promised}")
 
     def states(self, members: list[Member]) -> None:
-        """After each event."""
+        """Check the states of all members, after each event."""
         highest = None
         for member in members:
             control = member.control
@@ -76,38 +78,40 @@
             self.expect(control.number >= last, "epoch falls", f"{control.id}: {control.number} after {last}")
             self.seen.number[incarnation] = control.number
             if control.mode is Mode.CANDIDATE:
-                self._stands(control)
+                self._check_candidate(control)
             if control.is_primary:
                 known = self.seen.primaries.setdefault(control.number, control.id)
                 self.expect(known == control.id, "two primaries", f"{known} and {control.id} in {control.number}")
                 if highest is None or control.number > highest.number:
                     highest = control
         if highest is not None and highest.number == max(self.seen.primaries):
-            self._acked(highest, members)
+            self._check_acknowledged(highest, members)
 
-    def _stands(self, control: ControlReplication) -> None:
-        """A candidate counts its own vote: it must not have promised the number to another."""
+    def _check_candidate(self, control: ControlReplication) -> None:
+        """Check that a candidate, which counts its own vote, has not promised the number to another one."""
         ident = control.id
-        said = self.seen.promised.get(control.id, 0)
-        stood = self.seen.stood.get(ident, 0)
-        self.expect(stood == control.promised or control.promised > said, "stands after a promise", f"{ident}: {said}")
-        self.seen.stood[ident] = control.promised
-
-    def _acked(self, primary: ControlReplication, members: list[Member]) -> None:
-        """All that was acknowledged is at the primary and at each of its backups that kept its disk."""
+        promised = self.seen.promised.get(control.id, 0)
+        last = self.seen.candidacies.get(ident, 0)
+        self.expect(
+            last == control.promised or control.promised > promised, "stands after a promise", f"{ident}: {promised}"
+        )
+        self.seen.candidacies[ident] = control.promised
+
+    def _check_acknowledged(self, primary: ControlReplication, members: list[Member]) -> None:
+        """Check that the primary, and each backup in its epoch that kept its disk, has everything acknowledged."""
         record = primary.accepted
         assert record is not None
         for control in [m.control for m in members if m.control.id in record.members]:
             for key, revision in self.seen.acked.items():
                 item = control.state.items.get(key)
-                have = item.revision if item else 0
+                found = item.revision if item else 0
                 self.expect(
-                    have >= revision, "acknowledged is gone", f"{key} {revision:x} at {control.id} in {record.number}"
+                    found >= revision, "acknowledged is gone", f"{key} {revision:x} at {control.id} in {record.number}"
                 )
 
 
 def synced_promise(disk: list[Entry]) -> int:
-    """The highest number that the disk holds its member to."""
+    """Return the highest proposal number promised or accepted on the disk."""
     replay = StateReplay()
     highest = 0
     for kind, payload in disk:
@@ -122,7 +126,7 @@
 
 
 def synced(disk: list[Entry], request: AppendItems | SnapshotChunk | SnapshotCommit) -> bool:
-    """Whether the disk has what a message brought."""
+    """Return True if the content of a message is on the disk."""
     replay = StateReplay()
     for kind, payload in disk:
         replay.apply(kind, payload)
--- a/otterreach/simulation/small_parts.py
+++ b/otterreach/simulation/small_parts.py
@@ -1,6 +1,6 @@
-"""The parts of the small model: a loop that runs what it is told to, a journal, an endpoint and a member.
+"""The parts of the small model: an event loop driven step by step, a journal, an endpoint and a member.
 
-Endpoint, journal and clock stand in for the real ones. Each member has a clock of its own that only its timers move.
+Endpoint, journal and clock replace the real ones. Each member has a clock of its own, which only its timers advance.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from otterreach.simulation.world import CTL, PORT, ZONES
 
 FIRST_ITEM = Item("config", (1 << 24) | 1, b"0")
-SHORT_S = 0.05  # a timer of less is no time-out: it ends a wait for more than is needed
+MAX_GRACE_S = 0.05  # a timer up to this long is no time-out, but a grace period for answers beyond the required ones
 Event = tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What may happen in one run, and how often."""
+    """How often each kind of event may occur in one run."""
 
     members: int = 3
     survive: int = 1
@@ -40,21 +40,21 @@
     wipes: int = 0
     reforms: int = 0
     reads: int = 0
-    cuts: int = 0  # of one member from all others, in both directions or one
-    deviations: int | None = None  # times that an older message or sync is put behind; None: any number
-    depth: int = 60  # events
+    cuts: int = 0  # network partitions of one member from all others, in one or both directions
+    deviations: int | None = None  # number of times that a message or sync overtakes an older one; None: unbounded
+    depth: int = 60  # maximum number of events
 
 
 class StepLoop(VirtualLoop):
-    """Runs only what is ready; timers belong to members, and fire when the search says so."""
+    """An event loop that only runs ready callbacks; timers belong to members and are fired by the search."""
 
     def time(self) -> float:
-        """The clock of the member that runs."""
+        """Return the clock of the member that is running."""
         owner = OWNER.get()
         return owner.clock if isinstance(owner, Member) else 0.0
 
     def call_at(self, when: float, callback: Any, *args: Any, context: Any = None) -> asyncio.TimerHandle:  # type: ignore[override]
-        """A timer of the member that runs; it fires when the model says so."""
+        """Set a timer of the member that is running; it is fired by the model."""
         timer = asyncio.TimerHandle(when, callback, args, self, context or copy_context())
         owner = OWNER.get()
         if isinstance(owner, Member) and not self.over:
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """One message on its way. Only the first of a channel can arrive: a connection keeps the order."""
+    """A message in flight. Only the first one of a channel can arrive, as a connection keeps the order."""
 
     ident: str
     channel: tuple[str, ...]
@@ -84,7 +84,7 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A request without its answer yet."""
+    """A request without a reply so far."""
 
     caller: Member
     caller_incarnation: int
@@ -94,23 +94,23 @@
 
 
 class ModelJournal:
-    """Records in memory; what a sync has covered lasts."""
+    """A journal in memory; records become durable by the sync event."""
 
     def __init__(self, member: Member) -> None:
         self.member = member
         self.size = 0
         self.failed: Failure | None = None
         self.pending: list[Entry] = []
-        self.batch: list[Entry] = []  # being synced
+        self.batch: list[Entry] = []  # records of the sync in progress
         self.syncing: list[asyncio.Future[bool]] = []
         self._waiting: list[asyncio.Future[bool]] = []
 
     def append(self, kind: int, payload: bytes) -> None:
-        """Take a record."""
+        """Append a record."""
         self.pending.append((kind, payload))
 
     async def sync(self) -> bool:
-        """Wait for the event that puts it on the disk."""
+        """Wait for the event that completes the sync."""
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._waiting.append(future)
         if not self.syncing:
@@ -126,7 +126,7 @@
             self.member.model.order.append(("sync", self.member.name))
 
     def synced(self) -> None:
-        """The disk has what was being synced."""
+        """Complete the sync in progress: its records are on the disk."""
         self.member.disk += self.batch
         done = self.syncing
         self.syncing = []
@@ -138,15 +138,15 @@
             self._begin()
 
     def abandon_rewrite(self) -> None:
-        """None is ever under way."""
+        """Do nothing: no rewrite is ever in progress."""
 
     async def rewrite(self, live: Callable[[], Iterable[Entry]]) -> bool:
-        """Never called here."""
-        raise NotImplementedError("a small model's journal never gets long")
+        """Raise NotImplementedError: the journal never grows long enough for a rewrite."""
+        raise NotImplementedError("the journal of the small model does not support a rewrite")
 
 
 class ModelEndpoint:
-    """Calls become messages of the model."""
+    """An endpoint whose calls become messages of the model."""
 
     def __init__(self, member: Member) -> None:
         self.member = member
@@ -154,19 +154,19 @@
         self.links: set[Any] = set()
 
     def on(self, kind: type, handler: Any) -> None:
-        """Register a handler."""
+        """Register the handler of a kind of request."""
         self.handlers[kind] = handler
 
     def spawn(self, work: Any) -> asyncio.Task[Any]:
-        """Run work of this member."""
+        """Run a coroutine as a task of this member."""
         return asyncio.ensure_future(work)
 
     def linked(self, address: str) -> None:
-        """There are no connections here."""
+        """Return None: the model has no connections."""
         return
 
     async def call(self, address: str, value: Any, timeout_s: float) -> Any:
-        """Put a request into the model, and wait for its reply or the time-out."""
+        """Send a request through the model, and wait for its reply or the time-out."""
         member = self.member
         model = self.member.model
         target = model.at(address)
@@ -181,13 +181,13 @@
             timer.cancel()
 
 
-class _Relay:
+class _NullRelay:
     def publish(self, items: list[Item]) -> None:
-        """Nobody follows here."""
+        """Drop the items, as the model has no followers."""
 
 
 class ModelFollower:
-    """What a controller uses of otterreach.runtime.relay.Follower."""
+    """The part of otterreach.runtime.relay.Follower that a controller uses."""
 
     def __init__(self) -> None:
         self.primary = ""
@@ -195,12 +195,12 @@
         self.fresh_at = 0.0
         self.controllers: list[str] = []
         self.store = ReplicatedStore()
-        self.relay = _Relay()
+        self.relay = _NullRelay()
 
 
 @cache
 def settings_of(name: str, number: int, survive: int) -> Settings:
-    """The settings of a member."""
+    """Return the settings of a member."""
     ip = f"10.{number % 3 + 1}.0.{number + 1}"
     raw = {
         "node": name,
@@ -225,14 +225,14 @@
 
 
 class IncarnationChecks(Protocol):
-    """The invariants that are told when a member begins a life."""
+    """The invariants that are notified when an incarnation of a member begins."""
 
     def incarnation_begins(self, member: Member) -> None:
-        """Take what the member loaded as the state that it has to keep."""
+        """Check the state that the member loaded from its disk."""
 
 
 class Model(Protocol):
-    """What a member needs of the run that it is part of."""
+    """The part of the model that a member uses."""
 
     bounds: Bounds
     loop: StepLoop
@@ -243,14 +243,14 @@
         """The invariants of this run."""
 
     def at(self, address: str) -> Member:
-        """The member that listens at this address."""
+        """Return the member that listens at this address."""
 
     def request(self, call: Call, value: Any) -> None:
-        """Put a request into the network."""
+        """Send a request through the model."""
 
 
 class Member(Process):
-    """One controller: its disk, its clock, and the history of its events."""
+    """A controller with its disk, its clock and the history of its events."""
 
     def __init__(self, model: Model, number: int) -> None:
         self.settings = settings_of(f"m{number}", number, model.bounds.survive)
@@ -261,23 +261,23 @@
         self.timers: list[asyncio.TimerHandle] = []
         self.disk: list[Entry] = []
         self.incarnation = 0
-        self.history = 0  # a hash over all its events
+        self.history = 0  # hash of all its events
         self.sent = 0
-        self.connection: dict[str, int] = {}  # by target: rises after a time-out, which opens another one
+        self.connection: dict[str, int] = {}  # target -> number of the connection; a time-out opens a new one
         self.control: ControlReplication
         self.journal: ModelJournal
 
     def note(self, *what: Any) -> None:
-        """Add an event to the history, by which states are told apart."""
+        """Add an event to the history, which distinguishes states."""
         self.history = hash((self.history, what))
 
     def run(self, work: Callable[..., Any], *args: Any) -> None:
-        """Something happens here."""
+        """Run a callback on this member, and everything that becomes ready by it."""
         self.model.loop.call_as(self, work, *args)
         self.model.loop.drain()
 
     def begin(self) -> None:
-        """A new life on what the disk has."""
+        """Begin a new incarnation from the content of the disk."""
         self.dead = False
         self.timers = []
         self.clock = self.clock + 10.0
@@ -294,24 +294,24 @@
         self.control = ControlReplication(self.settings, endpoint, journal, follower, Random(self.number))
         self.control.load(list(self.disk))
         self.model.checks.incarnation_begins(self)
-        if self.journal.pending:  # a new id lasts before anything is answered
+        if self.journal.pending:  # a new id is durable before any answer is sent
             self.disk += self.journal.pending
             self.journal.pending = []
 
     def due(self) -> asyncio.TimerHandle | None:
-        """The timer that fires next."""
+        """Return the timer that fires next."""
         self.timers = [t for t in self.timers if not t.cancelled()]
         return min(self.timers, key=lambda t: t.when(), default=None)
 
     def fire(self, timer: asyncio.TimerHandle) -> None:
-        """Let a timer fire."""
+        """Fire a timer."""
         self.timers.remove(timer)
         self.clock = max(self.clock, timer.when())
         self.model.loop.ready(timer)
         self.model.loop.drain()
 
     def expire(self, call: Call) -> None:
-        """A call is not waited for any longer; it may still arrive."""
+        """Time out a call; the request may still arrive."""
         if not call.future.done():
             self.connection[call.target.name] = self.connection.get(call.target.name, 0) + 1
             call.future.set_result(Failure(Code.TIMED_OUT, "no answer in time"))
