--- a/tests/simulation/test_planted.py
+++ b/tests/simulation/test_planted.py
@@ -1,4 +1,4 @@
-"""Each planted fault is found by what its entry names, and the code without it passes the same run."""
+"""Each planted fault is found by the scenario in its entry, and the code without it passes the same run."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 from otterreach.simulation.planted_locks import LOCK_FAULTS, NUMBER_FAULTS
 from otterreach.simulation.planted_table import TABLE, UNNOTICED
 
-LEAST = 24
+MIN_FAULTS = 24
 SEEDS = 8
 
 
 class TableTest(unittest.TestCase):
-    def test_enough_of_them_with_names_of_their_own(self) -> None:
-        self.assertGreaterEqual(len(TABLE), LEAST)
+    def test_enough_faults_with_unique_names(self) -> None:
+        self.assertGreaterEqual(len(TABLE), MIN_FAULTS)
         self.assertEqual(len(TABLE), len({fault.name for fault in TABLE}))
 
-    def test_text_that_is_not_there_is_told(self) -> None:
+    def test_missing_text_raises(self) -> None:
         change = Change("otterreach.controller.epochs:is_majority", "no such text", "")
         with self.assertRaises(ValueError), planted(Planted("none", "", (change,), "write-elect")):
             pass
 
-    def test_all_fit_the_code(self) -> None:
+    def test_all_faults_apply_to_the_code(self) -> None:
         for fault in (*TABLE, *UNNOTICED):
             with self.subTest(fault.name), planted(fault):
                 pass
 
 
 class FoundTest(unittest.TestCase):
-    """With the known seed first: other code may shift a run's timing, then one of the next few finds it."""
+    """The known seed is tried first; where other code has shifted the timing, one of the next seeds finds the fault."""
 
     def found(self, kind: str) -> None:
         for fault in [f for f in TABLE if (f.found_by if f.found_by in RUNS else "search") == kind]:
@@ -51,7 +51,7 @@
 
 
 class FoundByCoordinationTest(unittest.TestCase):
-    """As above; a test for each part, so that they run side by side."""
+    """As FoundTest, with one test for each part, so that they run in parallel."""
 
     def found(self, faults: tuple[Planted, ...]) -> None:
         for fault in faults:
--- a/tests/simulation/test_quota.py
+++ b/tests/simulation/test_quota.py
@@ -1,6 +1,7 @@
-"""Machines whose share of a core is a quota: they run for 10 ms in each 100 and stand still for the rest.
+"""Machines with a processor quota, which run for 10 ms of each 100 ms and are paused for the rest.
 
-Nobody may be taken to be lost for it: no other primary, no proxy without its items, no replica moved.
+A paused machine must not be considered lost: no other primary is elected, no proxy loses its items, and no replica is
+moved.
 """
 
 from __future__ import annotations
@@ -11,19 +12,19 @@
 from otterreach.simulation.world import World
 
 BEGIN_S = 1.0
-LAST_S = 10.0
+DURATION_S = 10.0
 CONTROLLERS = tuple(f"core-{n}" for n in range(5))
 STORES = tuple(f"store-{n}" for n in range(4))
 PROXIES = tuple(f"front-{n}" for n in range(2))
 
 
 def plan(names: tuple[str, ...]) -> faults.Plan:
-    quota = faults.Fault(BEGIN_S, faults.QUOTA, names, LAST_S)
-    return faults.Plan((quota,), (), BEGIN_S + LAST_S + 1.0)
+    quota = faults.Fault(BEGIN_S, faults.QUOTA, names, DURATION_S)
+    return faults.Plan((quota,), (), BEGIN_S + DURATION_S + 1.0)
 
 
 def events_during(world: World, *events: str) -> list[str]:
-    """The log lines of these events between the beginning and the end of the quotas."""
+    """Return the log lines of these events between the beginning and the end of the quotas."""
     lines = list(world.lines)
     begin = next(number for number, line in enumerate(lines) if "FAULT" in line)
     end = next(number for number, line in enumerate(lines) if "OVER" in line)
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -1,7 +1,6 @@
-"""The model itself.
+"""The simulation itself: virtual time, network and disks.
 
-Virtual time, the network, disks; that a run repeats; that a few seeds keep all promises, and that planted faults are
-found.
+Runs are reproducible, a few seeds violate no invariant, and planted faults are found.
 """
 
 from __future__ import annotations
@@ -29,13 +28,13 @@
 
 
 class Pair:
-    """Two processes with endpoints: `far` answers Done, and keeps what it was told."""
+    """Two processes with endpoints; `far` answers Done and records the times of the requests."""
 
     def __init__(self, seed: int = 1) -> None:
         self.loop = VirtualLoop()
         self.net = Network(self.loop, Random(seed))
         self.near, self.far = Process("near", "10.0.0.1"), Process("far", "10.0.0.2")
-        self.told: list[float] = []
+        self.received_at: list[float] = []
         self.closed: list[float] = []
         self.end: Endpoint
 
@@ -45,7 +44,7 @@
         await endpoint.listen("10.0.0.2", 5)
 
     async def _take(self, link: Link, request: MemberShutdown) -> Done:
-        self.told.append(self.loop.time())
+        self.received_at.append(self.loop.time())
         return Done()
 
     def play(self, work: Callable[[Pair], Coroutine[Any, Any, None]]) -> None:
@@ -70,7 +69,7 @@
 
         self.assertEqual(7250.0, loop.run(work()))
 
-    def test_nothing_left_is_told(self) -> None:
+    def test_loop_without_work_raises(self) -> None:
         loop = VirtualLoop()
 
         async def work() -> None:
@@ -79,7 +78,7 @@
         with self.assertRaises(StalledError):
             loop.run(work())
 
-    def test_frozen_process_goes_on_later(self) -> None:
+    def test_frozen_process_runs_deferred_timers_after_thaw(self) -> None:
         loop = VirtualLoop(0.0)
         process, seen = Process("p", "10.0.0.1"), list[float]()
 
@@ -99,7 +98,7 @@
         loop.run(outside())
         self.assertEqual([1.0, 5.5, 6.5, 7.5], seen)
 
-    def test_dead_process_does_nothing_more(self) -> None:
+    def test_dead_process_runs_no_more_code(self) -> None:
         loop = VirtualLoop(0.0)
         process, seen = Process("p", "10.0.0.1"), list[str]()
 
@@ -126,7 +125,7 @@
 
         Pair().play(work)
 
-    def test_nobody_listens(self) -> None:
+    def test_missing_listener_is_unreachable(self) -> None:
         async def work(pair: Pair) -> None:
             pair.net.machine("10.0.0.3")
             reply = await pair.end.call("10.0.0.3:5", REQUEST, 1.0)
@@ -135,7 +134,7 @@
 
         Pair().play(work)
 
-    def test_machine_without_power_says_nothing(self) -> None:
+    def test_machine_without_power_does_not_answer(self) -> None:
         async def work(pair: Pair) -> None:
             await pair.call()
             pair.net.power_off("10.0.0.2")
@@ -165,26 +164,26 @@
             pair.net.freeze(pair.far, late=False)
             reply = await pair.call(3.0)
             self.assertEqual(Code.TIMED_OUT, reply.code)
-            self.assertEqual(1, len(pair.told))
+            self.assertEqual(1, len(pair.received_at))
             pair.net.thaw(pair.far)
             await asyncio.sleep(0.01)
-            self.assertEqual(2, len(pair.told))
+            self.assertEqual(2, len(pair.received_at))
 
         Pair().play(work)
 
-    def test_cut_holds_bytes_up(self) -> None:
+    def test_partition_delays_bytes(self) -> None:
         async def work(pair: Pair) -> None:
             await pair.call()
             pair.net.cut(["10.0.0.1"], ["10.0.0.2"])
             call = asyncio.ensure_future(pair.call(3.0))
             await asyncio.sleep(1.0)
-            self.assertEqual(1, len(pair.told))
+            self.assertEqual(1, len(pair.received_at))
             pair.net.heal()
             self.assertEqual(Done(), await call)
 
         Pair().play(work)
 
-    def test_cut_that_lasts_ends_the_connection(self) -> None:
+    def test_long_partition_closes_the_connection(self) -> None:
         async def work(pair: Pair) -> None:
             await pair.call()
             pair.net.cut(["10.0.0.1"], ["10.0.0.2"])
@@ -195,20 +194,20 @@
 
         Pair().play(work)
 
-    def test_cut_of_one_direction(self) -> None:
-        """The question comes, the answer does not."""
+    def test_partition_of_one_direction(self) -> None:
+        """The request arrives, the reply does not."""
 
         async def work(pair: Pair) -> None:
             await pair.call()
             pair.net.cut(["10.0.0.2"], ["10.0.0.1"], both_ways=False)
             reply = await pair.call(1.0)
             self.assertIsInstance(reply, Failure)
-            self.assertEqual(2, len(pair.told))
+            self.assertEqual(2, len(pair.received_at))
 
         Pair().play(work)
 
-    def test_frozen_before_it_hands_over(self) -> None:
-        """`late`: what was written at that moment leaves only after the thaw."""
+    def test_late_freeze_holds_back_written_bytes(self) -> None:
+        """With `late`, bytes written at the moment of the freeze are only sent after the thaw."""
 
         async def work(pair: Pair) -> None:
             await pair.call()
@@ -217,17 +216,17 @@
             pair.net.freeze(pair.near, late=True)
             pair.net.later(4.0, pair.net.thaw, pair.near)
             await call
-            self.assertEqual(2, len(pair.told))
-            self.assertGreater(pair.told[1] - pair.told[0], 4.0)
+            self.assertEqual(2, len(pair.received_at))
+            self.assertGreater(pair.received_at[1] - pair.received_at[0], 4.0)
 
         Pair().play(work)
 
     def test_order_is_kept(self) -> None:
         async def work(pair: Pair) -> None:
-            got: list[int] = []
+            received: list[int] = []
 
             async def take(link: Link, ask: rpc.FailureReply) -> None:
-                got.append(ask.code)
+                received.append(ask.code)
 
             pair.server.on(rpc.FailureReply, take)
             link = await pair.end.link("10.0.0.2:5")
@@ -235,19 +234,19 @@
             for number in range(200):
                 link.send(rpc.FailureReply(number, ""))
             await asyncio.sleep(1.0)
-            self.assertEqual(list(range(200)), got)
+            self.assertEqual(list(range(200)), received)
 
         Pair().play(work)
 
     def test_thawed_process_takes_connections_in_any_order(self) -> None:
-        """In order on each connection, but not among them."""
+        """Data is handled in order on each connection, in any order between connections."""
         orders = set()
         for seed in range(12):
-            pair, got = Pair(seed), list[int]()
+            pair, received = Pair(seed), list[int]()
 
-            async def work(pair: Pair = pair, got: list[int] = got) -> None:
+            async def work(pair: Pair = pair, received: list[int] = received) -> None:
                 async def take(link: Link, ask: rpc.FailureReply) -> None:
-                    got.append(ask.code)
+                    received.append(ask.code)
 
                 pair.server.on(rpc.FailureReply, take)
                 links = [await Endpoint().link("10.0.0.2:5") for _ in range(2)]
@@ -261,14 +260,14 @@
                 await asyncio.sleep(0.5)
 
             pair.play(lambda _, work=work: work())  # type: ignore[misc]
-            self.assertLess(got.index(0), got.index(2))
-            self.assertLess(got.index(1), got.index(3))
-            orders.add(tuple(got))
+            self.assertLess(received.index(0), received.index(2))
+            self.assertLess(received.index(1), received.index(3))
+            orders.add(tuple(received))
         self.assertGreater(len(orders), 2)
 
 
 class DiskTest(unittest.TestCase):
-    def test_what_was_synced_lasts(self) -> None:
+    def test_synced_records_survive_power_loss(self) -> None:
         for seed in range(40):
             disk = Disk(Random(seed))
 
@@ -317,7 +316,7 @@
         self.assertEqual(list(one.lines), list(two.lines))
         self.assertEqual(one.loop.steps, two.loop.steps)
 
-    def test_disks_go_only_within_what_is_to_be_survived(self) -> None:
+    def test_disk_losses_stay_within_the_survived_number(self) -> None:
         names = [f"n{n}" for n in range(5)]
         for seed in range(300):
             plan = faults.draw(Random(seed), names, ["o"], 1)
@@ -345,7 +344,7 @@
 
 
 class PlantedTest(unittest.TestCase):
-    """Faults put in on purpose have to be found within a few seeds."""
+    """Planted faults have to be found within a few seeds."""
 
     def found(self, run: Any, seeds: int) -> str:
         for seed in range(1, seeds + 1):
@@ -363,7 +362,7 @@
             self.assertNotEqual("", self.found(control.run, 8))
 
     def test_read_without_asking_the_backups(self) -> None:
-        """A primary that was frozen answers with its old configuration: only reads as a history show it."""
+        """A thawed primary answers with its old configuration, which only the check of the read history detects."""
 
         async def confirm(self: ControlReplication) -> bool:
             return self.is_primary
