--- a/otterreach/simulation/job_trainers.py
+++ b/otterreach/simulation/job_trainers.py
@@ -167,7 +167,7 @@
         if isinstance(reply, ItemBody):
             self.world.expect(reply.body == batch_job.items[item], "other bytes", f"{batch_job.id} {item}")
             return True
-        if reply.code is Code.UNKNOWN_ITEM and not batch_job.end_sent:  # then its result has to be listed by now
+        if reply.code is Code.UNKNOWN_ITEM and not batch_job.end_sent:  # its result must have been listed meanwhile
             await self._read(directory, batch_job, 0, 0)
         self._check_known(batch_job, reply)
         return False
--- a/otterreach/simulation/transport.py
+++ b/otterreach/simulation/transport.py
@@ -13,7 +13,7 @@
 from otterreach.simulation.loop import Process, VirtualLoop
 
 USER_TIMEOUT_S = 1.5  # equals the TCP user timeout set by otterreach.runtime.rpc
-NOT_SENT_YET_S = 0.003  # bytes written less than this before a late freeze have not reached the kernel
+UNSENT_S = 0.003  # bytes written less than this before a late freeze have not reached the kernel
 MAX_RETRANSMIT_S = 0.25  # maximum time from the healing of a partition to the retransmission of blocked bytes
 
 
@@ -112,7 +112,7 @@
     def hold(self) -> None:
         """Hold back the bytes just written: the sender is frozen before the kernel receives them."""
         for chunk in self.chunks:
-            chunk.held = chunk.held or not chunk.delivered and self.network.loop.time() - chunk.sent_at < NOT_SENT_YET_S
+            chunk.held = chunk.held or not chunk.delivered and self.network.loop.time() - chunk.sent_at < UNSENT_S
 
     def retransmit(self, chunk: Chunk) -> None:
         """Retransmit a blocked chunk."""
