--- a/otterreach/controller/api/coordination_answers.py
+++ b/otterreach/controller/api/coordination_answers.py
@@ -76,4 +76,4 @@
 
     The call may already be in effect, so a failure must not be answered with a status that says that it is not.
     """
-    return accepted if await control.committed() else OUTCOME_UNKNOWN
+    return accepted if await control.wait_until_committed() else OUTCOME_UNKNOWN
--- a/otterreach/controller/api/resource.py
+++ b/otterreach/controller/api/resource.py
@@ -31,7 +31,7 @@
     async def confirm(self) -> bool:
         """Return True if this controller is the primary now."""
 
-    async def committed(self) -> bool:
+    async def wait_until_committed(self) -> bool:
         """Return True if this controller is the primary now and `state`, as of the call, is on all replicas."""
 
 
@@ -66,4 +66,4 @@
 
 async def when_committed(control: ControlState, answer: ApiResponse) -> ApiResponse:
     """Return `answer` once the current state, on which it depends, is committed; UNAVAILABLE if that fails."""
-    return answer if await control.committed() else UNAVAILABLE
+    return answer if await control.wait_until_committed() else UNAVAILABLE
--- a/otterreach/controller/primary.py
+++ b/otterreach/controller/primary.py
@@ -73,9 +73,9 @@
         """Return True if this controller is confirmed as the primary now. Called before a read is answered."""
         return await self.heartbeats.confirm()
 
-    async def committed(self) -> bool:
+    async def wait_until_committed(self) -> bool:
         """Return True if this is the primary now and all members have every change made before the call."""
-        return await self.writes.committed()
+        return await self.writes.wait_until_committed()
 
     def propose(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
         """Set items to new values: see WritePipeline.propose."""
--- a/otterreach/controller/replication.py
+++ b/otterreach/controller/replication.py
@@ -139,13 +139,13 @@
         """Return True if this controller is confirmed as the primary now. Called before a read is answered."""
         return await self.primary.confirm()
 
-    async def committed(self) -> bool:
+    async def wait_until_committed(self) -> bool:
         """Return True if this is the primary now and all members have every change made before the call."""
-        return await self.primary.committed()
+        return await self.primary.wait_until_committed()
 
     async def done_when_committed(self) -> Done | Failure:
         """Return the reply to a call whose change is in the state already: Done once that state cannot be lost."""
-        return Done() if await self.committed() else Failure(Code.NOT_SYNCED, "not at all replicas")
+        return Done() if await self.wait_until_committed() else Failure(Code.NOT_SYNCED, "not at all replicas")
 
     @property
     def accepts_writes(self) -> bool:
--- a/otterreach/controller/writes.py
+++ b/otterreach/controller/writes.py
@@ -235,7 +235,7 @@
             if now - write.submitted_at >= timeout_s:
                 write.complete(False)
 
-    async def committed(self) -> bool:
+    async def wait_until_committed(self) -> bool:
         """Return True if this is the primary now and all members have every change made before the call.
 
         Called before an answer that depends on the state: a change that not all members have may still be lost.
--- a/otterreach/simulation/planted_keys.py
+++ b/otterreach/simulation/planted_keys.py
@@ -227,12 +227,12 @@
         "reads, conflicts and repeated calls are answered from state that is not yet on all replicas",
         (
             Change(
-                "otterreach.controller.writes:WritePipeline.committed",
+                "otterreach.controller.writes:WritePipeline.wait_until_committed",
                 "while self._committed < submitted and",
                 "while False and",
             ),
             Change(
-                "otterreach.controller.writes:WritePipeline.committed",
+                "otterreach.controller.writes:WritePipeline.wait_until_committed",
                 "return self._committed >= submitted and self._step_downs == step_downs",
                 "return True",
             ),
--- a/tests/controller/control_api_support.py
+++ b/tests/controller/control_api_support.py
@@ -98,7 +98,7 @@
         await asyncio.sleep(0)
         return self.is_primary
 
-    async def committed(self) -> bool:
+    async def wait_until_committed(self) -> bool:
         if self._waiting:
             write = self._waiting[-1]
             await asyncio.wait([write])
--- a/tests/controller/test_retirement.py
+++ b/tests/controller/test_retirement.py
@@ -28,7 +28,7 @@
     async def confirm(self) -> bool:
         return True
 
-    async def committed(self) -> bool:
+    async def wait_until_committed(self) -> bool:
         return True
 
     def propose(self, changes: list[tuple[str, bytes]]) -> asyncio.Future[bool]:
