--- a/otterreach/controller/api/configuration.py
+++ b/otterreach/controller/api/configuration.py
@@ -52,7 +52,7 @@
             self._changes_in_progress -= 1
 
     async def _read(self) -> ApiResponse:
-        if not await self.control.confirm():
+        if not await self.control.confirm_leadership():
             return UNAVAILABLE
         item = self.published.items.get(CONFIGURATION_KEY)
         if item is None or item.is_tombstone:
--- a/otterreach/controller/api/resource.py
+++ b/otterreach/controller/api/resource.py
@@ -28,7 +28,7 @@
     def propose(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
         """Change items. The result is True once the changes are on all replicas, False if that is not certain."""
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         """Return True if this controller is the primary now."""
 
     async def wait_until_committed(self) -> bool:
--- a/otterreach/controller/api/retirement.py
+++ b/otterreach/controller/api/retirement.py
@@ -51,7 +51,7 @@
             return await self._begin(node)
         if call.method != "GET":
             return METHOD_NOT_ALLOWED
-        if not await self.control.confirm():
+        if not await self.control.confirm_leadership():
             return UNAVAILABLE
         return self._progress(node)
 
--- a/otterreach/controller/api/watches.py
+++ b/otterreach/controller/api/watches.py
@@ -41,7 +41,7 @@
         return await self._watch(read_watch(group, call.query))
 
     async def _watch(self, watch: Watch) -> ApiResponse:
-        if not await self.control.confirm():
+        if not await self.control.confirm_leadership():
             return UNAVAILABLE
         revision = self.hub.committed_revision(watch.group)
         if watch.past == 0 < revision:
@@ -63,7 +63,7 @@
         """
         revision = self.hub.committed_revision(watch.group)
         if revision <= watch.past:
-            if not await self.control.confirm():
+            if not await self.control.confirm_leadership():
                 return UNAVAILABLE
             revision = self.hub.committed_revision(watch.group)
         return self._events(watch, revision)
--- a/otterreach/controller/epoch_heartbeats.py
+++ b/otterreach/controller/epoch_heartbeats.py
@@ -80,7 +80,7 @@
 
     # Confirmation of leadership ------------------------------------------------------------------
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         """Return True if this controller is the primary now. Called before a read is answered.
 
         Every backup and a majority of the witnesses, asked after this call began, must confirm that the epoch is
--- a/otterreach/controller/primary.py
+++ b/otterreach/controller/primary.py
@@ -69,9 +69,9 @@
             answered = [self.contacts.by_id[backup].answered_at for backup in configuration.backups]
             self.follower.fresh_at = min(answered, default=self.replica.loop.time())
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         """Return True if this controller is confirmed as the primary now. Called before a read is answered."""
-        return await self.heartbeats.confirm()
+        return await self.heartbeats.confirm_leadership()
 
     async def wait_until_committed(self) -> bool:
         """Return True if this is the primary now and all members have every change made before the call."""
--- a/otterreach/controller/replication.py
+++ b/otterreach/controller/replication.py
@@ -135,9 +135,9 @@
         """Return the failure for a call that only the primary serves."""
         return self.replica.not_primary()
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         """Return True if this controller is confirmed as the primary now. Called before a read is answered."""
-        return await self.primary.confirm()
+        return await self.primary.confirm_leadership()
 
     async def wait_until_committed(self) -> bool:
         """Return True if this is the primary now and all members have every change made before the call."""
--- a/otterreach/controller/writes.py
+++ b/otterreach/controller/writes.py
@@ -242,7 +242,7 @@
         """
         submitted = self._submitted
         step_downs = self._step_downs
-        if not await self.heartbeats.confirm():
+        if not await self.heartbeats.confirm_leadership():
             return False
         contacts = self.heartbeats.contacts
         while self._committed < submitted and self._step_downs == step_downs and contacts.has_majority():
--- a/otterreach/simulation/planted_keys.py
+++ b/otterreach/simulation/planted_keys.py
@@ -198,7 +198,7 @@
     Planted(
         "present-revision-without-contact",
         "a watch is accepted without confirming the epoch",
-        (Change(f"{WATCH_RESOURCE}._watch", "not await self.control.confirm()", "False"),),
+        (Change(f"{WATCH_RESOURCE}._watch", "not await self.control.confirm_leadership()", "False"),),
         COORDINATION,
         plan=PRIMARIES_FREEZE,
         rule=Rule.STALE.value,
@@ -243,7 +243,7 @@
     Planted(
         "empty-watch-of-an-old-primary",
         "a watch that times out is answered without confirming the epoch",
-        (Change(f"{WATCH_RESOURCE}._after_wait", "not await self.control.confirm()", "False"),),
+        (Change(f"{WATCH_RESOURCE}._after_wait", "not await self.control.confirm_leadership()", "False"),),
         COORDINATION,
         plan=PRIMARIES_FREEZE_BRIEFLY,
     ),
--- a/otterreach/simulation/small_model.py
+++ b/otterreach/simulation/small_model.py
@@ -231,7 +231,7 @@
         member.run(lambda: spawn(self._read(member.control, dict(self.checks.seen.acked))))
 
     async def _read(self, control: ControlReplication, acked: dict[str, int]) -> None:
-        if not await control.confirm():
+        if not await control.confirm_leadership():
             return
         for key, revision in acked.items():
             item = control.follower.store.items.get(key)
--- a/tests/controller/control_api_support.py
+++ b/tests/controller/control_api_support.py
@@ -94,7 +94,7 @@
             if not future.done():
                 future.set_result(done)
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         await asyncio.sleep(0)
         return self.is_primary
 
@@ -104,7 +104,7 @@
             await asyncio.wait([write])
             if not write.result():
                 return False
-        return await self.confirm()
+        return await self.confirm_leadership()
 
 
 class Endpoint:
--- a/tests/controller/test_control_api_faults.py
+++ b/tests/controller/test_control_api_faults.py
@@ -244,7 +244,7 @@
         planted: list[tuple[str, Any, str]] = [
             (
                 "answers on what may vanish",
-                mock.patch.object(ControlReplication, "wait_until_committed", ControlReplication.confirm),
+                mock.patch.object(ControlReplication, "wait_until_committed", ControlReplication.confirm_leadership),
                 SLOW_DISKS,
             ),
             ("no history", mock.patch.object(ChangeHistory, "has", lambda history, change: False), "kill"),
--- a/tests/controller/test_coordination_planted.py
+++ b/tests/controller/test_coordination_planted.py
@@ -92,7 +92,7 @@
         "frozen.FrozenPrimaryTest.test_a_primary_that_thaws_accepts_nothing_beside_the_next",
     ),
     "a watch without contact": (
-        lambda patch: patch.setattr(ControlReplication, "confirm", always),
+        lambda patch: patch.setattr(ControlReplication, "confirm_leadership", always),
         "frozen.FrozenPrimaryTest.test_a_primary_that_thaws_accepts_nothing_beside_the_next",
     ),
     "a hold ends too early": (
--- a/tests/controller/test_retirement.py
+++ b/tests/controller/test_retirement.py
@@ -25,7 +25,7 @@
     def __init__(self, published: ReplicatedStore) -> None:
         self.state, self.published, self.revision = ReplicatedStore(), published, 0
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         return True
 
     async def wait_until_committed(self) -> bool:
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -364,12 +364,12 @@
     def test_read_without_asking_the_backups(self) -> None:
         """A thawed primary answers with its old configuration, which only the check of the read history detects."""
 
-        async def confirm(self: ControlReplication) -> bool:
+        async def confirm_leadership(self: ControlReplication) -> bool:
             return self.is_primary
 
         freeze = faults.Fault(3.0, "freeze", (faults.LEADER,), 4.0)
         plan = faults.Plan((freeze,), ((7.0, 16.0),), 16.0)
-        with mock.patch.object(ControlReplication, "confirm", confirm):
+        with mock.patch.object(ControlReplication, "confirm_leadership", confirm_leadership):
             self.assertEqual("linearizable", self.found(lambda seed: control.run(seed, plan), 12))
 
     def test_acknowledged_without_the_backups(self) -> None:
