--- a/otterreach/controller/election.py
+++ b/otterreach/controller/election.py
@@ -43,7 +43,7 @@
         self.in_progress = False
         self.disabled = False  # set at graceful shutdown: this controller starts no more elections
 
-    def may_stand(self) -> bool:
+    def is_eligible(self) -> bool:
         """Return True if this controller is a member of the highest configuration known to it.
 
         Only members hold all acknowledged writes, so only they may become primary.
--- a/otterreach/controller/graceful_shutdown.py
+++ b/otterreach/controller/graceful_shutdown.py
@@ -82,7 +82,7 @@
 
     async def handle_transfer_leadership(self, link: Link, request: TransferLeadership) -> Done | Failure:
         """Run an election to lead the next epoch in place of the requesting primary."""
-        if self.replica.number != request.number or self.election.disabled or not self.election.may_stand():
+        if self.replica.number != request.number or self.election.disabled or not self.election.is_eligible():
             return Failure(Code.STALE_EPOCH, f"at {self.replica.number}")
         self.membership.record_shutdown(request.leaving)
         change = MembershipChange(avoid=self.membership.shutting_down, transfer=True)
--- a/otterreach/controller/membership.py
+++ b/otterreach/controller/membership.py
@@ -186,7 +186,7 @@
         if replica.mode is Mode.NEW:
             return True
         since_contact_s = replica.loop.time() - replica.last_primary_contact_at
-        return replica.mode is Mode.FOLLOWING and since_contact_s > JOIN_INTERVAL_S and not self.election.may_stand()
+        return replica.mode is Mode.FOLLOWING and since_contact_s > JOIN_INTERVAL_S and not self.election.is_eligible()
 
     def ask_to_join_when_due(self, now: float) -> None:
         """Ask to join, in the background, at most once per JOIN_INTERVAL_S."""
--- a/otterreach/controller/replication.py
+++ b/otterreach/controller/replication.py
@@ -218,7 +218,7 @@
     def _election_is_due(self) -> bool:
         """Return True if the election time-out has expired and this controller may stand for election."""
         waits = self.mode is Mode.FOLLOWING and not self.election.disabled
-        return waits and self.election_timer.has_expired() and self.election.may_stand()
+        return waits and self.election_timer.has_expired() and self.election.is_eligible()
 
     def _collect_tombstones(self, now: float) -> None:
         changes = self.tombstone_clock.due_change(now)
--- a/otterreach/simulation/planted_controllers.py
+++ b/otterreach/simulation/planted_controllers.py
@@ -132,7 +132,7 @@
     Planted(
         "leads-without-copy",
         "a witness without a replica of the state may stand for election",
-        (Change(f"{ELECTION}.may_stand", "self.replica.id in configuration.members", "True"),),
+        (Change(f"{ELECTION}.is_eligible", "self.replica.id in configuration.members", "True"),),
         "write-elect",
         rule="acknowledged is gone",
     ),
--- a/otterreach/simulation/small_model.py
+++ b/otterreach/simulation/small_model.py
@@ -161,7 +161,7 @@
             events.append(("read", member.name))
         may_stand = (
             control.mode in (Mode.FOLLOWING, Mode.PRIMARY)
-            and control.election.may_stand()
+            and control.election.is_eligible()
             and not control.election.in_progress
         )
         if may_stand and self._may("elect", bounds.elections):
