--- a/otterreach/controller/election.py
+++ b/otterreach/controller/election.py
@@ -83,7 +83,7 @@
                 self.formation.log_unmet(configuration)
                 self.become_primary([])
             else:
-                replica.become(Mode.FOLLOWING, "initial configuration not accepted by all seeds")
+                replica.set_mode(Mode.FOLLOWING, "initial configuration not accepted by all seeds")
         finally:
             self.in_progress = False
 
@@ -153,7 +153,7 @@
             return None
         replica.promise(number)
         if not was_primary:
-            replica.become(Mode.CANDIDATE, f"candidate for epoch {number}")
+            replica.set_mode(Mode.CANDIDATE, f"candidate for epoch {number}")
         if not await replica.sync() or replica.promised != number:
             replica.step_down("promised to another candidate, or disk failed")
             return None
--- a/otterreach/controller/local_replica.py
+++ b/otterreach/controller/local_replica.py
@@ -39,7 +39,7 @@
 
 
 class LocalReplica:
-    """The state of one controller, in memory and in the journal. Only `become` changes its mode.
+    """The state of one controller, in memory and in the journal. Only `set_mode` changes its mode.
 
     The class has more than 20 methods because all journal records are written and replayed here, so that disk and
     memory cannot diverge.
@@ -85,7 +85,7 @@
             self.id = identity.draw_disk_id()
             self.uninitialised = self.settings.bootstrap
             self.journal.append(JournalKind.IDENTITY, self._identity_payload())
-        self.become(Mode.FOLLOWING if self.accepted else Mode.NEW, "start")
+        self.set_mode(Mode.FOLLOWING if self.accepted else Mode.NEW, "start")
 
     def _load_record(self, kind: int, payload: bytes, replay: StateReplay) -> None:
         if kind == JournalKind.IDENTITY:
@@ -155,7 +155,7 @@
     def fail_disk(self) -> None:
         """Step down and go to Mode.FAILED because the disk has failed."""
         self.step_down("disk failed")
-        self.become(Mode.FAILED, "disk failed")
+        self.set_mode(Mode.FAILED, "disk failed")
 
     @property
     def disk_failure(self) -> Failure:
@@ -263,11 +263,11 @@
         self.journal.append(JournalKind.CONFIGURATION, encode(Accept([configuration])))
         if configuration.primary != self.id:
             is_witness = configuration.witness(self.id) is not None
-            self.become(Mode.FOLLOWING if is_witness else Mode.NEW, f"epoch {configuration.number}")
+            self.set_mode(Mode.FOLLOWING if is_witness else Mode.NEW, f"epoch {configuration.number}")
 
     # Mode ----------------------------------------------------------------------------------------
 
-    def become(self, mode: Mode, reason: str) -> None:
+    def set_mode(self, mode: Mode, reason: str) -> None:
         """Change the mode, log the change and notify observers. Nothing else changes the mode."""
         old = self.mode
         self.mode = mode
@@ -290,6 +290,6 @@
     def step_down(self, reason: str) -> None:
         """Stop being primary or candidate; observers answer the writes in progress (outcome unknown)."""
         if self.mode in (Mode.PRIMARY, Mode.CANDIDATE):
-            self.become(Mode.FOLLOWING, reason)
+            self.set_mode(Mode.FOLLOWING, reason)
         for observer in self.on_step_down:
             observer()
--- a/otterreach/controller/primary.py
+++ b/otterreach/controller/primary.py
@@ -43,7 +43,7 @@
         self.contacts.begin_epoch(replica.accepted, replica.id, replica.is_primary)
         self.follower.primary = replica.settings.address
         self.writes.begin_epoch()
-        replica.become(Mode.PRIMARY, f"epoch {replica.number} took effect")
+        replica.set_mode(Mode.PRIMARY, f"epoch {replica.number} took effect")
         self.publisher.publish_all(installed)  # changes made since then are still to be appended to the backups
         self._refresh_state_age()
         self.writes.resume()
--- a/otterreach/jobstore/backup.py
+++ b/otterreach/jobstore/backup.py
@@ -60,7 +60,7 @@
             replica.promise(epoch)
         if replica.state in (ReplicaState.ABSENT, ReplicaState.FENCED):
             state = ReplicaState.BACKUP if replica.is_complete else ReplicaState.LEARNER
-            replica.become(state, "called by the primary")
+            replica.transition_to(state, "called by the primary")
         return replica
 
     async def handle_append(self, link: Link, request: AppendEntries) -> ReplicaPosition | Failure:
@@ -99,7 +99,7 @@
         if request.last:
             replica.install_staged()
             if replica.placement is None or self.context.member in replica.placement.backups:
-                replica.become(ReplicaState.BACKUP, "installed")
+                replica.transition_to(ReplicaState.BACKUP, "installed")
         return await self._position_on_disk(replica, request.epoch)
 
     async def _position_on_disk(self, replica: PartitionReplica, epoch: int) -> ReplicaPosition | Failure:
--- a/otterreach/jobstore/leadership.py
+++ b/otterreach/jobstore/leadership.py
@@ -213,7 +213,7 @@
             self.replica.retained_from = min(needed_from, default=index)
         is_caught_up = self.committed_index >= self.first_index and self.has_enough_backups
         if is_caught_up and self.replica.state is ReplicaState.SYNCING:
-            self.replica.become(ReplicaState.SERVING, "all members are in sync")
+            self.replica.transition_to(ReplicaState.SERVING, "all members are in sync")
             self.listener.became_leader(self.replica)
 
     def _release_waiters(self, committed_index: int) -> None:
--- a/otterreach/jobstore/partition_replica.py
+++ b/otterreach/jobstore/partition_replica.py
@@ -131,7 +131,7 @@
 
     # State ---------------------------------------------------------------------------------------
 
-    def become(self, state: ReplicaState, reason: str) -> None:
+    def transition_to(self, state: ReplicaState, reason: str) -> None:
         """Change the state. No other function does."""
         old = self.state
         if old is state:
@@ -139,7 +139,7 @@
         if state not in TRANSITIONS[old]:  # the role in an older epoch has to end first
             if state not in TRANSITIONS[ReplicaState.FENCED]:
                 raise ValueError(f"invalid transition of a partition replica from {old} to {state}")
-            self.become(ReplicaState.FENCED, reason)
+            self.transition_to(ReplicaState.FENCED, reason)
         self.state = state
         if state is ReplicaState.FENCED:
             self.fenced_at = self.now()
@@ -280,7 +280,7 @@
         """Drop the contents of this replica; other members hold everything."""
         self.journal.append(*boundary_record(RecordKind.DROPPED, self.partition))
         self._clear()
-        self.become(ReplicaState.ABSENT, "dropped")
+        self.transition_to(ReplicaState.ABSENT, "dropped")
 
     def _clear(self) -> None:
         self._replace(JobTable(), START)
--- a/otterreach/jobstore/replication.py
+++ b/otterreach/jobstore/replication.py
@@ -86,9 +86,9 @@
         if self.member == record.primary:
             self._begin_leadership(replica, record)
         elif self.member in record.backups and replica.is_complete:
-            replica.become(ReplicaState.BACKUP, "record")
+            replica.transition_to(ReplicaState.BACKUP, "record")
         else:
-            replica.become(ReplicaState.LEARNER, "record")
+            replica.transition_to(ReplicaState.LEARNER, "record")
 
     def _leave_partition(self, replica: PartitionReplica, record: PartitionRecord) -> None:
         if not replica.epoch:
@@ -96,18 +96,18 @@
         replica.promise(record.epoch)
         replica.placement = record
         if replica.state is not ReplicaState.ABSENT:
-            replica.become(ReplicaState.FENCED, "not a member")
+            replica.transition_to(ReplicaState.FENCED, "not a member")
         elif replica.is_complete:  # replayed from the journal
-            replica.become(ReplicaState.FENCED, "no longer a member")
+            replica.transition_to(ReplicaState.FENCED, "no longer a member")
 
     # Leadership ----------------------------------------------------------------------------------
 
     def _begin_leadership(self, replica: PartitionReplica, record: PartitionRecord) -> None:
         if not replica.is_complete:
             log("primary_without_replica", level="ERROR", partition=replica.partition, epoch=record.epoch)
-            replica.become(ReplicaState.FENCED, "no replica")
+            replica.transition_to(ReplicaState.FENCED, "no replica")
             return
-        replica.become(ReplicaState.SYNCING, "record")
+        replica.transition_to(ReplicaState.SYNCING, "record")
         leader = PartitionLeader(self.context, self, self.listener, replica, record)
         self.leaders[replica.partition] = leader
         self.context.spawn(leader.begin())
@@ -120,7 +120,7 @@
         leader = self.leaders.pop(replica.partition, None)
         if leader is None:
             return
-        replica.become(ReplicaState.FENCED, "epoch over")
+        replica.transition_to(ReplicaState.FENCED, "epoch over")
         leader.end()
         if not stays_primary:
             self.listener.stepped_down(replica)
--- a/otterreach/simulation/invariants.py
+++ b/otterreach/simulation/invariants.py
@@ -23,7 +23,7 @@
 GONE_RANK = 2
 CHANGING_METHODS = (
     (LocalReplica, "load"),
-    (LocalReplica, "become"),
+    (LocalReplica, "set_mode"),
     (LocalReplica, "promise"),
     (LocalReplica, "adopt_configuration"),
     (ReplicatedStore, "apply"),
--- a/otterreach/simulation/jobs.py
+++ b/otterreach/simulation/jobs.py
@@ -86,7 +86,7 @@
 
             return marked
 
-        for name in ("become", "promise", "finish_replay"):
+        for name in ("transition_to", "promise", "finish_replay"):
             self.world.wrap(PartitionReplica, name, mark_changes)
         self.world.wrap(JobRequests, "handle_submit", self._check_acknowledged_copies)
         self.world.wrap(Box, "power_off", self._record_disk_loss)
--- a/tests/controller/test_primary.py
+++ b/tests/controller/test_primary.py
@@ -72,7 +72,7 @@
         self.primary.begin_epoch([])
 
     def step_down(self) -> None:
-        self.replica.become(Mode.FOLLOWING, "another leads")
+        self.replica.set_mode(Mode.FOLLOWING, "another leads")
         for observer in self.replica.on_step_down:
             observer()
 
