--- a/otterreach/controller/acceptor.py
+++ b/otterreach/controller/acceptor.py
@@ -107,4 +107,4 @@
     async def handle_identity_request(self, link: Link, request: IdentityRequest) -> IdentityReply:
         """Reply with this controller's identity, and whether it may be part of the initial configuration."""
         replica = self.replica
-        return IdentityReply([replica.info], replica.uninitialised and replica.accepted is None)
+        return IdentityReply([replica.controller_info], replica.uninitialised and replica.accepted is None)
--- a/otterreach/controller/election.py
+++ b/otterreach/controller/election.py
@@ -72,7 +72,7 @@
         identities = [reply for reply in replies if isinstance(reply, IdentityReply) and reply.uninitialised]
         if len(identities) < len(others):
             return
-        witnesses = [replica.info, *(identity.controller[0] for identity in identities)]
+        witnesses = [replica.controller_info, *(identity.controller[0] for identity in identities)]
         configuration = self.formation.initial_configuration(witnesses)
         self.in_progress = True
         try:
--- a/otterreach/controller/formation.py
+++ b/otterreach/controller/formation.py
@@ -96,7 +96,7 @@
         """
         own_id = self.replica.id
         backups: list[str] = []
-        domains = self.domains([self.replica.info, *candidates])
+        domains = self.domains([self.replica.controller_info, *candidates])
         left = {candidate.id: candidate for candidate in candidates}
         while chosen := choose_replicas([own_id, *backups], list(left), domains, self.limits):
             targets = [left.pop(ident) for ident in chosen]
--- a/otterreach/controller/local_replica.py
+++ b/otterreach/controller/local_replica.py
@@ -217,7 +217,7 @@
         return self.accepted is not None and self.accepted.witness(self.id) is not None
 
     @property
-    def info(self) -> ControllerInfo:
+    def controller_info(self) -> ControllerInfo:
         """This controller's identity and address, as sent to others."""
         return ControllerInfo(self.id, self.settings.node, self.settings.address, self.settings.zone)
 
--- a/otterreach/controller/membership.py
+++ b/otterreach/controller/membership.py
@@ -196,7 +196,7 @@
 
     async def _ask_to_join(self) -> None:
         addresses = dict.fromkeys([self.follower.primary, *self.follower.controllers, *self.settings.seeds])
-        request = JoinRequest([self.replica.info])
+        request = JoinRequest([self.replica.controller_info])
         for address in addresses:
             if address and address != self.settings.address:
                 reply = await self.endpoint.call(address, request, CALL_TIMEOUT_S)
--- a/otterreach/simulation/small_model.py
+++ b/otterreach/simulation/small_model.py
@@ -247,7 +247,7 @@
 
     def _do_reform(self, member: Member, joiner: str) -> None:
         """Add a member as the primary does after a join request; a witness at its address (its old disk) is dropped."""
-        new = next(m for m in self.members if m.name == joiner).control.replica.info
+        new = next(m for m in self.members if m.name == joiner).control.replica.controller_info
         record = member.control.accepted
         assert record is not None
         drop = frozenset(w.id for w in record.witnesses if w.address == new.address)
--- a/tests/controller/test_many_changes.py
+++ b/tests/controller/test_many_changes.py
@@ -85,7 +85,7 @@
             receiver = Receiver()
             link = Link(receiver)
             began = loop.time()
-            self.assertTrue(await sender_on(link).install(receiver.info, 2, store))
+            self.assertTrue(await sender_on(link).install(receiver.controller_info, 2, store))
             seconds = loop.time() - began
             print(f"catching up {seconds:.2f} s and {link.bytes} B over 30 Mbit/s")
             self.assertEqual(store.items, receiver.replica.store.items)
--- a/tests/controller/test_snapshot.py
+++ b/tests/controller/test_snapshot.py
@@ -52,7 +52,7 @@
         SnapshotReceiver(self.replica, cast(Any, self))
 
     @property
-    def info(self) -> ControllerInfo:
+    def controller_info(self) -> ControllerInfo:
         return ControllerInfo(self.replica.id, "c", "c:1", "z")
 
 
@@ -96,7 +96,7 @@
         async def scenario() -> None:
             receiver = Receiver()
             link, state = Link(receiver), state_of(20_000)
-            self.assertTrue(await sender_on(link).install(receiver.info, 3, state))
+            self.assertTrue(await sender_on(link).install(receiver.controller_info, 3, state))
             self.assertEqual(state.items, receiver.replica.store.items)
             self.assertLess(link.largest, 5 * CHUNK_BYTES)
             receiver.restart(power_loss=True)
@@ -110,10 +110,10 @@
             receiver = Receiver()
             link, state = Link(receiver), state_of(2000)
             sender = sender_on(link)
-            self.assertTrue(await sender.install(receiver.info, 3, state))
+            self.assertTrue(await sender.install(receiver.controller_info, 3, state))
             link.bytes = 0
             state.apply([Item("server/7", 9000, b"")])
-            self.assertTrue(await sender.install(receiver.info, 4, state))
+            self.assertTrue(await sender.install(receiver.controller_info, 4, state))
             self.assertEqual(state.items, receiver.replica.store.items)
             self.assertLess(link.bytes, 100_000)
 
@@ -133,14 +133,14 @@
                 return chunks > 40
 
             link.drops = drops
-            self.assertFalse(await sender_on(link).install(receiver.info, 3, state))
+            self.assertFalse(await sender_on(link).install(receiver.controller_info, 3, state))
             self.assertEqual({}, receiver.replica.store.items)
             ident = receiver.replica.id
             receiver.restart(power_loss=True)
             self.assertEqual(ident, receiver.replica.id)
             link.drops = lambda request: False
             first, link.bytes = link.bytes, 0
-            self.assertTrue(await sender_on(link).install(receiver.info, 5, state))
+            self.assertTrue(await sender_on(link).install(receiver.controller_info, 5, state))
             self.assertEqual(state.items, receiver.replica.store.items)
             self.assertGreater(first, 2_000_000)
             self.assertLess(link.bytes, 3_500_000)
@@ -154,7 +154,7 @@
             for stop in range(1, 30):
                 receiver = Receiver(stop)
                 former, state = state_of(300, 100), state_of(300, 2000, 1000)
-                self.assertTrue(await sender_on(Link(receiver)).install(receiver.info, 2, former))
+                self.assertTrue(await sender_on(Link(receiver)).install(receiver.controller_info, 2, former))
                 link, count = Link(receiver), 0
 
                 def drops(request: Any, stop: int = stop) -> bool:
@@ -163,7 +163,7 @@
                     return count > stop
 
                 link.drops = drops
-                done = await sender_on(link).install(receiver.info, 3, state)
+                done = await sender_on(link).install(receiver.controller_info, 3, state)
                 receiver.restart(power_loss=True)
                 expected = state if done else former
                 self.assertEqual(expected.items, receiver.replica.store.items, stop)
@@ -200,11 +200,11 @@
         async def scenario() -> None:
             receiver, state = Receiver(), state_of(200)
             link, replica = Link(receiver), receiver.replica
-            self.assertTrue(await sender_on(link).install(receiver.info, 2, state_of(200, 500, 1000)))
+            self.assertTrue(await sender_on(link).install(receiver.controller_info, 2, state_of(200, 500, 1000)))
             receiver.disk.slow_s = 0.2
             rewriting = asyncio.ensure_future(receiver.journal.rewrite(replica.live_records))
             await asyncio.sleep(0)
-            self.assertTrue(await sender_on(link).install(receiver.info, 3, state))
+            self.assertTrue(await sender_on(link).install(receiver.controller_info, 3, state))
             self.assertFalse(await rewriting)
             receiver.restart(power_loss=True)
             self.assertEqual(state.items, receiver.replica.store.items)
@@ -222,7 +222,7 @@
             receiver = Receiver()
             link, state = Link(receiver), state_of(5000)
             sender = sender_on(link)
-            preparing = asyncio.ensure_future(sender.prepare(receiver.info, 3, state))
+            preparing = asyncio.ensure_future(sender.prepare(receiver.controller_info, 3, state))
             for n in range(40):
                 await asyncio.sleep(0.05)
                 state.apply([Item(f"server/{n}", 10_000 + n, b"{}")])
@@ -230,7 +230,7 @@
             await preparing
             self.assertEqual({}, receiver.replica.store.items)
             began, link.bytes = asyncio.get_running_loop().time(), 0
-            self.assertTrue(await sender.install(receiver.info, 4, state))
+            self.assertTrue(await sender.install(receiver.controller_info, 4, state))
             self.assertEqual(state.items, receiver.replica.store.items)
             self.assertLess(asyncio.get_running_loop().time() - began, 0.5)
 
@@ -242,11 +242,11 @@
             sender = sender_on(Link(receiver))
             preparation, replica = SnapshotPreparation(sender.replica, sender), sender.replica
             replica.store = state_of(10)
-            self.assertTrue(preparation.is_ready([receiver.info]))
+            self.assertTrue(preparation.is_ready([receiver.controller_info]))
             replica.store = state_of(2000)
-            self.assertFalse(preparation.is_ready([receiver.info]))
+            self.assertFalse(preparation.is_ready([receiver.controller_info]))
             await asyncio.sleep(3.0)
-            self.assertTrue(preparation.is_ready([receiver.info]))
+            self.assertTrue(preparation.is_ready([receiver.controller_info]))
             assert receiver.replica.staged is not None
             self.assertEqual(replica.store.items, receiver.replica.staged.items)
 
@@ -259,8 +259,8 @@
             preparation, sender.replica.store = SnapshotPreparation(sender.replica, sender), state_of(2000)
             loop = asyncio.get_running_loop()
             began = loop.time()
-            self.assertFalse(preparation.is_ready([receiver.info]))
-            while not preparation.is_ready([receiver.info]):  # the primary polls like this
+            self.assertFalse(preparation.is_ready([receiver.controller_info]))
+            while not preparation.is_ready([receiver.controller_info]):  # the primary polls like this
                 await asyncio.sleep(0.05)
                 self.assertLess(loop.time() - began, PREPARE_TIMEOUT_S + 1.0)
 
