--- a/otterreach/controller/change_history.py
+++ b/otterreach/controller/change_history.py
@@ -14,7 +14,7 @@
 from otterreach.runtime.records import AcceptedChange, ItemChange, put
 from otterreach.runtime.store import Item, ReplicatedStore
 
-CHANGES_REMEMBERED = 4096  # slots in the ring; three days at 1,300 changes a day
+RING_SLOTS = 4096  # slots in the ring; three days at 1,300 changes a day
 DIGEST_BYTES = 16
 
 
@@ -56,17 +56,17 @@
             del self._digests[former.base]
             self._complete_from = min(self._digests)
 
-    def has(self, change: AcceptedChange) -> bool:
+    def was_accepted(self, change: AcceptedChange) -> bool:
         """Return True if exactly this change was accepted."""
         return self._digests.get(change.base) == change.digest
 
-    def is_forgotten(self, base: int) -> bool:
+    def may_be_overwritten(self, base: int) -> bool:
         """Return True if a change based on this version may have been accepted and overwritten since."""
         return base < self._complete_from
 
     def item_for(self, change: AcceptedChange) -> ItemChange:
         """Return the item to write for a change that is being accepted."""
-        slot = (self._newest_slot + 1) % CHANGES_REMEMBERED
+        slot = (self._newest_slot + 1) % RING_SLOTS
         return put(change, str(slot))
 
 
--- a/otterreach/controller/config.py
+++ b/otterreach/controller/config.py
@@ -54,7 +54,7 @@
 
     The result is REPEATED if the body equals the current configuration or the same PUT has been accepted before.
     """
-    if history.has(change_of("PUT", body, if_match)):
+    if history.was_accepted(change_of("PUT", body, if_match)):
         return REPEATED
     raw = read_body(body)
     if isinstance(raw, Failure):
@@ -75,7 +75,7 @@
     A PATCH that would change nothing is not necessarily a repeat: another operator's change may have had the same
     effect and more.
     """
-    if history.has(change_of("PATCH", body, if_match)):
+    if history.was_accepted(change_of("PATCH", body, if_match)):
         return REPEATED
     patch = read_body(body)
     if isinstance(patch, Failure):
@@ -99,7 +99,7 @@
     A stale If-Match is reported before an outdated `gen`, so that a lost write race is reported as such.
     """
     version = ConfigurationRecord(current).version if current else 0
-    if history.is_forgotten(if_match):
+    if history.may_be_overwritten(if_match):
         return Failure(Code.CONFIG_FORGOTTEN, f"If-Match: {if_match} is older than the changes that are remembered")
     if if_match != version:
         return Failure(Code.CONFIG_STALE_MATCH, f"If-Match: {if_match}, and {version} is current")
--- a/otterreach/simulation/planted_operations.py
+++ b/otterreach/simulation/planted_operations.py
@@ -99,7 +99,7 @@
         "an accepted change is not remembered, so that its repetition is not recognized",
         (
             Change(
-                "otterreach.controller.change_history:ChangeHistory.has",
+                "otterreach.controller.change_history:ChangeHistory.was_accepted",
                 "self._digests.get(change.base) == change.digest",
                 "False",
             ),
--- a/tests/controller/test_control_api.py
+++ b/tests/controller/test_control_api.py
@@ -169,7 +169,7 @@
                 await self.expect(resource, call, 503)
             await self.expect(resource, patch(60 - SMALL_RING, 99), 412)
 
-        with mock.patch.object(change_history, "CHANGES_REMEMBERED", SMALL_RING):
+        with mock.patch.object(change_history, "RING_SLOTS", SMALL_RING):
             self.run_scenario(scenario)
 
     def test_kept_up_with_the_state(self) -> None:
@@ -188,7 +188,7 @@
                     if sent is call:
                         break
 
-        with mock.patch.object(change_history, "CHANGES_REMEMBERED", SMALL_RING):
+        with mock.patch.object(change_history, "RING_SLOTS", SMALL_RING):
             self.run_scenario(scenario)
 
     def test_another_state_is_read_anew(self) -> None:
@@ -210,7 +210,7 @@
         self.run_scenario(scenario)
 
     def test_the_history_covers_the_changes_of_a_day(self) -> None:
-        self.assertGreater(change_history.CHANGES_REMEMBERED, 3 * 1300)
+        self.assertGreater(change_history.RING_SLOTS, 3 * 1300)
 
     def test_a_state_of_before_there_was_a_history(self) -> None:
         """Which changes were accepted before is unknown, so they get neither a definite answer nor a rejection."""
--- a/tests/controller/test_control_api_faults.py
+++ b/tests/controller/test_control_api_faults.py
@@ -247,7 +247,7 @@
                 mock.patch.object(ControlReplication, "wait_until_committed", ControlReplication.confirm_leadership),
                 SLOW_DISKS,
             ),
-            ("no history", mock.patch.object(ChangeHistory, "has", lambda history, change: False), "kill"),
+            ("no history", mock.patch.object(ChangeHistory, "was_accepted", lambda history, change: False), "kill"),
             ("accepted before all copies have it", mock.patch.object(configuration, "write", before_copies), "freeze"),
         ]
         for what, patch, fault in planted:
