--- a/otterreach/controller/writes.py
+++ b/otterreach/controller/writes.py
@@ -32,8 +32,8 @@
 POLL_S = 0.005  # polling interval while waiting for earlier writes to be committed or answered
 REPAIR_TIMEOUT_S = 0.8  # time-out of a write that waits for the replacement of a lost backup
 REVISION_BITS = 24  # low bits of an item's revision: the count within its epoch; the epoch number is above them
-LAST_COUNT = 1 << (REVISION_BITS - 1)  # no write is accepted beyond this count, so that the largest one still fits
-NEW_EPOCH_COUNT = LAST_COUNT // 2  # at this count the primary begins a new epoch
+MAX_COUNT = 1 << (REVISION_BITS - 1)  # no write is accepted beyond this count, so that the largest one still fits
+NEW_EPOCH_COUNT = MAX_COUNT // 2  # at this count the primary begins a new epoch
 
 
 @dataclass(slots=True)
@@ -115,7 +115,7 @@
     @property
     def accepts_writes(self) -> bool:
         """True if `propose`, called now, would accept a write."""
-        if self.closed or not self.replica.is_primary or self._count_in_epoch > LAST_COUNT:
+        if self.closed or not self.replica.is_primary or self._count_in_epoch > MAX_COUNT:
             return False
         return self.heartbeats.contacts.has_majority()
 
--- a/tests/controller/test_coordination_epoch_end.py
+++ b/tests/controller/test_coordination_epoch_end.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from otterreach.controller.writes import LAST_COUNT, NEW_EPOCH_COUNT
+from otterreach.controller.writes import MAX_COUNT, NEW_EPOCH_COUNT
 from tests.controller.controller_world import Cluster
 from tests.controller.coordination_support import Answer, Coordination
 
@@ -47,7 +47,7 @@
             calls = Coordination(cluster)
             await calls.put(cluster.boxes[0], "g1.a", "v1", 0)
             control = cluster.control(cluster.primary)
-            control.primary.writes._count_in_epoch = LAST_COUNT - 1
+            control.primary.writes._count_in_epoch = MAX_COUNT - 1
             began = cluster.world.now
             answers = await asyncio.gather(
                 *(calls.put(cluster.boxes[turn % 5], f"g1.{turn}", f"value {turn}", 0) for turn in range(10))
