--- a/otterreach/controller/snapshot.py
+++ b/otterreach/controller/snapshot.py
@@ -20,8 +20,8 @@
 from otterreach.runtime.store import ReplicatedStore
 
 CHUNK_BYTES = 64 * 1024  # approximate size of the items in one message; 20 ms on a 30 Mbit/s link
-CHUNK_TIMEOUT_S = 1.0  # time-out of a chunk, to which its size divided by SLOWEST_BYTES_PER_S is added
-SLOWEST_BYTES_PER_S = 100_000
+CHUNK_TIMEOUT_S = 1.0  # time-out of a chunk, to which its size divided by MIN_BYTES_PER_S is added
+MIN_BYTES_PER_S = 100_000
 OFFER_TIMEOUT_S = 0.4
 SMALL_STATE_BYTES = 256 * 1024  # a state up to this size is transferred within the election
 PREPARE_TIMEOUT_S = 30.0  # maximum delay of an election for the preparation of its future backups
@@ -136,7 +136,7 @@
             items = state.in_ranges(chunk_ranges)
             chunk = SnapshotChunk(number, target.id, session, chunk_ranges, items)
             size = sum(len(item.value) + len(item.key) for item in items)
-            timeout_s = CHUNK_TIMEOUT_S + size / SLOWEST_BYTES_PER_S
+            timeout_s = CHUNK_TIMEOUT_S + size / MIN_BYTES_PER_S
             reply = await self.endpoint.call(target.address, chunk, timeout_s)
             if isinstance(reply, Failure):
                 log("snapshot_stopped", target=target.node, number=number, bytes=sent, reason=reply.reason)
--- a/otterreach/jobstore/installation.py
+++ b/otterreach/jobstore/installation.py
@@ -20,14 +20,14 @@
 from otterreach.runtime.log import log
 
 CHUNK_BYTES = 256 * 1024  # approximate limit per message; pings share the connection and wait behind it
-SLOWEST_BYTES_PER_S = 64 * 1024  # below this throughput of the link or the receiver, chunks time out
+MIN_BYTES_PER_S = 64 * 1024  # below this throughput of the link or the receiver, chunks time out
 RETRY_S = 0.1
 NO_ANSWER = (Code.TIMED_OUT, Code.CLOSED, Code.UNREACHABLE)
 
 
 def transfer_timeout_s(size: int) -> float:
     """Return the time-out of a call that carries `size` bytes at the lowest supported throughput."""
-    return CALL_TIMEOUT_S + size / SLOWEST_BYTES_PER_S
+    return CALL_TIMEOUT_S + size / MIN_BYTES_PER_S
 
 
 def size_of(entries: list[Entry]) -> int:
