--- a/otterreach/controller/api/router.py
+++ b/otterreach/controller/api/router.py
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CoordinationParts:
+class CoordinationContext:
     """A controller's in-memory state for locks and watches."""
 
     receipts: ReceiptTimes
@@ -74,7 +74,7 @@
     stalled: Callable[[], bool]  # returns True if this process has just been stalled
 
 
-def events_kept_s(settings: Settings) -> float:
+def event_retention_s(settings: Settings) -> float:
     """Return the minimum time for which an event is retained in its group's history."""
     return settings.bounds.history_s + HISTORY_MARGIN_S
 
@@ -100,7 +100,7 @@
         follower: Follower,
         stores: Callable[[], StoreMembers | None],
         heartbeats: ServerHeartbeats,
-        coordination: CoordinationParts,
+        coordination: CoordinationContext,
     ) -> None:
         """:param stores: the job store nodes that are alive; None while they are not known"""
         self.control = control
@@ -119,7 +119,7 @@
             RETIREMENTS: RetirementResource(control, published, stores, limits_of(settings)),
             LOCKS: LockResource(control, receipts),
             NUMBERS: NumberResource(control),
-            KEYS: KeyResource(control, histories, receipts, events_kept_s(settings)),
+            KEYS: KeyResource(control, histories, receipts, event_retention_s(settings)),
             WATCHES: WatchResource(control, histories, coordination.hub),
         }
         control.endpoint.on(ApiCall, self.handle_forwarded)
--- a/otterreach/controller/node.py
+++ b/otterreach/controller/node.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Iterable
 
-from otterreach.controller.api.router import ApiRouter, CoordinationParts, events_kept_s
+from otterreach.controller.api.router import ApiRouter, CoordinationContext, event_retention_s
 from otterreach.controller.event_collection import EventCollection
 from otterreach.controller.failure_detector import FailureDetector
 from otterreach.controller.hold_checkpoints import HoldCheckpoints
@@ -63,12 +63,12 @@
         self.control.on_committed(self.watches.items_committed)
         self.hold_checkpoints = HoldCheckpoints(self.control, self.receipts)
         self.lock_collection = LockCollection(self.control, self.receipts)
-        coordination = CoordinationParts(self.receipts, self.watches, self._has_just_stalled)
+        coordination = CoordinationContext(self.receipts, self.watches, self._has_just_stalled)
         self.api = ApiRouter(
             settings, self.control, node.follower, self._stores_once_stable, self.detector, coordination
         )
         self.event_collection = EventCollection(
-            self.control, self.api.histories, self.receipts, events_kept_s(settings)
+            self.control, self.api.histories, self.receipts, event_retention_s(settings)
         )
         self.server = JsonServer(self.api.handle)
         self._stable_from = 0.0  # from this time on, missing heartbeats are acted on
--- a/tests/controller/test_control_api_router.py
+++ b/tests/controller/test_control_api_router.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from otterreach.controller.api import router
-from otterreach.controller.api.router import ApiRouter, CoordinationParts
+from otterreach.controller.api.router import ApiRouter, CoordinationContext
 from otterreach.controller.messages import ApiCall
 from otterreach.controller.planner import StoreMembers
 from otterreach.controller.receipt_times import ReceiptTimes
@@ -40,7 +40,7 @@
         settings: Any = type("Settings", (), values)
         follower, heartbeats = Follower(control.published), FakeHeartbeats()
         parts: Any = control, follower
-        coordination = CoordinationParts(ReceiptTimes(asyncio.get_running_loop().time), WatchHub(), lambda: False)
+        coordination = CoordinationContext(ReceiptTimes(asyncio.get_running_loop().time), WatchHub(), lambda: False)
         api = ApiRouter(settings, parts[0], parts[1], lambda: StoreMembers({}), heartbeats, coordination)
         return api, follower, heartbeats.heard
 
