--- a/otterreach/controller/node.py
+++ b/otterreach/controller/node.py
@@ -20,7 +20,7 @@
 from otterreach.controller.store_registry import StoreRegistry
 from otterreach.controller.survival import limits_of
 from otterreach.controller.watch_hub import WatchHub
-from otterreach.controller.watcher import Watcher
+from otterreach.controller.watcher import LivenessReporter
 from otterreach.runtime.http import JsonServer
 from otterreach.runtime.journal import Journal
 from otterreach.runtime.journal_format import Record
@@ -51,7 +51,7 @@
         self.control = ControlReplication(
             settings, endpoint, journal, node.follower, node.random, self._leadership_changed
         )
-        self.watcher = Watcher(settings, endpoint, self.control, self.detector)
+        self.watcher = LivenessReporter(settings, endpoint, self.control, self.detector)
         self.stores = StoreRegistry(endpoint, self.control, self.detector, limits, clock)
         self.members = MemberRegistry(endpoint, self.control, self.detector, self.stores.forget_draining)
         self.placement = PartitionPlacement(endpoint, self.control, self.stores, limits, clock)
--- a/otterreach/controller/watcher.py
+++ b/otterreach/controller/watcher.py
@@ -15,7 +15,7 @@
 REPORT_INTERVAL_S = 0.25
 
 
-class Watcher:
+class LivenessReporter:
     """Feeds the failure detector with heartbeats and with the reports of other watchers."""
 
     def __init__(
--- a/tests/controller/test_node.py
+++ b/tests/controller/test_node.py
@@ -14,7 +14,7 @@
 from otterreach.controller.server_registry import ServerRegistry
 from otterreach.controller.store_registry import StoreRegistry
 from otterreach.controller.survival import SurviveLimits
-from otterreach.controller.watcher import Watcher
+from otterreach.controller.watcher import LivenessReporter
 from otterreach.jobstore.messages import DiskStalled, StoreDraining
 from otterreach.proxy.messages import LeaseRelease, ModelLoaded
 from otterreach.runtime.codes import Code, Failure
@@ -80,7 +80,7 @@
         limits = SurviveLimits(1)
         clock = asyncio.get_running_loop().time
         self.detector = FailureDetector(clock)
-        self.watcher = Watcher(SETTINGS, endpoint, control, self.detector)
+        self.watcher = LivenessReporter(SETTINGS, endpoint, control, self.detector)
         self.stores = StoreRegistry(endpoint, control, self.detector, limits, clock)
         self.members = MemberRegistry(endpoint, control, self.detector, self.stores.forget_draining)
         self.servers = ServerRegistry(SETTINGS, endpoint, control, self.detector)
