--- a/otterreach/controller/api/forwarding.py
+++ b/otterreach/controller/api/forwarding.py
@@ -35,7 +35,7 @@
             del self._waiting[lost]
         return pending.result() if pending.done() else Failure(Code.CLOSED, "the primary is not heard any more")
 
-    def abandon(self) -> None:
+    def abort(self) -> None:
         """End all calls in flight, because this controller is shutting down and callers are to use another one."""
         for lost in list(self._waiting):
             self._end(lost)
--- a/otterreach/controller/api/router.py
+++ b/otterreach/controller/api/router.py
@@ -184,10 +184,10 @@
             return answer
         return OUTCOME_UNKNOWN if answer.maybe_done and changes_coordination(call) else UNAVAILABLE
 
-    def abandon_waiting_calls(self) -> None:
+    def abort_pending_calls(self) -> None:
         """Complete the calls that wait for the primary or for an event, because this controller is shutting down."""
-        self.forwarder.abandon()
-        self.coordination.hub.abandon()
+        self.forwarder.abort()
+        self.coordination.hub.abort()
 
     async def handle_forwarded(self, link: Link, call: ApiCall) -> ApiResponse | Failure:
         """Handle a call forwarded by another controller."""
--- a/otterreach/controller/node.py
+++ b/otterreach/controller/node.py
@@ -86,7 +86,7 @@
             self.node.endpoint.spawn(work)
         await self.node.stopping.wait()
         await self.control.leave()
-        self.api.abandon_waiting_calls()
+        self.api.abort_pending_calls()
         self.server.stop()
         await self.journal.sync()
 
@@ -97,7 +97,7 @@
             self._stable_from = self.clock() + STABILIZATION_S
             self.detector.assume_alive(self.members.member_ids(), self.control.state.records(ServerRecord))
         else:
-            self.watches.abandon()
+            self.watches.abort()
 
     async def _plan(self) -> None:
         """Run the primary's periodic work: compare the control state with the live members and propose changes."""
--- a/otterreach/controller/watch_hub.py
+++ b/otterreach/controller/watch_hub.py
@@ -43,7 +43,7 @@
             self._committed[group] = max(revision, self.committed_revision(group))
             self._wake(self._waiting.take(group, revision), True)
 
-    def abandon(self) -> None:
+    def abort(self) -> None:
         """Abort all pending watches: this controller is no longer the primary and is not notified of further puts."""
         self._wake(self._waiting.take_all(), False)
 
--- a/tests/controller/test_coordination_planted.py
+++ b/tests/controller/test_coordination_planted.py
@@ -128,7 +128,7 @@
         "frozen.LateCallsTest.test_calls_that_came_while_a_controller_stood_still_are_refused_and_change_nothing",
     ),
     "watches wait on at a primary that lost its place": (
-        lambda patch: patch.setattr(WatchHub, "abandon", lambda _: None),
+        lambda patch: patch.setattr(WatchHub, "abort", lambda _: None),
         "cut.CutTest.test_a_watch_that_waits_at_a_primary_is_answered_503_once_that_is_cut_off",
     ),
     "a watch answers beyond what is committed": (
