--- a/otterreach/proxy/exchange.py
+++ b/otterreach/proxy/exchange.py
@@ -174,11 +174,13 @@
         """End the attempt without waiting for the rest of the answer; no effect before a connection is acquired."""
         if self._done.done():
             return
-        unwritten = self._connection is not None and self._connection.unwritten
+        has_unsent_data = self._connection is not None and self._connection.has_unsent_data
         if not self._connection:
             return
-        execution = Execution.NOT_EXECUTED if unwritten else Execution.MAY_HAVE_EXECUTED
-        self._end(Outcome(execution, reason, self._status, self._headers, sent=not unwritten, timed_out=timed_out))
+        execution = Execution.NOT_EXECUTED if has_unsent_data else Execution.MAY_HAVE_EXECUTED
+        self._end(
+            Outcome(execution, reason, self._status, self._headers, sent=not has_unsent_data, timed_out=timed_out)
+        )
 
     def _drop(self) -> None:
         """Release the parser and close a connection that is still in use, discarding its unsent data."""
@@ -217,20 +219,20 @@
         elif self._parser.broken:
             self._fail("broken_answer")
 
-    def on_connection_lost(self, unwritten: bool) -> None:
+    def on_connection_lost(self, has_unsent_data: bool) -> None:
         """End the exchange after the loss of its connection."""
         connection = self._connection
         self._connection = None
         if not self._done.done():
-            execution = Execution.NOT_EXECUTED if unwritten else Execution.MAY_HAVE_EXECUTED
+            execution = Execution.NOT_EXECUTED if has_unsent_data else Execution.MAY_HAVE_EXECUTED
             is_reused = connection is not None and connection.use_count > 1 and not self._status
             reason = "forgotten" if is_reused and self.loop.time() - self.sent_at < STALE_CONNECTION_S else "closed"
-            self._end(Outcome(execution, reason, self._status, self._headers, sent=not unwritten))
+            self._end(Outcome(execution, reason, self._status, self._headers, sent=not has_unsent_data))
 
     def _fail(self, reason: str) -> None:
         assert self._connection
-        unwritten = self._connection.unwritten
-        execution = Execution.NOT_EXECUTED if unwritten else Execution.MAY_HAVE_EXECUTED
+        has_unsent_data = self._connection.has_unsent_data
+        execution = Execution.NOT_EXECUTED if has_unsent_data else Execution.MAY_HAVE_EXECUTED
         self._end(Outcome(execution, reason, self._status, self._headers, sent=True))
 
     def _head(self, status: int, headers: Headers) -> None:
@@ -266,14 +268,14 @@
         status = response.status
         headers = response.headers
         not_run = b"not-run" in headers or status == HTTPStatus.MISDIRECTED_REQUEST
-        if connection.unwritten and not not_run and b"request-id" not in headers:
+        if connection.has_unsent_data and not not_run and b"request-id" not in headers:
             # A server may answer before it has read a long body; such an answer carries the request's id. An answer
             # without an id concerns the connection: the server has not received the request.
             self._end(Outcome(Execution.NOT_EXECUTED, "early_answer", sent=True))
             return
         # A connection is not reused after a failure: a duplicate of the failure would be taken for the answer to the
         # next attempt, which has the same id.
-        reusable = response.keep_alive and not connection.unwritten and (not_run or status < 500)
+        reusable = response.keep_alive and not connection.has_unsent_data and (not_run or status < 500)
         if not_run:
             reason = "wrong_server" if status == HTTPStatus.MISDIRECTED_REQUEST else "turned_away"
             self._end(Outcome(Execution.NOT_EXECUTED, reason, status, headers, body, sent=True), reusable)
--- a/otterreach/proxy/pools.py
+++ b/otterreach/proxy/pools.py
@@ -39,8 +39,8 @@
     def on_data(self, data: bytes) -> None:
         """Process bytes received on the connection."""
 
-    def on_connection_lost(self, unwritten: bool) -> None:
-        """Handle the loss of the connection. `unwritten`: part of the request has not left this machine."""
+    def on_connection_lost(self, has_unsent_data: bool) -> None:
+        """Handle the loss of the connection. `has_unsent_data`: part of the request has not left this machine."""
 
 
 class State(Enum):
@@ -90,7 +90,7 @@
         user = self._user
         self._user = None
         if user:
-            user.on_connection_lost(self.unwritten)
+            user.on_connection_lost(self.has_unsent_data)
 
     def data_received(self, data: bytes) -> None:
         """Pass received bytes to the user; close the connection if it has none."""
@@ -100,9 +100,9 @@
         else:
             self.discard()  # unsolicited data
 
-    def fresh(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return True if the connection is open and has no unread data."""
-        return self.state is not State.CLOSED and super().fresh()
+        return self.state is not State.CLOSED and super().is_reusable()
 
     def start(self, user: ConnectionUser, data: bytes) -> None:
         """Write a request and assign the connection to a user, which receives the answer."""
@@ -114,7 +114,7 @@
     def release(self) -> None:
         """Return the connection to the pool after a complete exchange, or close it if it can't be reused."""
         self._user = None
-        if self.pool.closed or self.closing or self.unwritten:
+        if self.pool.closed or self.closing or self.has_unsent_data:
             self.discard()
         else:
             self._change(State.IDLE)
@@ -122,7 +122,7 @@
     def discard(self) -> None:
         """Close the connection and drop unsent data."""
         if self.state is State.BUSY:
-            self._drop_unsent()
+            self._reset_on_close()
         self._user = None
         self._change(State.CLOSED)
         self._abort()
@@ -171,7 +171,7 @@
                 continue
             if fresh_only and connection.idle_since < now - MAX_FRESH_IDLE_S:
                 return None
-            if connection.fresh():
+            if connection.is_reusable():
                 return connection
             connection.discard()
         return None
@@ -220,7 +220,7 @@
         finally:
             self._opening -= 1
         self.opened += 1
-        if not connection.fresh():
+        if not connection.is_reusable():
             connection.discard()
             return None
         return connection
--- a/otterreach/runtime/http_client.py
+++ b/otterreach/runtime/http_client.py
@@ -87,7 +87,7 @@
         accepted_without_id = ident is None and (
             self._call_count == 1 or self._interchangeable and not self._id_matched
         )
-        if self.unwritten:
+        if self.has_unsent_data:
             self._fail("an answer before the request was written")
         elif matched or accepted_without_id:
             self._id_matched = matched
@@ -99,7 +99,7 @@
 
     def _fail(self, reason: str) -> None:
         # While part of the request is still unwritten, the call has not been executed: the close drops the rest.
-        self._complete(Failure(Code.UNREACHABLE if self.unwritten else Code.CLOSED, reason))
+        self._complete(Failure(Code.UNREACHABLE if self.has_unsent_data else Code.CLOSED, reason))
 
     def _complete(self, outcome: http1.Response | Failure) -> None:
         if self._parser:
@@ -133,11 +133,11 @@
             answered = True
             return outcome
         except TimeoutError:
-            return Failure(Code.UNREACHABLE if self.unwritten else Code.TIMED_OUT, "no answer in time")
+            return Failure(Code.UNREACHABLE if self.has_unsent_data else Code.TIMED_OUT, "no answer in time")
         finally:
             self._parser = None
             if not answered:
-                self._drop_unsent()  # an order must not arrive after the lease has expired under which it was sent
+                self._reset_on_close()  # an order must not arrive after the lease has expired under which it was sent
             # A cancellation or time-out can occur in the same iteration of the event loop as the response; the
             # connection would stay open unused.
             if not answered or not self.reusable:
@@ -211,7 +211,7 @@
             connection = self._idle.pop(key, None)
             if connection is None:
                 continue
-            if connection.reusable and connection.fresh():
+            if connection.reusable and connection.is_reusable():
                 return connection
             connection.close()
         return None
--- a/otterreach/sidecar/endpoints.py
+++ b/otterreach/sidecar/endpoints.py
@@ -87,7 +87,7 @@
         self.connection = None
         if connection and status is Status.TIMEOUT:
             connection.close_idle_if_silent(self.started_ns)
-        unsent = connection is None or connection.unwritten
+        unsent = connection is None or connection.has_unsent_data
         if connection:
             connection.discard()
         self.end(Status.CONNECT_FAILED if unsent and status is Status.TIMEOUT else status)
@@ -166,7 +166,7 @@
         if response:
             self._on_response(response)
         elif self._parser.broken:
-            self._end_attempt(Status.CONNECT_FAILED if self.unwritten else Status.RESET)
+            self._end_attempt(Status.CONNECT_FAILED if self.has_unsent_data else Status.RESET)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End the attempt: as complete, as not executed, or as reset."""
@@ -179,7 +179,7 @@
         if response:
             self._on_response(response)
         else:
-            self._end_attempt(Status.CONNECT_FAILED if self.unwritten else Status.RESET)
+            self._end_attempt(Status.CONNECT_FAILED if self.has_unsent_data else Status.RESET)
 
     def _on_response(self, response: http1.Response) -> None:
         status = Status.ERROR
@@ -187,10 +187,10 @@
             status = Status.OK
         elif response.status in (503, 504) and response.headers.get(b"x-never-ran", b"").strip() == b"1":
             status = Status.FULL
-        if self.unwritten and status is not Status.FULL:
+        if self.has_unsent_data and status is not Status.FULL:
             # A server executes a request after its last byte, so an earlier response belongs to something else.
             status = Status.CONNECT_FAILED
-        reusable = response.keep_alive and not self.unwritten
+        reusable = response.keep_alive and not self.has_unsent_data
         self._end_attempt(status, response, reusable)
 
     def _end_attempt(self, status: Status, response: http1.Response | None = None, reusable: bool = False) -> None:
@@ -289,7 +289,7 @@
         for n in reversed(range(len(pool.idle))):
             if pool.idle[n].idle_since <= latest:
                 connection = pool.idle.pop(n)
-                if connection.fresh():
+                if connection.is_reusable():
                     return connection
                 connection.discard()
         return None
@@ -309,7 +309,7 @@
             pool.waiting.discard(attempt)
         # The connection may have been lost while it was opened. connection_lost was called before the attempt was
         # attached and would not end it.
-        if connection is None or not connection.fresh():
+        if connection is None or not connection.is_reusable():
             if connection:
                 connection.discard()
             attempt.end(Status.CONNECT_FAILED)
--- a/otterreach/sidecar/transport.py
+++ b/otterreach/sidecar/transport.py
@@ -24,7 +24,7 @@
     """A connection to a server."""
 
     def __init__(self) -> None:
-        self.unwritten = False  # True while part of the request is buffered: the server can't have executed it
+        self.has_unsent_data = False  # True while part of the request is buffered: the server can't have executed it
         self.idle_since = 0.0  # monotonic time in seconds
         self._transport: asyncio.Transport | None = None
         self._poll: select.poll | None = None  # None if the transport has no socket
@@ -42,18 +42,18 @@
 
     def pause_writing(self) -> None:
         """Record that the kernel's buffer is full and written bytes remain in the transport's buffer."""
-        self.unwritten = True
+        self.has_unsent_data = True
 
     def resume_writing(self) -> None:
         """Record that the kernel has accepted all written bytes."""
-        self.unwritten = False
+        self.has_unsent_data = False
 
     @property
     def closing(self) -> bool:
         """True if nothing can be sent on the connection: it is closing, closed or not yet open."""
         return self._transport is None or self._transport.is_closing()
 
-    def fresh(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return True if the idle connection can still carry a request.
 
         The server may have just closed it, with the end of the stream still unread in the kernel. A request written to
@@ -65,9 +65,9 @@
         assert self._transport
         self._transport.write(data)
         # A write that fails immediately leaves the buffer empty; only the closing state of the transport shows it.
-        self.unwritten = self.unwritten or self._transport.is_closing()
+        self.has_unsent_data = self.has_unsent_data or self._transport.is_closing()
 
-    def _drop_unsent(self) -> None:
+    def _reset_on_close(self) -> None:
         """Make the following close reset the connection, so that the kernel discards unsent data.
 
         During a network partition, a request waits in the kernel's send buffer. After an orderly close it would be
--- a/tests/sidecar/test_endpoints.py
+++ b/tests/sidecar/test_endpoints.py
@@ -224,7 +224,7 @@
         # The close is in the kernel and the event loop has not read it: no iteration of the loop in between.
         transport.pause_reading()
         endpoint.connections[0][1].close()
-        await until(lambda: not connection.fresh())
+        await until(lambda: not connection.is_reusable())
         assert connection in driver.endpoints.connections
         assert (await driver.result()).status is Status.OK
         assert len(endpoint.requests) == 2 and len(endpoint.connections) == 2
