--- a/otterreach/proxy/ingress.py
+++ b/otterreach/proxy/ingress.py
@@ -80,7 +80,7 @@
         After a pause of this process the end of file may still be in the kernel behind the request; a check of the
         transport alone would let the request be forwarded.
         """
-        return self.is_closed or self.ended
+        return self.is_closed or self.closed_by_peer
 
     @property
     def has_pending_answer(self) -> bool:
@@ -242,7 +242,7 @@
         """Enforce the time limits of the connection."""
         if self._transport is None or self._closing:
             return
-        if self._paused and self.ended:  # while reading is paused, the event loop does not report end of file
+        if self._paused and self.closed_by_peer:  # while reading is paused, the event loop does not report end of file
             self.abort()
             return
         if not self._transport.get_write_buffer_size():
@@ -252,7 +252,7 @@
             return
         if self._task or self._queue:
             return
-        if not self._has_timed_out(now, caps) or self.unread:
+        if not self._has_timed_out(now, caps) or self.has_unread_data:
             return
         if self._parser.partial:
             self._reject(int(HTTPStatus.REQUEST_TIMEOUT))
@@ -270,7 +270,7 @@
 
     def close_if_idle(self) -> None:
         """Close an idle connection, unless unread input, which may be a request, is in the kernel."""
-        if not self.has_pending_answer and not self._parser.partial and self._transport and not self.unread:
+        if not self.has_pending_answer and not self._parser.partial and self._transport and not self.has_unread_data:
             self._closing = True
             self._transport.close()
 
--- a/otterreach/runtime/http.py
+++ b/otterreach/runtime/http.py
@@ -91,7 +91,7 @@
 
         If the kernel holds unread bytes, the timer is restarted instead: a request among them would be lost.
         """
-        if self.unread and not self._parser.error:
+        if self.has_unread_data and not self._parser.error:
             self._start_idle_timer(IDLE_TIMEOUT_S)
         else:
             self.abort()
@@ -161,7 +161,7 @@
 
     def close_if_idle(self) -> None:
         """Close the connection unless a request is being handled or queued, or unread bytes may contain one."""
-        if not self._answer_task and not self._queue and not self.unread and self._transport:
+        if not self._answer_task and not self._queue and not self.has_unread_data and self._transport:
             self._transport.close()
 
 
--- a/otterreach/sidecar/server.py
+++ b/otterreach/sidecar/server.py
@@ -297,7 +297,7 @@
         While reading is paused, or in a delayed event loop, the client's close waits in the kernel, possibly behind
         more requests. Without this check, its request would still be forwarded.
         """
-        return self._closing or self.ended
+        return self._closing or self.closed_by_peer
 
     def abort(self) -> None:
         """Close the connection immediately, with a reset."""
@@ -307,7 +307,7 @@
 
     def close_if_idle(self) -> None:
         """Close the connection if it is idle and no data is unread: a request in the kernel would be lost."""
-        if self.idle and self._transport and not self.unread:
+        if self.idle and self._transport and not self.has_unread_data:
             self._closing = True
             self._transport.close()
 
@@ -445,7 +445,7 @@
         for connection in chain(
             islice(silent, EVICTION_SCAN), islice(self._kept_alive, EVICTION_SCAN), islice(self._new, EVICTION_SCAN)
         ):
-            if not connection.unread:
+            if not connection.has_unread_data:
                 self.remove(connection)
                 connection.abort()
                 return
--- a/otterreach/sidecar/transport.py
+++ b/otterreach/sidecar/transport.py
@@ -107,12 +107,12 @@
             self._poll.register(sock.fileno(), select.POLLIN | PEER_CLOSED_EVENTS)
 
     @property
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """True if the kernel has unread data or a close from the client."""
         return bool(self._pending_events())
 
     @property
-    def ended(self) -> bool:
+    def closed_by_peer(self) -> bool:
         """True if the kernel has received the client's close, possibly after data that is still unread."""
         return bool(self._pending_events() & PEER_CLOSED_EVENTS)
 
