--- a/otterreach/proxy/exchange.py
+++ b/otterreach/proxy/exchange.py
@@ -33,7 +33,9 @@
 )
 PROXY_HEADERS = frozenset((b"deadline-ms", b"expect-server"))
 SINGLE_VALUE_HEADERS = frozenset((b"content-length", b"transfer-encoding", b"request-id", b"reply-seal"))
-BOUNDS = http1.Bounds(body=64 * 1024 * 1024, head=64 * 1024, single=SINGLE_VALUE_HEADERS, joins=True)
+BOUNDS = http1.Bounds(
+    body=64 * 1024 * 1024, head=64 * 1024, single_value_headers=SINGLE_VALUE_HEADERS, join_repeated=True
+)
 
 
 class Execution(Enum):
@@ -161,7 +163,7 @@
             connection.release()
             return Outcome(Execution.NOT_EXECUTED, "unwanted")
         self._connection = connection
-        self._parser = http1.ResponseParser(self._body, self._head, BOUNDS, must_frame=True)
+        self._parser = http1.ResponseParser(self._body, self._head, BOUNDS, require_framing=True)
         self.sent_at = self.loop.time()
         connection.start(self, self.outbound.encode(self.server, left, self.extra))
         timer = self.loop.call_at(self.deadline, self.give_up, "timeout", True)
--- a/otterreach/proxy/ingress.py
+++ b/otterreach/proxy/ingress.py
@@ -108,7 +108,7 @@
             return
         now = self._loop.time()
         self._last_activity_at = now
-        if not self._parser.partial:
+        if not self._parser.has_partial_request:
             self._first_byte_at = now
         for request in self._parser.feed(data):
             self._queue.append((request, self._first_byte_at, now))
@@ -138,8 +138,8 @@
 
     def _send_continue(self) -> None:
         """Send 100 Continue to a client that waits for it, but only after the answers to its earlier requests."""
-        if self._parser.wants_continue and self._transport:
-            self._parser.wants_continue = False
+        if self._parser.expects_continue and self._transport:
+            self._parser.expects_continue = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     async def _handle_request(self, request: http1.Request) -> None:
@@ -254,7 +254,7 @@
             return
         if not self._has_timed_out(now, caps) or self.has_unread_data:
             return
-        if self._parser.partial:
+        if self._parser.has_partial_request:
             self._reject(int(HTTPStatus.REQUEST_TIMEOUT))
         else:
             self.close_if_idle()
@@ -266,17 +266,24 @@
         """
         if self._parser.in_head:
             return now - self._first_byte_at > caps.header_s
-        return now - self._last_activity_at > (caps.header_s + caps.idle_s if self._parser.partial else caps.idle_s)
+        return now - self._last_activity_at > (
+            caps.header_s + caps.idle_s if self._parser.has_partial_request else caps.idle_s
+        )
 
     def close_if_idle(self) -> None:
         """Close an idle connection, unless unread input, which may be a request, is in the kernel."""
-        if not self.has_pending_answer and not self._parser.partial and self._transport and not self.has_unread_data:
+        if (
+            not self.has_pending_answer
+            and not self._parser.has_partial_request
+            and self._transport
+            and not self.has_unread_data
+        ):
             self._closing = True
             self._transport.close()
 
     def shut_down(self, late: bool) -> None:
         """Close an idle connection at shutdown; if `late`, also reject a request that is still incomplete."""
-        if self._parser.partial and late and not self.has_pending_answer and not self._closing:
+        if self._parser.has_partial_request and late and not self.has_pending_answer and not self._closing:
             self._reject(int(HTTPStatus.SERVICE_UNAVAILABLE))
         else:
             self.close_if_idle()
--- a/otterreach/runtime/http.py
+++ b/otterreach/runtime/http.py
@@ -120,8 +120,8 @@
 
         It must not precede the responses to earlier requests: the caller would attribute it to one of those.
         """
-        if self._parser.wants_continue and not self._queue and self._transport:
-            self._parser.wants_continue = False
+        if self._parser.expects_continue and not self._queue and self._transport:
+            self._parser.expects_continue = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     async def _answer_queue(self) -> None:
--- a/otterreach/runtime/http_client.py
+++ b/otterreach/runtime/http_client.py
@@ -123,7 +123,7 @@
         self._ident = ident
         self._interchangeable = interchangeable
         self._call_count += 1
-        self._parser = http1.ResponseParser(must_frame=True)
+        self._parser = http1.ResponseParser(require_framing=True)
         self._answer = asyncio.get_running_loop().create_future()
         answered = False
         try:
--- a/otterreach/sidecar/http1.py
+++ b/otterreach/sidecar/http1.py
@@ -45,8 +45,8 @@
 
     body: int = MAX_BODY
     head: int = MAX_HEAD
-    single: frozenset[bytes] = SINGLE_VALUE_HEADERS  # headers that may occur only once
-    joins: bool = False  # True: the values of a repeated header are joined; False: the first one is used
+    single_value_headers: frozenset[bytes] = SINGLE_VALUE_HEADERS  # headers that may occur only once
+    join_repeated: bool = False  # True: the values of a repeated header are joined; False: the first one is used
     head_error: int = HTTPStatus.REQUEST_ENTITY_TOO_LARGE  # the status for a head that is too large
 
 
@@ -104,9 +104,9 @@
         if self.in_head:  # not a trailer
             if name not in self.headers:
                 self.headers[name] = value
-            elif name in self.bounds.single:
+            elif name in self.bounds.single_value_headers:
                 self.ambiguous = True
-            elif self.bounds.joins:
+            elif self.bounds.join_repeated:
                 self.headers[name] += (b"; " if name == b"cookie" else b", ") + value
 
     def add_body(self, data: bytes) -> None:
@@ -128,7 +128,7 @@
 
     def __init__(self, max_body: int = MAX_BODY, max_head: int = MAX_HEAD, bounds: Bounds | None = None) -> None:
         self.error = 0
-        self.wants_continue = False
+        self.expects_continue = False
         self._bounds = bounds or Bounds(max_body, max_head)
         self._completed: list[Request] = []
         self._message = _Message(self._bounds)
@@ -137,14 +137,14 @@
         self._parser: httptools.HttpRequestParser | None = httptools.HttpRequestParser(self)
 
     @property
-    def partial(self) -> bool:
+    def has_partial_request(self) -> bool:
         """True if part of a request has been received."""
         return self._started or self._message.raw_size > 0
 
     @property
     def in_head(self) -> bool:
         """True if part of a request has been received and its head is incomplete."""
-        return self.partial and self._message.in_head
+        return self.has_partial_request and self._message.in_head
 
     def close(self) -> None:
         """Release the httptools parser, which forms a reference cycle with its callbacks.
@@ -199,7 +199,7 @@
         elif message.length > message.bounds.body or message.head_too_large:
             self.error = self._too_large()
         elif message.headers.get(b"expect", b"").lower() == b"100-continue":
-            self.wants_continue = True
+            self.expects_continue = True
 
     def on_body(self, data: bytes) -> None:
         """Add a part of the body (callback of httptools)."""
@@ -218,14 +218,14 @@
         self._message = _Message(self._bounds)
         self._target = b""
         self._started = False
-        self.wants_continue = False
+        self.expects_continue = False
 
 
 class ResponseParser:
     """Incremental parser of a single response.
 
     `on_body` receives the parts of the body as they arrive, in place of collecting them (as for discovery's watch).
-    `on_head` is called with the status and the headers of the response. `must_frame`: a response without
+    `on_head` is called with the status and the headers of the response. `require_framing`: a response without
     Content-Length or chunked encoding, whose body would end with the connection, is broken, even with `on_body`.
     """
 
@@ -234,7 +234,7 @@
         on_body: Callable[[bytes], None] | None = None,
         on_head: Callable[[int, dict[bytes, bytes]], None] | None = None,
         bounds: Bounds = ANSWER_BOUNDS,
-        must_frame: bool = False,
+        require_framing: bool = False,
     ) -> None:
         self.response: Response | None = None
         self.status = 0  # 0 until the head is complete
@@ -242,7 +242,7 @@
         self._on_body = on_body
         self._on_head = on_head
         self._bounds = bounds
-        self._must_frame = must_frame
+        self._require_framing = require_framing
         self._message = _Message(bounds)
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
 
@@ -299,7 +299,7 @@
         message.end_head()
         if self.status < HTTPStatus.OK:
             return
-        if self._must_frame or self._on_body is None:
+        if self._require_framing or self._on_body is None:
             self.broken = self.broken or message.ambiguous or not message.framed and self._needs_framing
         if self._on_body is None:
             self.broken = self.broken or message.length > message.bounds.body
@@ -308,7 +308,7 @@
 
     @property
     def _needs_framing(self) -> bool:
-        return self.status not in BODILESS if self._must_frame else self.status == HTTPStatus.OK
+        return self.status not in BODILESS if self._require_framing else self.status == HTTPStatus.OK
 
     def on_body(self, data: bytes) -> None:
         """Add a part of the body (callback of httptools)."""
--- a/otterreach/sidecar/server.py
+++ b/otterreach/sidecar/server.py
@@ -128,7 +128,7 @@
     @property
     def idle(self) -> bool:
         """True if no request is open, queued or partly received."""
-        return not (self._closing or self._busy or self._queue or self._parser.partial)
+        return not (self._closing or self._busy or self._queue or self._parser.has_partial_request)
 
     @property
     def must_stay_open(self) -> bool:
@@ -146,12 +146,12 @@
             self._discard_input()
             return
         now = time.monotonic_ns()
-        no_partial = not self._parser.partial
+        no_partial = not self._parser.has_partial_request
         self._queue.extend((request, now) for request in self._parser.feed(data))
         if no_partial and not self._busy:
             self.idle_since = now / 1e9
-        if self._parser.wants_continue and self._transport and not self._busy:
-            self._parser.wants_continue = False
+        if self._parser.expects_continue and self._transport and not self._busy:
+            self._parser.expects_continue = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         if len(self._queue) > MAX_PIPELINED and self._transport:
             self._transport.pause_reading()
@@ -280,7 +280,7 @@
             # Slow readers have more time to read the answer.
             if quiet > (WRITE_TIMEOUT_S if self._has_unread_answer else LINGER_S):
                 self.abort()
-        elif self._parser.partial:
+        elif self._parser.has_partial_request:
             if quiet > REQUEST_TIMEOUT_S:
                 self._reject(Answer(HTTPStatus.REQUEST_TIMEOUT))
         elif quiet > (KEEPALIVE_S if self.served else FIRST_REQUEST_TIMEOUT_S):
@@ -321,7 +321,7 @@
         """
         if self.idle and (self.served or late):
             self.close_if_idle()
-        elif late and self._parser.partial and not self.must_stay_open:
+        elif late and self._parser.has_partial_request and not self.must_stay_open:
             self._reject(Answer(HTTPStatus.SERVICE_UNAVAILABLE))
 
 
--- a/tests/sidecar/test_http1.py
+++ b/tests/sidecar/test_http1.py
@@ -27,7 +27,7 @@
     parser = RequestParser()
     done = [request for part in cut(TWO, places) for request in parser.feed(part)]
     assert [(r.target, r.body) for r in done] == [(b"/once/1?x=%20", b"abc"), (b"/once/2", b"def")]
-    assert not parser.error and not parser.partial
+    assert not parser.error and not parser.has_partial_request
 
 
 @repeatable
