--- a/otterreach/balancer/draw.py
+++ b/otterreach/balancer/draw.py
@@ -6,7 +6,7 @@
 from random import Random
 
 
-def draw(random: Random, odds: Sequence[float]) -> int:
+def weighted_choice(random: Random, odds: Sequence[float]) -> int:
     """Return an index drawn at random in proportion to its odds.
 
     This is the weighted randomizing rule of Billard and Pasquale, "Agents with local and global servers under
--- a/otterreach/balancer/routing.py
+++ b/otterreach/balancer/routing.py
@@ -9,7 +9,7 @@
 from math import exp2
 
 import otterreach.balancer.interface as api
-from otterreach.balancer.draw import draw, rendezvous_score
+from otterreach.balancer.draw import rendezvous_score, weighted_choice
 from otterreach.balancer.interface import EndpointState, RosterForm, Status
 from otterreach.balancer.state import MAX_SLOWDOWN, Attempt, Endpoint, PendingRequest, Rate, State
 
@@ -102,7 +102,7 @@
                 weight *= cross_zone_factor
             odds.append(1 / max(weight / preference if endpoint is preferred else weight, 1e-9))
         odds_of_none = self._cap_warming_endpoints(candidates, odds) if any_warming_up else 0.0
-        index = draw(self.random, [*odds, odds_of_none])
+        index = weighted_choice(self.random, [*odds, odds_of_none])
         return candidates[index] if index < len(candidates) else None
 
     def _update_capacity_share(self, endpoint: Endpoint) -> None:
--- a/otterreach/proxy/draw.py
+++ b/otterreach/proxy/draw.py
@@ -14,7 +14,7 @@
 from math import exp2
 from random import Random
 
-from otterreach.balancer.draw import draw
+from otterreach.balancer.draw import weighted_choice
 from otterreach.proxy.policy import PRODUCTION_POLICY, Policy
 
 ALPHA = 0.3  # weight of a new response time; a short memory, since the published algorithm uses a single sample
@@ -162,8 +162,8 @@
             new = sum(without_idle)
             penalty = max(NEW_CONNECTION_FACTOR, new / (NEW_CONNECTION_SHARE * (len(odds) - new)))
             odds = [share / penalty if without else share for share, without in zip(odds, without_idle, strict=True)]
-        return draw(self.random, odds)
+        return weighted_choice(self.random, odds)
 
     def choose(self, weights: Sequence[float]) -> int:
         """Return an index drawn by weight; selects the service of a split route."""
-        return draw(self.random, weights)
+        return weighted_choice(self.random, weights)
