--- a/otterreach/controller/__main__.py
+++ b/otterreach/controller/__main__.py
@@ -14,17 +14,17 @@
 from otterreach.runtime.settings import Settings
 
 if TYPE_CHECKING:
-    from otterreach.runtime.figures import FigureSource
+    from otterreach.runtime.figures import MetricSource
 
 JOURNAL = "control.journal"
 
 
-def figure_sources(node: Node, journal: Journal, controller: ControllerNode) -> tuple[FigureSource, ...]:
+def metric_sources(node: Node, journal: Journal, controller: ControllerNode) -> tuple[MetricSource, ...]:
     """Return the sources of a controller's metrics. Their modules are imported lazily, to keep the start short."""
-    from otterreach.controller.figures import controller_figures
-    from otterreach.runtime.node_figures import journal_figures, node_figures
+    from otterreach.controller.figures import controller_metrics
+    from otterreach.runtime.node_figures import journal_metrics, node_metrics
 
-    return partial(node_figures, node), partial(journal_figures, journal), partial(controller_figures, controller)
+    return partial(node_metrics, node), partial(journal_metrics, journal), partial(controller_metrics, controller)
 
 
 async def serve(settings: Settings) -> None:
@@ -34,7 +34,7 @@
     journal, records = open_journal(settings.datadir / JOURNAL)
     on_signals(node.stopping.set, node.reload)
     controller = ControllerNode(settings, node, journal)
-    await MetricsListener(partial(figure_sources, node, journal, controller)).listen(settings.ip)
+    await MetricsListener(partial(metric_sources, node, journal, controller)).listen(settings.ip)
     await controller.run(records)
 
 
--- a/otterreach/jobstore/__main__.py
+++ b/otterreach/jobstore/__main__.py
@@ -22,7 +22,7 @@
 from otterreach.runtime.settings import Settings
 
 if TYPE_CHECKING:
-    from otterreach.runtime.figures import FigureSource
+    from otterreach.runtime.figures import MetricSource
 
 JOURNAL = "jobs.journal"
 STOP_TIMEOUT_S = 0.8  # for writes in flight to reach the disk
@@ -36,12 +36,12 @@
         task.cancel()
 
 
-def figure_sources(node: Node, journal: Journal, store_node: JobStoreNode) -> tuple[FigureSource, ...]:
+def metric_sources(node: Node, journal: Journal, store_node: JobStoreNode) -> tuple[MetricSource, ...]:
     """Return the sources of the node's metrics. Their modules are imported here, as the start doesn't need them."""
-    from otterreach.jobstore.figures import job_store_figures
-    from otterreach.runtime.node_figures import journal_figures, node_figures
+    from otterreach.jobstore.figures import job_store_metrics
+    from otterreach.runtime.node_figures import journal_metrics, node_metrics
 
-    return partial(node_figures, node), partial(journal_figures, journal), partial(job_store_figures, store_node)
+    return partial(node_metrics, node), partial(journal_metrics, journal), partial(job_store_metrics, store_node)
 
 
 async def serve(settings: Settings) -> None:
@@ -60,7 +60,7 @@
     if not node.stopping.is_set():  # set if the disk takes no writes: the node then doesn't announce itself
         await node.start(MemberRole.JOB_STORE)
         endpoint.spawn(node.watch_settings())
-        await MetricsListener(partial(figure_sources, node, journal, store_node)).listen(settings.ip)
+        await MetricsListener(partial(metric_sources, node, journal, store_node)).listen(settings.ip)
     await wait_for_any(terminate, node.stopping)
     if terminate.is_set() and not node.stopping.is_set():
         await transfer_replicas(node)
--- a/otterreach/jobstore/figures.py
+++ b/otterreach/jobstore/figures.py
@@ -8,28 +8,28 @@
 from otterreach.jobstore.node import JobStoreNode
 from otterreach.jobstore.partition_replica import ReplicaState
 from otterreach.jobstore.proxy_sessions import SessionState
-from otterreach.runtime.figures import Figure
+from otterreach.runtime.figures import MetricSample
 from otterreach.runtime.histogram import Histogram
-from otterreach.runtime.node_figures import repeated_work_figures
+from otterreach.runtime.node_figures import repeated_work_metrics
 
 
-def job_store_figures(node: JobStoreNode) -> Iterable[Figure | Histogram]:
+def job_store_metrics(node: JobStoreNode) -> Iterable[MetricSample | Histogram]:
     """Yield the metrics of a job store node."""
     replication = node.replication
     states = Counter(replica.state for replica in replication.replicas)
     for state in ReplicaState:
-        yield Figure("replicas", "Partition replicas here.", states[state], {"state": state.value})
+        yield MetricSample("replicas", "Partition replicas here.", states[state], {"state": state.value})
     leaders = replication.leaders.values()
-    yield Figure("partitions_led", "Partitions that this node is primary of.", len(leaders))
+    yield MetricSample("partitions_led", "Partitions that this node is primary of.", len(leaders))
     confirmed = sum(leader.is_confirmed for leader in leaders)
-    yield Figure("partitions_served", "Those of which all members have answered of late.", confirmed)
+    yield MetricSample("partitions_served", "Those of which all members have answered of late.", confirmed)
     dispatcher = node.dispatcher
-    yield Figure("jobs_open", "Open batch jobs of the partitions served here.", len(dispatcher.open_jobs))
+    yield MetricSample("jobs_open", "Open batch jobs of the partitions served here.", len(dispatcher.open_jobs))
     pending = sum(len(queue) for queue in dispatcher.pending.values())
-    yield Figure("items_pending", "Items that are at no proxy.", pending)
+    yield MetricSample("items_pending", "Items that are at no proxy.", pending)
     sessions = dispatcher.sessions.by_node.values()
-    yield Figure("items_assigned", "Items that are at proxies.", sum(len(session.items) for session in sessions))
+    yield MetricSample("items_assigned", "Items that are at proxies.", sum(len(session.items) for session in sessions))
     for session_state in SessionState:
         count = sum(session.state is session_state for session in sessions)
-        yield Figure("proxies", "Proxies that have pinged.", count, {"state": session_state.value})
-    yield from repeated_work_figures(dispatcher.assignments)
+        yield MetricSample("proxies", "Proxies that have pinged.", count, {"state": session_state.value})
+    yield from repeated_work_metrics(dispatcher.assignments)
--- a/otterreach/proxy/__main__.py
+++ b/otterreach/proxy/__main__.py
@@ -14,15 +14,15 @@
 from otterreach.runtime.settings import Settings
 
 if TYPE_CHECKING:
-    from otterreach.runtime.figures import FigureSource
+    from otterreach.runtime.figures import MetricSource
 
 
-def figure_sources(node: Node, proxy: Proxy) -> tuple[FigureSource, ...]:
+def metric_sources(node: Node, proxy: Proxy) -> tuple[MetricSource, ...]:
     """Return the sources of a proxy's metrics; imports modules that are not needed at start."""
-    from otterreach.proxy.figures import proxy_figures
-    from otterreach.runtime.node_figures import node_figures
+    from otterreach.proxy.figures import proxy_metrics
+    from otterreach.runtime.node_figures import node_metrics
 
-    return partial(node_figures, node), partial(proxy_figures, proxy)
+    return partial(node_metrics, node), partial(proxy_metrics, proxy)
 
 
 async def serve(settings: Settings) -> None:
@@ -31,7 +31,7 @@
     proxy = Proxy(node, node.random)
     await node.start(MemberRole.PROXY)
     await proxy.start()
-    await MetricsListener(partial(figure_sources, node, proxy)).listen(settings.ip)
+    await MetricsListener(partial(metric_sources, node, proxy)).listen(settings.ip)
     on_signals(node.stopping.set, node.reload)
     node.endpoint.spawn(node.watch_settings())
     await node.stopping.wait()
--- a/otterreach/proxy/figures.py
+++ b/otterreach/proxy/figures.py
@@ -7,46 +7,46 @@
 
 from otterreach.proxy.item_run import Phase
 from otterreach.proxy.node import Proxy
-from otterreach.runtime.figures import Figure, FigureKind
+from otterreach.runtime.figures import MetricSample, MetricType
 from otterreach.runtime.histogram import Histogram
-from otterreach.runtime.node_figures import repeated_work_figures
+from otterreach.runtime.node_figures import repeated_work_metrics
 
-COUNTER = FigureKind.COUNTER
+COUNTER = MetricType.COUNTER
 
 
-def proxy_figures(proxy: Proxy) -> Iterable[Figure | Histogram]:
+def proxy_metrics(proxy: Proxy) -> Iterable[MetricSample | Histogram]:
     """Yield the metrics of one proxy."""
     ingress = proxy.ingress
-    yield Figure("ready", "1 while the proxy takes requests.", proxy.ready)
-    yield Figure("configuration_version", "The configuration in force here.", proxy.fleet.config.version)
-    yield Figure("client_connections", "Open connections of clients.", len(ingress.clients))
+    yield MetricSample("ready", "1 while the proxy takes requests.", proxy.ready)
+    yield MetricSample("configuration_version", "The configuration in force here.", proxy.fleet.config.version)
+    yield MetricSample("client_connections", "Open connections of clients.", len(ingress.clients))
     pending = sum(client.has_pending_answer for client in ingress.clients)
-    yield Figure("requests_in_flight", "Requests of clients that wait for their answers.", pending)
+    yield MetricSample("requests_in_flight", "Requests of clients that wait for their answers.", pending)
     for status, count in sorted(ingress.answers.items()):
-        yield Figure("answers_total", "Answers to clients.", count, {"status": str(status)}, COUNTER)
+        yield MetricSample("answers_total", "Answers to clients.", count, {"status": str(status)}, COUNTER)
     yield ingress.answer_times
-    yield from _server_figures(proxy)
-    yield from _item_figures(proxy)
-    yield from repeated_work_figures(proxy.orders.repeated)
+    yield from _server_metrics(proxy)
+    yield from _item_metrics(proxy)
+    yield from repeated_work_metrics(proxy.orders.repeated)
 
 
-def _server_figures(proxy: Proxy) -> Iterable[Figure]:
+def _server_metrics(proxy: Proxy) -> Iterable[MetricSample]:
     servers = proxy.fleet.servers.values()
-    yield Figure("servers_open", "Model servers that may get requests.", sum(server.open for server in servers))
+    yield MetricSample("servers_open", "Model servers that may get requests.", sum(server.open for server in servers))
     open_now = sum(len(server.pool.connections) for server in servers)
-    yield Figure("server_connections", "Open connections to model servers.", open_now)
+    yield MetricSample("server_connections", "Open connections to model servers.", open_now)
     for outcome, count in sorted(proxy.fleet.outcomes.items()):
-        yield Figure("attempts_total", "Attempts at model servers.", count, {"outcome": outcome}, COUNTER)
+        yield MetricSample("attempts_total", "Attempts at model servers.", count, {"outcome": outcome}, COUNTER)
 
 
-def _item_figures(proxy: Proxy) -> Iterable[Figure]:
+def _item_metrics(proxy: Proxy) -> Iterable[MetricSample]:
     runner = proxy.runner
     phases = Counter(run.phase for run in runner.runs.values())
     for phase in Phase:
         if phase is not Phase.DONE:
-            yield Figure("items", "Items of batch jobs here.", phases[phase], {"phase": phase.name.lower()})
+            yield MetricSample("items", "Items of batch jobs here.", phases[phase], {"phase": phase.name.lower()})
     now = proxy.fleet.loop.time()
     waiting = [run for run in runner.runs.values() if run.phase in (Phase.QUEUED, Phase.PAUSED)]
     longest_s = max((now - run.left_server_at for run in waiting), default=0.0)
-    yield Figure("items_wait_seconds", "The longest time that an item has been at no server.", longest_s)
-    yield Figure("items_returned_total", "Items for which no server was reached.", runner.returned, kind=COUNTER)
+    yield MetricSample("items_wait_seconds", "The longest time that an item has been at no server.", longest_s)
+    yield MetricSample("items_returned_total", "Items for which no server was reached.", runner.returned, kind=COUNTER)
--- a/otterreach/runtime/figures.py
+++ b/otterreach/runtime/figures.py
@@ -9,7 +9,7 @@
 from otterreach.runtime.histogram import Histogram
 
 
-class FigureKind(Enum):
+class MetricType(Enum):
     """The type of a metric."""
 
     GAUGE = "gauge"  # can increase and decrease
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figure:
+class MetricSample:
     """One sample of a metric.
 
     By convention the name ends with the unit (`_seconds`, `_bytes`); counters end with `_total`.
@@ -27,7 +27,7 @@
     help: str
     value: float
     labels: Mapping[str, str] = field(default_factory=dict)
-    kind: FigureKind = FigureKind.GAUGE
+    kind: MetricType = MetricType.GAUGE
 
 
-FigureSource = Callable[[], Iterable[Figure | Histogram]]
+MetricSource = Callable[[], Iterable[MetricSample | Histogram]]
--- a/otterreach/runtime/metrics.py
+++ b/otterreach/runtime/metrics.py
@@ -9,7 +9,7 @@
 from prometheus_client import CollectorRegistry, generate_latest
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, HistogramMetricFamily
 
-from otterreach.runtime.figures import FigureKind, FigureSource
+from otterreach.runtime.figures import MetricSource, MetricType
 from otterreach.runtime.histogram import Histogram
 from otterreach.runtime.http import JsonServer, Reply
 from otterreach.sidecar import http1
@@ -20,37 +20,37 @@
 
 
 class Collector:
-    """A collector that converts the figures of its sources to metric families of prometheus_client."""
+    """A collector that converts the samples of its sources to metric families of prometheus_client."""
 
-    def __init__(self, sources: Iterable[FigureSource]) -> None:
+    def __init__(self, sources: Iterable[MetricSource]) -> None:
         self.sources = list(sources)
 
     def collect(self) -> Iterable[Any]:
         """Return the current metric families; prometheus_client calls this for each scrape."""
         families: dict[str, Any] = {}
-        for figure in (figure for source in self.sources for figure in source()):
-            if isinstance(figure, Histogram):
-                buckets = [("+Inf" if bound == float("inf") else str(bound), n) for bound, n in figure.cumulative()]
-                name = PREFIX + figure.name
-                families[name] = HistogramMetricFamily(name, figure.help, buckets=buckets, sum_value=figure.sum_s)
+        for sample in (sample for source in self.sources for sample in source()):
+            if isinstance(sample, Histogram):
+                buckets = [("+Inf" if bound == float("inf") else str(bound), n) for bound, n in sample.cumulative()]
+                name = PREFIX + sample.name
+                families[name] = HistogramMetricFamily(name, sample.help, buckets=buckets, sum_value=sample.sum_s)
                 continue
-            family = families.get(figure.name)
+            family = families.get(sample.name)
             if family is None:
-                kind = CounterMetricFamily if figure.kind is FigureKind.COUNTER else GaugeMetricFamily
-                family = kind(PREFIX + figure.name, figure.help, labels=list(figure.labels))
-                families[figure.name] = family
-            family.add_metric(list(figure.labels.values()), figure.value)
+                kind = CounterMetricFamily if sample.kind is MetricType.COUNTER else GaugeMetricFamily
+                family = kind(PREFIX + sample.name, sample.help, labels=list(sample.labels))
+                families[sample.name] = family
+            family.add_metric(list(sample.labels.values()), sample.value)
         return families.values()
 
 
-def render(sources: Iterable[FigureSource]) -> bytes:
-    """Render the figures of all sources as text."""
+def render(sources: Iterable[MetricSource]) -> bytes:
+    """Render the metrics of all sources as text."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(Collector(sources))
     return bytes(generate_latest(registry))
 
 
-def answer(sources: Iterable[FigureSource], request: http1.Request) -> Reply:
+def answer(sources: Iterable[MetricSource], request: http1.Request) -> Reply:
     """Answer GET /metrics; other paths and methods are rejected."""
     if request.target.partition(b"?")[0] != METRICS_PATH:
         return Reply(HTTPStatus.NOT_FOUND)
@@ -59,7 +59,7 @@
     return Reply(HTTPStatus.OK, render(sources), CONTENT_TYPE)
 
 
-def metrics_server(sources: Iterable[FigureSource]) -> JsonServer:
+def metrics_server(sources: Iterable[MetricSource]) -> JsonServer:
     """Return an HTTP server for these sources that is not listening yet."""
     source_list = list(sources)
 
--- a/otterreach/runtime/metrics_listener.py
+++ b/otterreach/runtime/metrics_listener.py
@@ -13,7 +13,7 @@
 from otterreach.runtime.log import log
 
 if TYPE_CHECKING:
-    from otterreach.runtime.figures import FigureSource
+    from otterreach.runtime.figures import MetricSource
     from otterreach.runtime.http import JsonServer
 
 METRICS_PORT = 9464  # also in deploy/system.toml
@@ -22,7 +22,7 @@
 class MetricsListener:
     """A listener that imports the metrics server and calls `sources` at the first connection."""
 
-    def __init__(self, sources: Callable[[], Iterable[FigureSource]]) -> None:
+    def __init__(self, sources: Callable[[], Iterable[MetricSource]]) -> None:
         self._sources = sources
         self._metrics_server: JsonServer | None = None
         self._server: asyncio.Server | None = None
--- a/otterreach/runtime/node_figures.py
+++ b/otterreach/runtime/node_figures.py
@@ -5,42 +5,44 @@
 import time
 from collections.abc import Iterable
 
-from otterreach.runtime.figures import Figure, FigureKind
+from otterreach.runtime.figures import MetricSample, MetricType
 from otterreach.runtime.histogram import Histogram
 from otterreach.runtime.journal import Journal
 from otterreach.runtime.node import Node
 from otterreach.runtime.repeated_work import RepeatedWork
 
-COUNTER = FigureKind.COUNTER
+COUNTER = MetricType.COUNTER
 
 
-def node_figures(node: Node) -> Iterable[Figure]:
+def node_metrics(node: Node) -> Iterable[MetricSample]:
     """Return the metrics of the process and of its place in the relay tree."""
     endpoint = node.endpoint
     follower = node.follower
-    yield Figure("control_state_age_seconds", "How old the copy of the control state may be.", follower.age_s())
-    yield Figure("control_state_revision", "The newest revision here.", node.store.revision)
-    yield Figure("control_state_items", "Items of the control state, tombstones included.", len(node.store.items))
-    yield Figure("relay_children", "Processes that follow this one.", len(follower.relay.children))
-    yield Figure("links", "Open connections to other processes of the system.", len(endpoint.links))
-    yield Figure("processor_seconds_total", "Processor time used.", time.process_time(), kind=COUNTER)
+    yield MetricSample("control_state_age_seconds", "How old the copy of the control state may be.", follower.age_s())
+    yield MetricSample("control_state_revision", "The newest revision here.", node.store.revision)
+    yield MetricSample("control_state_items", "Items of the control state, tombstones included.", len(node.store.items))
+    yield MetricSample("relay_children", "Processes that follow this one.", len(follower.relay.children))
+    yield MetricSample("links", "Open connections to other processes of the system.", len(endpoint.links))
+    yield MetricSample("processor_seconds_total", "Processor time used.", time.process_time(), kind=COUNTER)
     for kind, count in endpoint.sent.items():
-        yield Figure("messages_sent_total", "Messages to own processes.", count, {"kind": kind.__name__}, COUNTER)
+        yield MetricSample("messages_sent_total", "Messages to own processes.", count, {"kind": kind.__name__}, COUNTER)
     for kind, count in endpoint.received.items():
-        yield Figure("messages_received_total", "Messages of own processes.", count, {"kind": kind.__name__}, COUNTER)
-    yield from repeated_work_figures(follower.attachments)
+        yield MetricSample(
+            "messages_received_total", "Messages of own processes.", count, {"kind": kind.__name__}, COUNTER
+        )
+    yield from repeated_work_metrics(follower.attachments)
 
 
-def repeated_work_figures(*works: RepeatedWork) -> Iterable[Figure]:
+def repeated_work_metrics(*works: RepeatedWork) -> Iterable[MetricSample]:
     """Return the metrics of steps that were repeated without progress."""
     for work in works:
         labels = {"work": work.name}
-        yield Figure("repeated_work_total", "Steps repeated without progress.", work.total, labels, COUNTER)
-        yield Figure("repeated_work_most", "Repetitions of one subject, at most.", work.max_repetitions(), labels)
+        yield MetricSample("repeated_work_total", "Steps repeated without progress.", work.total, labels, COUNTER)
+        yield MetricSample("repeated_work_most", "Repetitions of one subject, at most.", work.max_repetitions(), labels)
 
 
-def journal_figures(journal: Journal) -> Iterable[Figure | Histogram]:
+def journal_metrics(journal: Journal) -> Iterable[MetricSample | Histogram]:
     """Return the metrics of a journal, for roles with a disk."""
-    yield Figure("journal_bytes", "Size of the journal.", journal.size)
-    yield Figure("journal_failed", "1 if the disk has refused a write.", journal.failed is not None)
+    yield MetricSample("journal_bytes", "Size of the journal.", journal.size)
+    yield MetricSample("journal_failed", "1 if the disk has refused a write.", journal.failed is not None)
     yield journal.sync_times
--- a/tests/controller/test_coordination_served.py
+++ b/tests/controller/test_coordination_served.py
@@ -5,8 +5,8 @@
 import asyncio
 import unittest
 
-from otterreach.controller.figures import controller_figures
-from otterreach.runtime.figures import Figure
+from otterreach.controller.figures import controller_metrics
+from otterreach.runtime.figures import MetricSample
 from tests.controller.controller_world import Cluster
 from tests.controller.coordination_support import Coordination
 
@@ -60,14 +60,14 @@
             await calls.acquire(box, "l1", "a3.7")
             await calls.acquire(box, "l1", "b1.1")
             await calls.send(box, "GET", "/nothing/l1")
-            figures = {
-                (figure.labels["resource"], figure.labels["status"]): figure.value
-                for figure in controller_figures(box.object)
-                if isinstance(figure, Figure) and figure.name == "api_answers_total"
+            values = {
+                (sample.labels["resource"], sample.labels["status"]): sample.value
+                for sample in controller_metrics(box.object)
+                if isinstance(sample, MetricSample) and sample.name == "api_answers_total"
             }
-            self.assertEqual(1, figures["locks", "200"])
-            self.assertEqual(1, figures["locks", "409"])
-            self.assertEqual(1, figures["unknown", "404"])
+            self.assertEqual(1, values["locks", "200"])
+            self.assertEqual(1, values["locks", "409"])
+            self.assertEqual(1, values["unknown", "404"])
 
         Cluster().play(scenario)
 
--- a/tests/runtime/test_metrics.py
+++ b/tests/runtime/test_metrics.py
@@ -10,24 +10,24 @@
 
 from prometheus_client.parser import text_string_to_metric_families
 
-from otterreach.runtime.figures import Figure, FigureKind, FigureSource
+from otterreach.runtime.figures import MetricSample, MetricSource, MetricType
 from otterreach.runtime.histogram import Histogram
 from otterreach.runtime.metrics import METRICS_PATH, render
 from otterreach.runtime.metrics_listener import MetricsListener
 from otterreach.sidecar import http1
 
 
-def sample() -> Iterable[Figure | Histogram]:
-    yield Figure("epoch", "Its number.", 7)
+def sample() -> Iterable[MetricSample | Histogram]:
+    yield MetricSample("epoch", "Its number.", 7)
     for kind, count in (("Ping", 3), ("Pong", 2)):
-        yield Figure("messages_sent_total", "Messages.", count, {"kind": kind}, FigureKind.COUNTER)
+        yield MetricSample("messages_sent_total", "Messages.", count, {"kind": kind}, MetricType.COUNTER)
     histogram = Histogram("answer_seconds", "Answers.")
     for seconds in (0.001, 0.3, 100.0):
         histogram.observe(seconds)
     yield histogram
 
 
-def samples(sources: list[FigureSource]) -> dict[tuple[str, tuple[tuple[str, str], ...]], float]:
+def samples(sources: list[MetricSource]) -> dict[tuple[str, tuple[tuple[str, str], ...]], float]:
     found = {}
     for family in text_string_to_metric_families(render(sources).decode()):
         for item in family.samples:
@@ -50,8 +50,8 @@
         self.assertAlmostEqual(100.301, found["otterreach_answer_seconds_sum", ()])
 
     def test_sources_may_share_a_name(self) -> None:
-        def other() -> Iterable[Figure]:
-            yield Figure("messages_sent_total", "Messages.", 9, {"kind": "Other"}, FigureKind.COUNTER)
+        def other() -> Iterable[MetricSample]:
+            yield MetricSample("messages_sent_total", "Messages.", 9, {"kind": "Other"}, MetricType.COUNTER)
 
         found = samples([sample, other])
         self.assertEqual(9.0, found["otterreach_messages_sent_total", (("kind", "Other"),)])
