--- a/otterreach/cli/app.py
+++ b/otterreach/cli/app.py
@@ -14,12 +14,12 @@
 from cyclopts import App, Parameter
 
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.settings import VARIABLE
+from otterreach.runtime.settings import SETTINGS_FILE_VARIABLE
 
 app = App(
     name="otterreach",
     help=f"Command line for operators. Addresses that are not given are read from --settings, "
-    f"or from the settings file named by {VARIABLE}.",
+    f"or from the settings file named by {SETTINGS_FILE_VARIABLE}.",
 )
 
 
@@ -47,7 +47,7 @@
         """Return the settings file's content; exit the program if it can't be read."""
         import yaml
 
-        name = self.settings or os.environ.get(VARIABLE, "")
+        name = self.settings or os.environ.get(SETTINGS_FILE_VARIABLE, "")
         try:
             raw = yaml.safe_load(Path(name).read_text(encoding="utf-8")) if name else None
         except (OSError, yaml.YAMLError) as error:
--- a/otterreach/cli/local_commands.py
+++ b/otterreach/cli/local_commands.py
@@ -10,7 +10,7 @@
 from otterreach.cli.app import app, fail, read_file
 from otterreach.cli.codes import ExitCode
 from otterreach.runtime.codes import Code, Failure
-from otterreach.runtime.settings import VARIABLE
+from otterreach.runtime.settings import SETTINGS_FILE_VARIABLE
 
 ROLES = {"proxy": "otterreach.proxy", "controller": "otterreach.controller", "jobstore": "otterreach.jobstore"}
 
@@ -29,7 +29,7 @@
     if role not in ROLES:
         return fail(Failure(Code.SETTINGS, f"unknown role {role!r}: expected one of {', '.join(ROLES)}"))
     if settings:
-        os.environ[VARIABLE] = str(settings)
+        os.environ[SETTINGS_FILE_VARIABLE] = str(settings)
     runpy.run_module(ROLES[role], run_name="__main__")
     return 0
 
--- a/otterreach/controller/api/configuration.py
+++ b/otterreach/controller/api/configuration.py
@@ -19,12 +19,12 @@
 from otterreach.runtime.codes import Failure
 from otterreach.runtime.configuration import ConfigurationRecord
 from otterreach.runtime.log import log
-from otterreach.runtime.records import FormerChangeList, ItemChange, delete, key_of, put
+from otterreach.runtime.records import ItemChange, LegacyChangeList, delete, key_of, put
 from otterreach.runtime.store import ReplicatedStore
 
 MAX_CHANGES_IN_PROGRESS = 32  # further changes get 503 immediately: each may have a body of many megabytes
 CONFIGURATION_KEY = key_of(ConfigurationRecord)
-FORMER_CHANGES_KEY = key_of(FormerChangeList)
+FORMER_CHANGES_KEY = key_of(LegacyChangeList)
 
 
 class ConfigurationResource:
@@ -92,7 +92,7 @@
         changes = [put(record), history_item]
         former_changes = self.control.state.items.get(FORMER_CHANGES_KEY)
         if former_changes is not None and not former_changes.is_tombstone:
-            changes.append(delete(FormerChangeList))
+            changes.append(delete(LegacyChangeList))
         epoch = self.control.number
         if not await write(self.control, changes):
             return UNAVAILABLE
--- a/otterreach/controller/election.py
+++ b/otterreach/controller/election.py
@@ -107,7 +107,7 @@
         replica = self.replica
         base = replica.newer_configuration or replica.accepted
         assert base is not None
-        self.attempts.note(replica.id, base.number)
+        self.attempts.record(replica.id, base.number)
         number = max(replica.promised, replica.highest_known_number, base.number) + 1
         promised = await self._collect_promises(base, number, change.transfer)
         if promised is None:
--- a/otterreach/controller/local_replica.py
+++ b/otterreach/controller/local_replica.py
@@ -82,7 +82,7 @@
         self.collect_tombstones()
         self._notify_items(self.store.items.values())
         if not self.id:
-            self.id = identity.draw_disk_id()
+            self.id = identity.generate_disk_id()
             self.uninitialised = self.settings.bootstrap
             self.journal.append(JournalKind.IDENTITY, self._identity_payload())
         self.set_mode(Mode.FOLLOWING if self.accepted else Mode.NEW, "start")
--- a/otterreach/jobstore/dispatcher.py
+++ b/otterreach/jobstore/dispatcher.py
@@ -273,7 +273,7 @@
         """
         _, item_id = queue.pop(0)
         item = job.items[item_id]
-        self.assignments.note(f"{job.id} {item_id}", None)
+        self.assignments.record(f"{job.id} {item_id}", None)
         job.proxies.add(session.node)
         item.state = ItemState.ASSIGNED
         assigned = AssignedItem(job, item)
--- a/otterreach/jobstore/node.py
+++ b/otterreach/jobstore/node.py
@@ -44,7 +44,7 @@
     for replica in replication.replicas:
         replica.finish_replay()
     if not disk:
-        disk = identity.draw_disk_id()
+        disk = identity.generate_disk_id()
         replication.context.journal.append(RecordKind.DISK, disk.encode())
     node.disk = disk
 
--- a/otterreach/loadtest/machines.py
+++ b/otterreach/loadtest/machines.py
@@ -18,7 +18,7 @@
 import yaml
 
 from otterreach.loadtest.plan import Plan
-from otterreach.runtime.settings import VARIABLE
+from otterreach.runtime.settings import SETTINGS_FILE_VARIABLE
 
 MODULES = {"front": "otterreach.proxy", "core": "otterreach.controller", "store": "otterreach.jobstore"}
 ROLES = {"front": "proxy", "core": "controller", "store": "jobstore"}
@@ -128,7 +128,7 @@
         logs = self.folder / "logs"
         logs.mkdir(parents=True, exist_ok=True)
         paths = os.pathsep.join(path or str(Path.cwd()) for path in sys.path)
-        environment = {**os.environ, VARIABLE: str(self.file), "PYTHONPATH": paths}
+        environment = {**os.environ, SETTINGS_FILE_VARIABLE: str(self.file), "PYTHONPATH": paths}
         with (logs / f"{self.name}.log").open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
--- a/otterreach/proxy/orders.py
+++ b/otterreach/proxy/orders.py
@@ -269,7 +269,7 @@
             self._last_order_at[ident] = self.loop.time()
             return self.fence(ident) == fence
 
-        self.repeated.note(f"{ident} {load.model}", load.version)
+        self.repeated.record(f"{ident} {load.model}", load.version)
         result, status = await server.order(order, may_write)
         log("order", server=ident, model=load.model, version=load.version, fence=fence, status=status)
         self._learn_from(ident, order, result)
--- a/otterreach/runtime/identity.py
+++ b/otterreach/runtime/identity.py
@@ -8,7 +8,7 @@
 from random import SystemRandom
 
 
-def draw_disk_id() -> str:
+def generate_disk_id() -> str:
     """Generate a disk id of 12 hexadecimal digits."""
     return f"{SystemRandom().getrandbits(48):012x}"
 
--- a/otterreach/runtime/node.py
+++ b/otterreach/runtime/node.py
@@ -176,7 +176,7 @@
 
     async def watch_settings(self) -> None:
         """Reload the settings whenever the file has changed; never returns."""
-        path = os.environ.get(settings_module.VARIABLE, "")
+        path = os.environ.get(settings_module.SETTINGS_FILE_VARIABLE, "")
         last_change = 0
         while True:
             await asyncio.sleep(SETTINGS_CHECK_S)
--- a/otterreach/runtime/records.py
+++ b/otterreach/runtime/records.py
@@ -338,7 +338,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FormerChangeList:
+class LegacyChangeList:
     """The single item in which earlier versions kept the last changes. This version only deletes it."""
 
     KIND: ClassVar[str] = "taken"
--- a/otterreach/runtime/relay.py
+++ b/otterreach/runtime/relay.py
@@ -237,7 +237,7 @@
         address = candidates[self._attempts % len(candidates)]
         self._attempts += 1
         requested_at = self.loop.time()
-        self.attachments.note(self.settings.node, self.fresh_at)
+        self.attachments.record(self.settings.node, self.fresh_at)
         reply = await self.endpoint.call(address, Follow(self.settings.node, self.store.digests), CALL_TIMEOUT_S)
         if isinstance(reply, Failure):
             if address == self.parent:
--- a/otterreach/runtime/repeated_work.py
+++ b/otterreach/runtime/repeated_work.py
@@ -33,7 +33,7 @@
         self.total = 0
         self._subjects: OrderedDict[str, Repetition] = OrderedDict()
 
-    def note(self, subject: str, progress: Hashable) -> None:
+    def record(self, subject: str, progress: Hashable) -> None:
         """Record that the step is about to be executed for a subject at this progress."""
         known = self._subjects.get(subject)
         if known is None or known.progress != progress:
--- a/otterreach/runtime/settings.py
+++ b/otterreach/runtime/settings.py
@@ -9,7 +9,7 @@
 
 from otterreach.balancer.interface import Reader, SettingsError
 
-VARIABLE = "OTTERREACH_NODE_FILE"
+SETTINGS_FILE_VARIABLE = "OTTERREACH_NODE_FILE"
 
 
 @dataclass(frozen=True, slots=True)
@@ -156,9 +156,9 @@
     """Read the settings from the file at `path`, by default the one named by the environment. Raise SettingsError."""
     import yaml
 
-    name = path or os.environ.get(VARIABLE, "")
+    name = path or os.environ.get(SETTINGS_FILE_VARIABLE, "")
     if not name:
-        raise SettingsError(f"setting (file): environment variable {VARIABLE} is not set")
+        raise SettingsError(f"setting (file): environment variable {SETTINGS_FILE_VARIABLE} is not set")
     loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
     try:
         with Path(name).open(encoding="utf-8") as file:
--- a/otterreach/scaletest/processes.py
+++ b/otterreach/scaletest/processes.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from otterreach.runtime.settings import VARIABLE
+from otterreach.runtime.settings import SETTINGS_FILE_VARIABLE
 from otterreach.scaletest import meter
 
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
@@ -60,7 +60,7 @@
         paths = os.pathsep.join(path or str(Path.cwd()) for path in sys.path)
         environment = {**os.environ, "PYTHONPATH": paths, meter.METER_VARIABLE: str(self.meter_file)}
         if settings:
-            environment[VARIABLE] = str(settings)
+            environment[SETTINGS_FILE_VARIABLE] = str(settings)
         with (self.folder / f"{self.name}.log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
--- a/otterreach/simulation/explore.py
+++ b/otterreach/simulation/explore.py
@@ -208,7 +208,7 @@
     try:
         with (
             ExitStack() as stack,
-            mock.patch.object(identity, "draw_disk_id", lambda: f"new{next(ids)}"),
+            mock.patch.object(identity, "generate_disk_id", lambda: f"new{next(ids)}"),
             mock.patch.object(otterreach.runtime.log, "_logger", logger),
             mock.patch.object(acceptor, "PRIMARY_CONTACT_VALID_S", 0.0),
         ):
--- a/otterreach/simulation/world.py
+++ b/otterreach/simulation/world.py
@@ -301,14 +301,14 @@
     def _patched_globals(self) -> Iterator[None]:
         """Replace the global id generator and logger by deterministic ones; everything else is passed in explicitly."""
         ids = Random(self.seed ^ 0x1D)
-        original_draw = identity.draw_disk_id
+        original_draw = identity.generate_disk_id
         logger = otterreach.runtime.log._logger
-        identity.draw_disk_id = lambda: f"{ids.getrandbits(48):012x}"
+        identity.generate_disk_id = lambda: f"{ids.getrandbits(48):012x}"
         otterreach.runtime.log._logger = _LogCapture(self)
         try:
             yield
         finally:
-            identity.draw_disk_id = original_draw
+            identity.generate_disk_id = original_draw
             otterreach.runtime.log._logger = logger
             self._unwrap()
 
--- a/tests/compatibility/test_surfaces.py
+++ b/tests/compatibility/test_surfaces.py
@@ -148,7 +148,7 @@
     return {
         "codes": {code.name: code.value for code in Code},
         "exit_codes": {code.name: code.value for code in ExitCode},
-        "settings_variable": settings.VARIABLE,
+        "settings_variable": settings.SETTINGS_FILE_VARIABLE,
         "settings_keys": keys_read(settings.read, SETTINGS),
         "sidecar_settings_keys": keys_read(SidecarSettings.from_dict, SIDECAR_SETTINGS),
         "configuration_keys_checked": keys_read(config_schema.validate, CONFIGURATION),
--- a/tests/jobstore/jobstore_world.py
+++ b/tests/jobstore/jobstore_world.py
@@ -110,7 +110,7 @@
         self.node = StoreNode(self.name, self.endpoint, self.world.random)
         records = self.journal.read()
         with mock.patch(
-            "otterreach.runtime.identity.draw_disk_id", lambda: f"{self.world.random.getrandbits(48):012x}"
+            "otterreach.runtime.identity.generate_disk_id", lambda: f"{self.world.random.getrandbits(48):012x}"
         ):
             self.store_node = JobStoreNode(cast(Node, self.node), self.journal, self.world.random, records)
         self.endpoint.spawn(self.store_node.start())
--- a/tests/runtime/test_repeated_work.py
+++ b/tests/runtime/test_repeated_work.py
@@ -16,7 +16,7 @@
     def warnings(self, times: int) -> list[int]:
         with mock.patch.object(repeated_work, "log") as log:
             for _ in range(times + 1):  # the first call is not a repetition
-                self.work.note("a", 1)
+                self.work.record("a", 1)
         return [call.kwargs["times"] for call in log.call_args_list]
 
     def test_logged_at_each_doubling(self) -> None:
@@ -26,18 +26,18 @@
     def test_progress_is_not_a_repetition(self) -> None:
         with mock.patch.object(repeated_work, "log") as log:
             for number in range(1000):
-                self.work.note("a", number)
+                self.work.record("a", number)
         log.assert_not_called()
         self.assertEqual((0, 0), (self.work.total, self.work.max_repetitions()))
 
     def test_subjects_are_independent(self) -> None:
         for number in range(FIRST_WARNING):
-            self.work.note(f"subject {number}", 1)
+            self.work.record(f"subject {number}", 1)
         self.assertEqual(0, self.work.total)
 
     def test_recorded_subjects_are_bounded(self) -> None:
         for number in range(3 * MAX_SUBJECTS):
-            self.work.note(f"subject {number}", 1)
+            self.work.record(f"subject {number}", 1)
         self.assertEqual(MAX_SUBJECTS, len(self.work._subjects))
 
 
--- a/tests/runtime/test_settings.py
+++ b/tests/runtime/test_settings.py
@@ -91,7 +91,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "node.yaml"
         path.write_text(text)
-        with mock.patch.dict(os.environ, {settings.VARIABLE: str(path)}):
+        with mock.patch.dict(os.environ, {settings.SETTINGS_FILE_VARIABLE: str(path)}):
             return settings.load()
 
 
@@ -144,8 +144,11 @@
         for text in ("", "- a\n", "a: [", "\0", "node: *x\n"):
             with self.subTest(text=text), self.assertRaises(SettingsError):
                 load(text)
-        with mock.patch.dict(os.environ, {settings.VARIABLE: "/nowhere/at/all"}), self.assertRaises(SettingsError):
+        with (
+            mock.patch.dict(os.environ, {settings.SETTINGS_FILE_VARIABLE: "/nowhere/at/all"}),
+            self.assertRaises(SettingsError),
+        ):
             settings.load()
         with mock.patch.dict(os.environ, clear=True), self.assertRaises(SettingsError) as caught:
             settings.load()
-        self.assertIn(settings.VARIABLE, str(caught.exception))
+        self.assertIn(settings.SETTINGS_FILE_VARIABLE, str(caught.exception))
