--- a/otterreach/cli/state.py
+++ b/otterreach/cli/state.py
@@ -85,7 +85,7 @@
         found = await fetch(endpoint, controllers, store)
         if isinstance(found, Failure):
             return found
-        while (link := endpoint.linked(found)) is not None:
+        while (link := endpoint.open_link(found)) is not None:
             changed.clear()
             link.send(FreshnessProbe(int(asyncio.get_running_loop().time() * 1000)))
             try:
--- a/otterreach/controller/watcher.py
+++ b/otterreach/controller/watcher.py
@@ -45,7 +45,7 @@
             address = self.control.primary_address
             if self.control.is_primary or not address:
                 continue
-            link = self.endpoint.linked(address)
+            link = self.endpoint.open_link(address)
             if link:
                 link.send(self.detector.report_since(self.settings.node, reported_at))
                 reported_at = now
--- a/otterreach/jobstore/disk_monitor.py
+++ b/otterreach/jobstore/disk_monitor.py
@@ -89,7 +89,7 @@
             log("disk_stalled", level="WARNING", node=node.settings.node, waiting_ms=waiting_ms)
         self._stall_logged = True
         address = node.follower.primary
-        link = node.endpoint.linked(address) if address else None
+        link = node.endpoint.open_link(address) if address else None
         if link:
             self._reported_at = now
             link.send(DiskStalled(node.settings.node, node.disk, waiting_ms))
--- a/otterreach/jobstore/replication_context.py
+++ b/otterreach/jobstore/replication_context.py
@@ -96,7 +96,7 @@
         address = self.node.follower.primary
         if not address:
             return False
-        link = self.node.endpoint.linked(address)
+        link = self.node.endpoint.open_link(address)
         if link is None:
             self.spawn(self.node.endpoint.link(address))
             return False
--- a/otterreach/runtime/node.py
+++ b/otterreach/runtime/node.py
@@ -151,7 +151,7 @@
     def _send_to_watchers(self, heartbeat: Heartbeat) -> None:
         sent = 0
         for address in watchers_in_order(self.settings.node, self.follower.controllers):
-            link = self.endpoint.linked(address)
+            link = self.endpoint.open_link(address)
             if link:
                 link.send(heartbeat)
                 sent += 1
--- a/otterreach/runtime/relay.py
+++ b/otterreach/runtime/relay.py
@@ -173,7 +173,7 @@
             parent_lost = not self.parent or self.loop.time() - self._last_message_at > PARENT_TIMEOUT_S
             if parent_lost or self.age_s() > MAX_AGE_S and self.random.random() < SEARCH_SHARE:
                 await self._attach(parent_lost)
-            link = self.endpoint.linked(self.parent) if self.parent else None
+            link = self.endpoint.open_link(self.parent) if self.parent else None
             if link:
                 link.send(FreshnessProbe(int(self.loop.time() * 1000)))
             await asyncio.sleep(PROBE_INTERVAL_S if self.parent else RETRY_S)
--- a/otterreach/runtime/rpc.py
+++ b/otterreach/runtime/rpc.py
@@ -289,7 +289,7 @@
         )
         return int(self._server.sockets[0].getsockname()[1])
 
-    def linked(self, address: str) -> Link | None:
+    def open_link(self, address: str) -> Link | None:
         """Return the open connection to host:port, or None."""
         link = self._opened.get(address)
         return link if link and not link.closed else None
@@ -320,7 +320,7 @@
         """Send a request to host:port and return its reply or a Failure. The time-out includes connecting."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
-        link: Link | Failure | None = self.linked(address)
+        link: Link | Failure | None = self.open_link(address)
         if link is None:
             try:
                 async with asyncio.timeout(timeout_s):
--- a/otterreach/simulation/small_parts.py
+++ b/otterreach/simulation/small_parts.py
@@ -161,7 +161,7 @@
         """Run a coroutine as a task of this member."""
         return asyncio.ensure_future(work)
 
-    def linked(self, address: str) -> None:
+    def open_link(self, address: str) -> None:
         """Return None: the model has no connections."""
         return
 
--- a/tests/jobstore/jobstore_net.py
+++ b/tests/jobstore/jobstore_net.py
@@ -194,12 +194,12 @@
         if not task.cancelled() and (error := task.exception()):
             self.failures.append(error)
 
-    def linked(self, address: str) -> VirtualLink | None:
+    def open_link(self, address: str) -> VirtualLink | None:
         link = self._opened.get(address)
         return link if link and not link.closed else None
 
     async def link(self, address: str) -> VirtualLink | Failure:
-        found = self.linked(address)
+        found = self.open_link(address)
         if found:
             return found
         await asyncio.sleep(2 * DELAY_S)
@@ -209,7 +209,7 @@
         there = self.net.endpoints.get(address)
         if there is None or there.down or self.down:
             return Failure(Code.UNREACHABLE, address)
-        if found := self.linked(address):
+        if found := self.open_link(address):
             return found
         here, far = VirtualLink(self, address, address), VirtualLink(there, "", self.address)
         here.other, far.other = far, here
--- a/tests/jobstore/test_dispatch.py
+++ b/tests/jobstore/test_dispatch.py
@@ -257,7 +257,7 @@
             await client.submit("a", body=job_json("a", 8, 1))
             await asyncio.sleep(0.1)
             first.slots = 0
-            link = first.endpoint.linked(world.primary_of("a").address)
+            link = first.endpoint.open_link(world.primary_of("a").address)
             assert link is not None
             link.send(ReturnItems("a", [item for _, item in first.running_items]))
             first.running_items.clear()
@@ -296,7 +296,7 @@
             await client.submit("a")
             await asyncio.sleep(0.1)
             runner.running_items.clear()
-            link = runner.endpoint.linked(world.primary_of("a").address)
+            link = runner.endpoint.open_link(world.primary_of("a").address)
             assert link is not None
             link.abort()
             await asyncio.sleep(0.4)
@@ -329,7 +329,7 @@
             store = world.primary_of("a")
             store.store_node.dispatcher.open_jobs["a"].state = JobState.ENDED
             runner.assigned.clear()
-            link = runner.endpoint.linked(store.address)
+            link = runner.endpoint.open_link(store.address)
             assert link is not None
             link.abort()
             await asyncio.sleep(0.4)
--- a/tests/runtime/test_relay.py
+++ b/tests/runtime/test_relay.py
@@ -54,7 +54,7 @@
     def on(self, kind: type, handler: Any) -> None:
         self.handlers[kind] = handler
 
-    def linked(self, address: str) -> Link | None:
+    def open_link(self, address: str) -> Link | None:
         return self.links.get(address)
 
     async def call(self, address: str, request: Any, timeout_s: float) -> Any:
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -149,7 +149,7 @@
     def test_killed_process_resets(self) -> None:
         async def work(pair: Pair) -> None:
             await pair.call()
-            link = pair.end.linked("10.0.0.2:5")
+            link = pair.end.open_link("10.0.0.2:5")
             assert link is not None
             pair.far.kill()
             pair.net.process_ended(pair.far)
