--- a/otterreach/proxy/batch_jobs.py
+++ b/otterreach/proxy/batch_jobs.py
@@ -63,7 +63,7 @@
         timeout_s = timeout_s if client_deadline_ms is None else min(timeout_s, client_deadline_ms / 1000)
         # A retry after an unclear call is safe, because one id stands for one batch job. Answering that the submission
         # was rejected after an unclear call is not: the call may have been executed.
-        reply = await self.directory.ask(job, submission, timeout_s, CALL_TIMEOUT_S + len(request.body) / 20e6)
+        reply = await self.directory.call(job, submission, timeout_s, CALL_TIMEOUT_S + len(request.body) / 20e6)
         if not isinstance(reply, Failure):
             client.respond(HTTPStatus.ACCEPTED)
         elif reply.maybe_done:
@@ -83,7 +83,7 @@
             return
         wait_ms = min(MAX_WAIT_MS, parse_number(request.headers.get(b"wait-ms")) or 0)
         wait_s = wait_ms / 1000
-        reply = await self.directory.ask(
+        reply = await self.directory.call(
             job, ReadJob(job, past, wait_ms), READ_TIMEOUT_S + wait_s, CALL_TIMEOUT_S + wait_s
         )
         if isinstance(reply, JobResults):
@@ -94,14 +94,14 @@
 
     async def _item(self, request: http1.Request, client: Client, job: str) -> None:
         item = parse_qs(decode_latin1(request.target.partition(b"?")[2])).get("id", [""])[0]
-        reply = await self.directory.ask(job, ReadItem(job, item), READ_TIMEOUT_S, CALL_TIMEOUT_S)
+        reply = await self.directory.call(job, ReadItem(job, item), READ_TIMEOUT_S, CALL_TIMEOUT_S)
         if isinstance(reply, ItemBody):
             client.respond(HTTPStatus.OK, {b"content-type": b"application/octet-stream"}, reply.body)
         else:
             self._missing(reply, client)
 
     async def _end(self, client: Client, job: str) -> None:
-        reply = await self.directory.ask(job, EndJob(job), CALL_TIMEOUT_S, CALL_TIMEOUT_S)
+        reply = await self.directory.call(job, EndJob(job), CALL_TIMEOUT_S, CALL_TIMEOUT_S)
         if isinstance(reply, Done) or isinstance(reply, Failure) and reply.code is Code.JOB_ENDED:
             client.respond(HTTPStatus.OK)
         else:
--- a/otterreach/proxy/directory.py
+++ b/otterreach/proxy/directory.py
@@ -223,7 +223,7 @@
         member = self.store.record(MemberRecord, node_of(record.primary))
         return member.address if member else None
 
-    async def ask(self, job: str, value: Request[ReplyT], timeout_s: float, call_timeout_s: float) -> ReplyT | Failure:
+    async def call(self, job: str, value: Request[ReplyT], timeout_s: float, call_timeout_s: float) -> ReplyT | Failure:
         """Call the node that serves the batch job, with retries until `timeout_s` has passed.
 
         A call is repeated after a failure that is retryable or leaves its execution unclear.
--- a/otterreach/proxy/item_reports.py
+++ b/otterreach/proxy/item_reports.py
@@ -36,7 +36,7 @@
         """
         finished = self._finished(run, reason, score)
         while True:
-            reply = await self.directory.ask(run.job, finished, REPORT_TIMEOUT_S, REPORT_CALL_TIMEOUT_S)
+            reply = await self.directory.call(run.job, finished, REPORT_TIMEOUT_S, REPORT_CALL_TIMEOUT_S)
             if not isinstance(reply, Failure) or reply.code in FINAL:
                 break
             await asyncio.sleep(REPORT_RETRY_S)
--- a/otterreach/simulation/job_proxy.py
+++ b/otterreach/simulation/job_proxy.py
@@ -132,7 +132,7 @@
         self.reporting.add(key)
         finished = ItemFinished(*key, "done", "", text_of(*key), [2], "score")
         while key in self.queue:
-            reply = await self.directory.ask(key[0], finished, CALL_S * 2, CALL_S)
+            reply = await self.directory.call(key[0], finished, CALL_S * 2, CALL_S)
             final = (Code.JOB_ENDED, Code.UNKNOWN_ITEM, Code.UNKNOWN_JOB, Code.BAD_MESSAGE)
             if isinstance(reply, Done) or isinstance(reply, Failure) and reply.code in final:
                 self.observer.result_answered(key, reply)
--- a/otterreach/simulation/job_trainers.py
+++ b/otterreach/simulation/job_trainers.py
@@ -92,7 +92,7 @@
         head = {"step": 0, "model": "m", "desired": 1, "minVersion": 1, "reqs": reqs}
         ask = SubmitJob(batch_job.id, "h.example", "train", json.dumps(head).encode())
         for _ in range(self.random.randint(1, 12)):
-            reply = await directory.ask(batch_job.id, ask, CALL_S, CALL_S)
+            reply = await directory.call(batch_job.id, ask, CALL_S, CALL_S)
             if isinstance(reply, Done):
                 batch_job.accepted_at = self.world.now
                 self.accepted_count += 1
@@ -114,7 +114,7 @@
         if self.random.random() < 0.8:
             batch_job.end_sent = True
             while not batch_job.ended_at:
-                reply = await directory.ask(batch_job.id, EndJob(batch_job.id), CALL_S, CALL_S)
+                reply = await directory.call(batch_job.id, EndJob(batch_job.id), CALL_S, CALL_S)
                 if isinstance(reply, Done) or reply.code is Code.JOB_ENDED:
                     batch_job.ended_at = self.world.now
                 else:
@@ -129,7 +129,7 @@
     async def _read(self, directory: JobStoreDirectory, batch_job: BatchJob, past: int, wait_ms: int) -> bool:
         known = list(batch_job.results)
         within = CALL_S + wait_ms / 1000
-        reply = await directory.ask(batch_job.id, ReadJob(batch_job.id, past, wait_ms), within, within)
+        reply = await directory.call(batch_job.id, ReadJob(batch_job.id, past, wait_ms), within, within)
         if isinstance(reply, Failure):
             self._check_known(batch_job, reply)
             return False
@@ -163,7 +163,7 @@
         if not waiting:
             return True
         item = self.random.choice(waiting)
-        reply = await directory.ask(batch_job.id, ReadItem(batch_job.id, item), CALL_S, CALL_S)
+        reply = await directory.call(batch_job.id, ReadItem(batch_job.id, item), CALL_S, CALL_S)
         if isinstance(reply, ItemBody):
             self.world.expect(reply.body == batch_job.items[item], "other bytes", f"{batch_job.id} {item}")
             return True
--- a/otterreach/simulation/planted_jobs.py
+++ b/otterreach/simulation/planted_jobs.py
@@ -159,7 +159,7 @@
     Planted(
         "refusal-of-what-may-be-taken",
         "a submission with an unknown outcome is reported as refused",
-        (Change(f"{DIRECTORY}.ask", "unclear = reply if reply.maybe_done else unclear", "unclear = None"),),
+        (Change(f"{DIRECTORY}.call", "unclear = reply if reply.maybe_done else unclear", "unclear = None"),),
         "jobs",
     ),
     Planted(
