--- a/otterreach/cli/caller.py
+++ b/otterreach/cli/caller.py
@@ -46,7 +46,7 @@
             self.done.set_result(None)
 
 
-async def ask(
+async def send_request(
     address: str,
     method: str,
     path: str,
@@ -83,7 +83,7 @@
 class Caller:
     """Calls any available one of several ctl addresses."""
 
-    def __init__(self, addresses: Sequence[str], random: Random | None = None, asking: Ask = ask) -> None:
+    def __init__(self, addresses: Sequence[str], random: Random | None = None, asking: Ask = send_request) -> None:
         self.addresses = list(addresses)
         self.random = random or Random()
         self._ask = asking
--- a/otterreach/loadtest/callers.py
+++ b/otterreach/loadtest/callers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from otterreach.cli.caller import ask
+from otterreach.cli.caller import send_request
 from otterreach.loadtest.ground_truth import body_of
 from otterreach.loadtest.latency import Latencies
 from otterreach.loadtest.plan import HOST, Clients, configuration
@@ -87,7 +87,7 @@
                 break
             headers = {b"Request-Id": ident.encode(), b"Deadline-Ms": b"%d" % (remaining_s * 1000)}
             address = context.entry.pick(zone, f"{client} {attempt}")
-            answer = await ask(address, "POST", path, body, headers, remaining_s, HOST)
+            answer = await send_request(address, "POST", path, body, headers, remaining_s, HOST)
             failure = self._classify(ident, body, answer)
             if self.route.kind == "mutating":
                 self.sent[ident] = not isinstance(answer, Failure) and answer.status in NOT_RUN_STATUSES
--- a/otterreach/loadtest/scene.py
+++ b/otterreach/loadtest/scene.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from otterreach.cli.caller import Caller, ask
+from otterreach.cli.caller import Caller, send_request
 from otterreach.loadtest.ground_truth import GroundTruth
 from otterreach.loadtest.plan import Plan
 from otterreach.runtime.codes import Failure
@@ -42,7 +42,7 @@
             await asyncio.gather(*(self._probe(front) for front in self.fronts), asyncio.sleep(PROBE_INTERVAL_S))
 
     async def _probe(self, front: Front) -> None:
-        answer = await ask(front.readyz, "GET", "/readyz")
+        answer = await send_request(front.readyz, "GET", "/readyz")
         ready = not isinstance(answer, Failure) and answer.status == 200
         front.missed_probes = 0 if ready else front.missed_probes + 1
 
--- a/otterreach/loadtest/trainer.py
+++ b/otterreach/loadtest/trainer.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from otterreach.cli.caller import Headers, ask
+from otterreach.cli.caller import Headers, send_request
 from otterreach.loadtest.latency import Latencies
 from otterreach.loadtest.plan import HOST, Route, Trainer
 from otterreach.loadtest.scene import PlayContext
@@ -235,7 +235,7 @@
         self, method: str, path: str, body: bytes = b"", headers: Headers | None = None, within_s: float = 1.0
     ) -> http1.Response | Failure:
         address = self.context.entry.pick(self.context.random.choice(self.context.plan.zones), self.context.ident())
-        return await ask(address, method, path, body, headers, within_s, HOST)
+        return await send_request(address, method, path, body, headers, within_s, HOST)
 
     async def _submit(self, job: BatchJob) -> bool:
         """Submit a batch job, with retries at other fronts until it is accepted or due. Return whether it was."""
--- a/otterreach/scaletest/run.py
+++ b/otterreach/scaletest/run.py
@@ -17,7 +17,7 @@
 
 import yaml
 
-from otterreach.cli.caller import ask
+from otterreach.cli.caller import send_request
 from otterreach.loadtest.machines import Machine
 from otterreach.runtime.codes import Failure
 from otterreach.scaletest import meter, table
@@ -203,7 +203,7 @@
         body = json.dumps(sizes.configuration(self.gen)).encode()
         headers = {b"If-Match": b"%d" % (self.gen - 1), b"Content-Type": b"application/json"}
         for _ in range(PUT_ATTEMPTS):
-            answer = await ask(self.random.choice(self.controllers), "PUT", "/config", body, headers)
+            answer = await send_request(self.random.choice(self.controllers), "PUT", "/config", body, headers)
             if not isinstance(answer, Failure) and answer.status == 200:
                 return
             self.failed[f"config {0 if isinstance(answer, Failure) else answer.status}"] += 1
--- a/tests/loadtest/test_checks.py
+++ b/tests/loadtest/test_checks.py
@@ -12,7 +12,7 @@
 from typing import Any
 from unittest import mock
 
-from otterreach.cli.caller import Caller, ask
+from otterreach.cli.caller import Caller, send_request
 from otterreach.loadtest import plan as plan_module
 from otterreach.loadtest import report, verify
 from otterreach.loadtest.callers import Tally
@@ -321,7 +321,7 @@
             await server.start()
             try:
                 headers = {b"Request-Id": b"one", b"Model": b"m-one", b"Tokens": b"20,8", b"Prompt-Prefix": b"a:20"}
-                answer = await ask(server.address, "POST", "/samples/1", b"read", headers, 5.0)
+                answer = await send_request(server.address, "POST", "/samples/1", b"read", headers, 5.0)
                 assert isinstance(answer, http1.Response)
                 texts = [row[6:] for row in answer.body.decode().split("\n") if row.startswith("data: ")]
                 self.assertEqual([parse_event_data(t).number for t in texts], [1, 2])  # type: ignore[union-attr]
@@ -340,7 +340,7 @@
             ({b"Model": b"none"}, b"read", 400),
             ({}, b"never", 422),
         ):
-            answer = await ask(server.address, "POST", "/samples/1", request_body, headers | more, 5.0)
+            answer = await send_request(server.address, "POST", "/samples/1", request_body, headers | more, 5.0)
             assert isinstance(answer, http1.Response)
             self.assertEqual(answer.status, status)
             self.assertEqual(b"not-run" in answer.headers, status != 422 and b"Expect-Server" not in more)
@@ -354,13 +354,15 @@
             server = PlainServer(context, spec, 0, f"{self.net()}.2", "hall-a")
             await server.start()
             try:
-                answer = await ask(server.address, "POST", "/lookup/1", b"x", {b"Request-Id": b"r"}, 5.0)
+                answer = await send_request(server.address, "POST", "/lookup/1", b"x", {b"Request-Id": b"r"}, 5.0)
                 assert isinstance(answer, http1.Response)
                 self.assertEqual(answer.headers[b"server-load"], b"0,0,8")
-                probe = await ask(server.address, "GET", "/healthz")
+                probe = await send_request(server.address, "GET", "/healthz")
                 assert isinstance(probe, http1.Response)
                 self.assertEqual(probe.headers[b"server-id"].decode(), server.ident)
-                late = await ask(server.address, "POST", "/l", b"", {b"Request-Id": b"s", b"Deadline-Ms": b"0"}, 5.0)
+                late = await send_request(
+                    server.address, "POST", "/l", b"", {b"Request-Id": b"s", b"Deadline-Ms": b"0"}, 5.0
+                )
                 assert isinstance(late, http1.Response)
                 self.assertEqual(late.status, 504)
             finally:
@@ -383,7 +385,7 @@
             part = TrainerRunner(context, context.plan.trainer[0], 0.0)
             refused, taken = http1.Response(503, {}, b"", False), http1.Response(202, {}, b"", False)
             answers = [refused, Failure(Code.CLOSED, "cut"), taken]
-            with mock.patch("otterreach.loadtest.trainer.ask", side_effect=answers):
+            with mock.patch("otterreach.loadtest.trainer.send_request", side_effect=answers):
                 job = part._new_job()
                 self.assertTrue(await part._submit(job))
             return job
@@ -400,7 +402,7 @@
             job = part._new_job()
             job.accepted_at = context.now()
             answer = http1.Response(404, {}, b"", False)
-            with mock.patch("otterreach.loadtest.trainer.ask", return_value=answer):
+            with mock.patch("otterreach.loadtest.trainer.send_request", return_value=answer):
                 await part.read_once(job, 0)
                 self.assertEqual(job.faults, [])
                 await asyncio.sleep(5)
