--- a/tests/controller/controller_world.py
+++ b/tests/controller/controller_world.py
@@ -57,7 +57,7 @@
         await box.object.run(records)
         self.world.plainly(0.0, box.kill)  # the process exits
 
-    def play(self, scenario: Callable[[Cluster], Awaitable[None]]) -> None:
+    def run(self, scenario: Callable[[Cluster], Awaitable[None]]) -> None:
         """Start all controllers, wait until all are in the configuration, then run the scenario."""
 
         async def whole() -> None:
--- a/tests/controller/test_contact.py
+++ b/tests/controller/test_contact.py
@@ -64,7 +64,7 @@
             cluster.heal()
             await cluster.until(lambda: len(cluster.primaries()) == 1, 1.0, "one primary")
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_primary_with_all_its_backups_answers_503_without_a_majority(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -79,7 +79,7 @@
             self.assertEqual(cluster.primaries(), [old])  # no other could be elected: it continues at once
             await expect_service(cluster, old)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_without_the_majority_rule_that_primary_would_answer(self) -> None:
         """Without the majority check the isolated primary answers, so the tests above depend on that check."""
@@ -92,7 +92,7 @@
             self.assertEqual(status, 200)
 
         with mock.patch.object(WitnessContacts, "has_majority", lambda *_: True):
-            Cluster().play(scenario)
+            Cluster().run(scenario)
 
     def test_primary_with_one_of_two_backups(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -106,7 +106,7 @@
             await expect_no_answer(cluster, old)
             await expect_no_answer(cluster, inside)
 
-        Cluster(survive={"nodes": 2}).play(scenario)
+        Cluster(survive={"nodes": 2}).run(scenario)
 
     def test_primary_that_receives_nothing(self) -> None:
         """Messages from the primary arrive, and messages to it are lost."""
@@ -119,7 +119,7 @@
             await cluster.until(lambda: cluster.led_by(others), 2 * FAILOVER_S, "another primary")
             await expect_service(cluster, cluster.primary)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_primary_whose_messages_are_lost(self) -> None:
         """Messages to the primary arrive, and messages from it are lost."""
@@ -132,7 +132,7 @@
             await cluster.until(lambda: cluster.led_by(others), FAILOVER_S, "another primary")
             await expect_service(cluster, cluster.primary)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_follower_that_cannot_reach_the_primary_answers_503_at_once(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -142,7 +142,7 @@
             await asyncio.sleep(0.6)
             await expect_no_answer(cluster, follower, 0.01)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_put_in_flight_at_a_partition_may_end_unclear_and_is_applied_once(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -163,7 +163,7 @@
                 cluster.heal()
                 await asyncio.sleep(1.5)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_primary_that_thaws_in_a_newer_epoch_steps_down(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -184,7 +184,7 @@
             await asyncio.sleep(0.2)
             self.assertEqual((await cluster.get(old))[2], gen)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 class ElectionPartitionTest(unittest.TestCase):
@@ -241,7 +241,7 @@
             self.assertEqual((status, read), (200, gen))
 
         cluster.world.wrap(owner, step, around)
-        cluster.play(scenario)
+        cluster.run(scenario)
 
     def test_before_it_asks_for_promises(self) -> None:
         self.play(Election, "_request_promises", before=True)
--- a/tests/controller/test_coordination_bad_input.py
+++ b/tests/controller/test_coordination_bad_input.py
@@ -109,7 +109,7 @@
             self.assertEqual(200, (await calls.renew(box, "l1", "a1", fence)).status)
             self.assertEqual(409, (await calls.acquire(box, "l1", "a2")).status)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_numbers_that_are_none_are_refused(self) -> None:
         wrong: list[tuple[str, str, Any, str | None]] = []
@@ -176,7 +176,7 @@
                     self.assertEqual(400, answer.status, f"{method} {kind} {name!r}")
             self.assertEqual(404, (await calls.read(cluster.boxes[0], "a")).status)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_odd_queries_are_refused(self) -> None:
         self._assert_rejected([("GET", f"/watch/g1.?{query}", None, field) for query, field in QUERIES])
@@ -204,7 +204,7 @@
                         self.assertEqual(405, answer.status, f"{method} {kind}")
             self.assertEqual(1, (await calls.watch(cluster.boxes[0], "g1", 0)).body["rev"])
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_bounds.py
+++ b/tests/controller/test_coordination_bounds.py
@@ -48,7 +48,7 @@
             mock.patch.object(coordination_answers, "MAX_NAMES", 3),
             mock.patch.object(keys, "MAX_NAMES", 3),
         ):
-            Cluster().play(scenario)
+            Cluster().run(scenario)
 
     def test_beyond_the_events_that_a_group_may_keep_a_put_gets_429_until_they_are_old(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -62,7 +62,7 @@
             self.assertEqual({"rev": 6}, (await calls.put(cluster.boxes[1], "g1.a", "v6", None)).body)
 
         with mock.patch.object(keys, "MAX_GROUP_EVENTS", 5):
-            Cluster(slas={"historyS": HISTORY_S}).play(scenario)
+            Cluster(slas={"historyS": HISTORY_S}).run(scenario)
 
     def test_beyond_the_bytes_of_a_groups_events_a_put_gets_429_until_they_are_old(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -75,7 +75,7 @@
             self.assertEqual([200] * 5, [answer.status for answer in answers])
 
         with mock.patch.object(keys, "MAX_GROUP_BYTES", 5000):
-            Cluster(slas={"historyS": HISTORY_S}).play(scenario)
+            Cluster(slas={"historyS": HISTORY_S}).run(scenario)
 
     # Guards against a state that is full of expired events and rejects every put for good.
     def test_a_state_that_was_full_of_events_takes_puts_again_once_they_are_old(self) -> None:
@@ -101,7 +101,7 @@
             mock.patch.object(keys, "MAX_STATE_BYTES", 50_000),
             mock.patch.object(event_collection, "COLLECTION_THRESHOLD_BYTES", 0),
         ):
-            Cluster(slas={"historyS": HISTORY_S}).play(scenario)
+            Cluster(slas={"historyS": HISTORY_S}).run(scenario)
 
     # Guards against a state that outgrows the disk: locks and numbers count towards the limit as well as keys.
     def test_a_full_state_takes_no_new_locks_and_numbers(self) -> None:
@@ -123,7 +123,7 @@
                 self.assertEqual(200, (await calls.acquire(cluster.boxes[1], "l1", "a1")).status)
                 self.assertEqual({"value": 2}, (await calls.number(cluster.boxes[1], "n1")).body)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_beyond_the_watches_that_may_wait_others_get_429(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -141,7 +141,7 @@
             self.assertEqual({"events": [], "rev": 2}, again.body)
 
         with mock.patch.object(WatchHub.__init__, "__defaults__", (3,)):
-            Cluster().play(scenario)
+            Cluster().run(scenario)
 
     # Guards against abandoned watches that count towards the limit for good.
     def test_a_watch_whose_caller_has_left_counts_until_its_time_is_over(self) -> None:
@@ -155,7 +155,7 @@
             self.assertEqual(200, (await calls.watch(cluster.boxes[3], "g1", 1, 500)).status)
 
         with mock.patch.object(WatchHub.__init__, "__defaults__", (3,)):
-            Cluster().play(scenario)
+            Cluster().run(scenario)
 
 
 class CollectionTest(unittest.TestCase):
@@ -178,7 +178,7 @@
             self.assertEqual(200, (await calls.renew(cluster.boxes[1], "held", "a1", held)).status)
             self.assertGreater((await calls.acquire(cluster.boxes[1], "ended", "a2")).body["fence"], held)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against tokens that restart after the tombstones of locks were collected and all controllers lost power.
     def test_tokens_rise_after_the_tombstones_of_locks_are_collected(self) -> None:
@@ -196,7 +196,7 @@
                 box.power_on()
             self.assertGreater((await calls.repeat(calls.acquire, "l1", "a2")).body["fence"], fence)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_cut.py
+++ b/tests/controller/test_coordination_cut.py
@@ -45,7 +45,7 @@
             later = await calls.repeat(calls.number, "n1")
             self.assertGreater(later.body["value"], number)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against two holders, and against a 503 for a renewal that took effect: the primary is isolated during it.
     def test_a_renewal_under_way_at_the_cut_is_in_force_or_not_as_its_answer_says(self) -> None:
@@ -71,7 +71,7 @@
                     elif renewed.status in NOT_TAKEN:
                         self.assertLess(held_s, FAILOVER_S)
 
-                Cluster().play(scenario)
+                Cluster().run(scenario)
 
     # Guards against a watch that goes on waiting on a primary that is not notified of further puts.
     def test_a_watch_that_waits_at_a_primary_is_answered_503_once_that_is_cut_off(self) -> None:
@@ -87,7 +87,7 @@
             self.assertEqual(503, answer.status)
             self.assertLess(cluster.world.now - cut_at, PROMPT_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against the same on a controller that is on the primary's side of the partition.
     def test_a_watch_that_waits_beside_a_cut_primary_is_answered_503(self) -> None:
@@ -104,7 +104,7 @@
             self.assertEqual(503, answer.status)
             self.assertLess(cluster.world.now - cut_at, PROMPT_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a 503 for a put in flight at the partition that becomes visible later.
     def test_a_put_under_way_at_the_cut_is_not_refused_and_then_shown(self) -> None:
@@ -129,7 +129,7 @@
                     if answer.status == 503:
                         self.assertEqual(404, read.status)
 
-                Cluster().play(scenario)
+                Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_epoch_end.py
+++ b/tests/controller/test_coordination_epoch_end.py
@@ -39,7 +39,7 @@
             self.assertEqual(200, (await calls.renew(cluster.boxes[2], "l1", "a1", fence)).status)
             self.assertEqual(31, (await waiting).body["rev"])
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against revisions beyond their epoch, and against wrong answers to writes at the very end of the count.
     def test_at_the_very_end_a_write_is_refused_until_the_new_epoch_and_nothing_is_lost(self) -> None:
@@ -60,7 +60,7 @@
             self.assertLess(cluster.world.now - began, PROMPT_S)
             self.assertEqual(11, (await calls.repeat(calls.watch, "g1", 0)).body["rev"])
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_failover.py
+++ b/tests/controller/test_coordination_failover.py
@@ -52,7 +52,7 @@
                     self.assertGreater(granted_at, sent_at + hold_ms / 1000)
                     self.assertLess(granted_at, max(sent_at + hold_ms / 1000, stable_at) + FREE_S)
 
-                Cluster().play(scenario)
+                Cluster().run(scenario)
 
     # Guards against 409 long after a hold's expiry from a primary that received the state only after the call.
     def test_a_hold_ends_in_time_also_after_two_changes_of_primary(self) -> None:
@@ -68,7 +68,7 @@
             self.assertGreater(granted_at, sent_at + 10.0)
             self.assertLess(granted_at, sent_at + 10.0 + FREE_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against 409 long after a hold's expiry from a primary whose process was started after the call.
     def test_a_hold_ends_in_time_also_where_the_next_primary_was_restarted_since(self) -> None:
@@ -86,7 +86,7 @@
             self.assertGreater(granted_at, sent_at + 10.0)
             self.assertLess(granted_at, sent_at + 10.0 + FREE_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against 409 long after a hold's expiry from a primary that was killed and became primary again.
     def test_a_hold_ends_in_time_also_where_the_primary_was_restarted(self) -> None:
@@ -107,7 +107,7 @@
                     self.assertGreater(granted_at, sent_at + 10.0)
                     self.assertLess(granted_at, sent_at + 10.0 + FREE_S)
 
-                Cluster().play(scenario)
+                Cluster().run(scenario)
 
     # Guards against two holders: a renewal accepted by the old primary is unknown to the next one.
     def test_a_renewal_counts_at_the_next_primary(self) -> None:
@@ -122,7 +122,7 @@
             self.assertGreater(granted_at, renewed_at + 2.5)
             self.assertLess(granted_at, renewed_at + 2.5 + FREE_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a holder that loses its lock at a failover although it renews in time.
     def test_the_holder_renews_and_releases_at_the_next_primary(self) -> None:
@@ -136,7 +136,7 @@
             self.assertEqual(200, (await calls.release(box, "l1", "a1", fence)).status)
             self.assertEqual(200, (await calls.acquire(box, "l1", "a2")).status)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against reuse of a fencing token after its lock was released or its hold expired.
     def test_tokens_rise_across_changes_of_primary_over_released_and_expired_holds(self) -> None:
@@ -153,7 +153,7 @@
                     await asyncio.sleep(4.0)
             self.assertEqual(sorted(set(fences)), fences)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 class NumberFailoverTest(unittest.TestCase):
@@ -172,7 +172,7 @@
             self.assertEqual(sorted(set(values)), values)
             self.assertEqual(12, len(values))
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 class KeyFailoverTest(unittest.TestCase):
@@ -192,7 +192,7 @@
                     read = await calls.repeat(calls.read, "g1.a")
                     self.assertEqual({"value": "v2", "rev": 2}, read.body)
 
-                Cluster().play(scenario)
+                Cluster().run(scenario)
 
     # Guards against a new primary that assigns a group's revision twice, or accepts a put over a later one.
     def test_a_groups_count_goes_on_at_the_next_primary(self) -> None:
@@ -207,7 +207,7 @@
             next_put = await calls.repeat(calls.put, "g1.1", "v5", 1)
             self.assertEqual((200, {"rev": 4}), (next_put.status, next_put.body))
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_frozen.py
+++ b/tests/controller/test_coordination_frozen.py
@@ -57,7 +57,7 @@
             self.assertGreater((await calls.number(new, "n1")).body["value"], value)
             self.assertEqual({"value": "v2", "rev": 2}, (await calls.read(new, "g1.a")).body)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a call in flight at the freeze that both primaries accept, or that is rejected and takes effect.
     def test_calls_under_way_at_the_freeze_are_in_force_or_not_as_their_answers_say(self) -> None:
@@ -87,7 +87,7 @@
                         if acquired.status == 503:
                             self.assertEqual(200, other.status)
 
-                    Cluster().play(scenario)
+                    Cluster().run(scenario)
 
     # Guards against a frozen primary that underestimates the age of a hold, or grants it twice.
     def test_a_hold_runs_on_while_all_controllers_stand_still(self) -> None:
@@ -106,7 +106,7 @@
             self.assertGreater(cluster.world.now - sent_at, 3.0)
             self.assertGreater(other.body["fence"], fence)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 class LateCallsTest(unittest.TestCase):
@@ -136,7 +136,7 @@
                         second = (await calls.repeat(calls.number, "n1")).body["value"]
                         self.assertEqual(first + 1, second)
 
-                    Cluster(seed=seed).play(scenario)
+                    Cluster(seed=seed).run(scenario)
 
     # Guards against the same for calls that the controller had forwarded to a frozen primary.
     def test_calls_forwarded_to_a_primary_that_stands_still_end_without_a_clear_answer(self) -> None:
@@ -156,7 +156,7 @@
             self.assertEqual(200, (await calls.acquire(new, "l1", "a2")).status)
             self.assertEqual(404, (await calls.read(new, "g1.late")).status)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a controller that goes on rejecting calls after it has thawed.
     def test_a_controller_serves_again_soon_after_it_thawed(self) -> None:
@@ -169,7 +169,7 @@
             await asyncio.sleep(0.5)
             self.assertEqual(200, (await calls.acquire(box, "l1", "a1")).status)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_keys.py
+++ b/tests/controller/test_coordination_keys.py
@@ -28,7 +28,7 @@
             self.assertEqual({"value": "v1", "rev": 2}, (await calls.read(cluster.boxes[2], "g1.a")).body)
             self.assertEqual(2, (await calls.watch(cluster.boxes[3], "g1", 0)).body["rev"])
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_of_puts_on_one_revision_at_the_same_moment_one_succeeds(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -39,7 +39,7 @@
                 self.assertEqual([200, 412, 412, 412, 412], sorted(answer.status for answer in answers))
                 self.assertEqual({expect + 1}, {answer.body["rev"] for answer in answers})
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a retried put that gets a second revision, or 412.
     def test_a_repeated_put_gets_its_first_revision_though_others_came_since(self) -> None:
@@ -57,7 +57,7 @@
                     self.assertEqual({"value": "v7", "rev": 7}, (await calls.read(cluster.boxes[0], "g1.a")).body)
                     self.assertEqual(7, (await calls.watch(cluster.boxes[0], "g1", 0)).body["rev"])
 
-                Cluster().play(scenario)
+                Cluster().run(scenario)
 
     def test_two_copies_of_a_put_at_the_same_moment_have_one_revision(self) -> None:
         for expect in (0, None):
@@ -68,7 +68,7 @@
                     answers = await asyncio.gather(*(calls.put(box, "g1.a", "v1", expect) for box in cluster.boxes))
                     self.assertEqual([(200, {"rev": 1})] * 5, [(each.status, each.body) for each in answers])
 
-                Cluster().play(scenario)
+                Cluster().run(scenario)
 
     # Guards against the newest put of a key being forgotten with the history of its group.
     def test_the_newest_put_of_a_key_is_recognised_long_after_its_event_is_gone(self) -> None:
@@ -82,7 +82,7 @@
             again = await calls.put(cluster.boxes[1], "g1.a", "v1", 0)
             self.assertEqual((200, first.body), (again.status, again.body))
 
-        Cluster(slas={"historyS": HISTORY_S}).play(scenario)
+        Cluster(slas={"historyS": HISTORY_S}).run(scenario)
 
     def test_a_key_without_a_dot_is_a_group_of_its_own(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -93,7 +93,7 @@
             self.assertEqual(1, (await calls.read(cluster.boxes[0], "g1.a")).body["rev"])
             self.assertEqual(2, (await calls.read(cluster.boxes[0], "g1.a.b")).body["rev"])
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_values_come_back_as_they_were_put(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -107,7 +107,7 @@
                 if number > 1:
                     self.assertEqual(value, watch.body["events"][0]["value"])
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_locks.py
+++ b/tests/controller/test_coordination_locks.py
@@ -29,7 +29,7 @@
             self.assertGreater(cluster.world.now - other.took_s, sent_at + 2.0)
             self.assertLess(cluster.world.now, sent_at + 2.0 + FREE_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a hold whose duration counts from an earlier call than the last renewal.
     def test_a_renewed_lock_is_held_from_its_last_renewal(self) -> None:
@@ -45,7 +45,7 @@
                 self.assertEqual(409, (await calls.acquire(cluster.boxes[1], "l1", "a2")).status)
                 await asyncio.sleep(0.02)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a holder that acquires again and gets a lower token, or loses the lock to another owner.
     def test_the_holder_that_asks_again_gets_a_token_that_is_not_lower_and_more_time(self) -> None:
@@ -59,7 +59,7 @@
             await asyncio.sleep(0.8)
             self.assertEqual(409, (await calls.acquire(cluster.boxes[2], "l1", "a2")).status)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a hold that can't be renewed with the older of its tokens.
     def test_each_token_of_one_hold_renews_it(self) -> None:
@@ -70,7 +70,7 @@
             for fence in (first, second):
                 self.assertEqual(200, (await calls.renew(cluster.boxes[1], "l1", "a1", fence)).status)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a renewal of an ended hold that extends, or takes over, another one.
     def test_a_renewal_with_a_token_of_an_earlier_hold_gets_409(self) -> None:
@@ -88,7 +88,7 @@
             self.assertEqual(200, (await calls.acquire(box, "l1", "a2")).status)
             self.assertEqual(409, (await calls.renew(box, "l1", "a1", later)).status, "another holds it")
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a delayed release that frees a later hold of the same or another owner.
     def test_a_late_release_of_an_earlier_hold_frees_nothing(self) -> None:
@@ -102,7 +102,7 @@
                 self.assertEqual(200, (await calls.release(box, "l1", owner, fence)).status)
                 self.assertEqual(409, (await calls.acquire(box, "l1", "a3")).status)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a release that was sent before its owner acquired the lock again, and ends the new hold.
     def test_a_late_release_with_a_token_before_the_holder_asked_again_frees_nothing(self) -> None:
@@ -115,7 +115,7 @@
             self.assertEqual(200, (await calls.release(box, "l1", "a1", first)).status)
             self.assertEqual(409, (await calls.acquire(box, "l1", "a2")).status)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_a_release_is_answered_200_whether_or_not_the_lock_is_held(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -126,7 +126,7 @@
                 self.assertEqual(200, (await calls.release(box, "l1", "a1", fence)).status)
                 self.assertEqual(200, (await calls.release(box, "l1", "a1", fence)).status)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_a_released_lock_is_free_at_once(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -137,7 +137,7 @@
             self.assertEqual(200, other.status)
             self.assertGreater(other.body["fence"], fence)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a short renewal that extends the expiry of a longer hold.
     def test_a_short_renewal_does_not_make_a_long_hold_longer_than_it_was(self) -> None:
@@ -154,7 +154,7 @@
             self.assertGreater(cluster.world.now, began + 4.0, "the answer to the renewal may have been lost")
             self.assertLess(cluster.world.now, began + 4.0 + FREE_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_lost.py
+++ b/tests/controller/test_coordination_lost.py
@@ -52,7 +52,7 @@
             self.assertEqual(409, other.status, "its holder still counts itself as such")
             self.assertEqual(200, renewed.status, "its holder still counts itself as such")
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_power.py
+++ b/tests/controller/test_coordination_power.py
@@ -41,7 +41,7 @@
                     self.assertGreater(cluster.world.now, sent_at + 4.0)
                     self.assertGreater(other.body["fence"], fence)
 
-                Cluster().play(scenario)
+                Cluster().run(scenario)
 
     # Guards against 409 long after the expiry, because a replayed journal restarts each hold.
     def test_a_hold_ends_in_time_also_after_a_loss_of_all_power(self) -> None:
@@ -57,7 +57,7 @@
             self.assertGreater(cluster.world.now, sent_at + 10.0)
             self.assertLess(cluster.world.now, max(sent_at + 10.0, stable_at) + FREE_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against counters and fencing tokens that restart after the locks were released and their records deleted.
     def test_counts_go_on_after_a_loss_of_all_power(self) -> None:
@@ -82,7 +82,7 @@
                 self.assertEqual(last.body["rev"] + 1, put.body["rev"])
                 last = put
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a put that is retried after the power loss and gets a second revision.
     def test_a_repeated_put_gets_its_first_revision_after_a_loss_of_all_power(self) -> None:
@@ -98,7 +98,7 @@
                     again = await calls.repeat(calls.put, "g1.a", "v1", expect)
                     self.assertEqual((200, first.body), (again.status, again.body))
 
-                Cluster().play(scenario)
+                Cluster().run(scenario)
 
     # Guards against a put in flight at the power loss that gets two revisions or whose 504 is treated as a rejection.
     def test_a_put_under_way_when_all_power_is_lost_has_one_revision_or_none(self) -> None:
@@ -119,7 +119,7 @@
                     watch = await calls.repeat(calls.watch, "g1", 1)
                     self.assertEqual([{"name": "g1.a", "value": "v2", "rev": 2}], watch.body["events"])
 
-                Cluster().play(scenario)
+                Cluster().run(scenario)
 
 
 class ReplacedMachineTest(unittest.TestCase):
@@ -145,7 +145,7 @@
             watch = await calls.repeat(calls.watch, "g1", 1)
             self.assertEqual(list(range(2, revision + 1)), [event["rev"] for event in watch.body["events"]])
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against lost state if the tolerated disk loss coincides with a power loss on all controllers.
     def test_acknowledged_state_outlives_the_primarys_disk_and_all_power(self) -> None:
@@ -168,7 +168,7 @@
                     read = await calls.repeat(calls.read, "g1.a")
                     self.assertEqual({"value": "v1", "rev": 1}, read.body)
 
-                Cluster().play(scenario)
+                Cluster().run(scenario)
 
     # Guards against late answers after the maximum tolerated disk loss and a power loss on all controllers at once.
     def test_acknowledged_state_is_answered_in_time_after_two_disks_and_all_power(self) -> None:
@@ -203,7 +203,7 @@
                     self.assertEqual({"rev": 3}, put.body)
                     self.assertLess(cluster.world.now - began, START_S)
 
-                Cluster(survive={"nodes": 2}).play(scenario)
+                Cluster(survive={"nodes": 2}).run(scenario)
 
     # Guards against a newly joined machine that serves nothing, or outdated state.
     def test_a_new_machine_answers_as_the_others_do(self) -> None:
@@ -217,7 +217,7 @@
             self.assertEqual(200, (await calls.acquire(new, "l1", "a1")).status)
             self.assertEqual(1, (await calls.watch(new, "g1", 0)).body["rev"])
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_promises.py
+++ b/tests/controller/test_coordination_promises.py
@@ -84,7 +84,7 @@
                             for box, answer in zip(cluster.boxes, answers, strict=True):
                                 await self._check_key(calls, box.name, answer)
 
-                        Cluster().play(scenario)
+                        Cluster().run(scenario)
 
     async def _check_key(self, calls: Coordination, value: str, answer: Answer) -> None:
         self.assertIn(answer.status, (200, 503, 504, NO_ANSWER))
@@ -118,7 +118,7 @@
                             if answer.status in (200, 503):
                                 self.assertEqual(409 if answer.status == 200 else 200, other.status)
 
-                    Cluster().play(scenario)
+                    Cluster().run(scenario)
 
     # Guards against a write that is reported as rejected although a later primary may commit it.
     def test_a_write_whose_primary_loses_its_place_ends_without_a_clear_answer(self) -> None:
@@ -138,7 +138,7 @@
                 self.assertIn(answer.status, (504, NO_ANSWER))
                 self.assertLess(answer.took_s, CALL_TIMEOUT_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_each_controller_answers_503_within_a_second_while_there_is_no_majority(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -161,7 +161,7 @@
                     self.assertEqual(503, answer.status)
                     self.assertLess(answer.took_s, CALL_TIMEOUT_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_served.py
+++ b/tests/controller/test_coordination_served.py
@@ -34,7 +34,7 @@
                     self.assertEqual({"rev": 1}, put.body)
                     self.assertEqual(1, watch.body["rev"])
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against 503 for good from a controller that is not a witness because a further one would add nothing.
     def test_calls_are_served_at_a_controller_outside_the_configuration(self) -> None:
@@ -50,7 +50,7 @@
 
         cluster = Cluster(zones=(0, 1, 2, 0), survive={"nodes": 1, "zones": 1})
         cluster.expected = 3
-        cluster.play(scenario)
+        cluster.run(scenario)
 
     # Guards against incidents that no metric shows: calls that are answered 404 or 503 leave no other trace.
     def test_answers_are_counted_by_resource_and_status(self) -> None:
@@ -69,7 +69,7 @@
             self.assertEqual(1, values["locks", "409"])
             self.assertEqual(1, values["unknown", "404"])
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_watches.py
+++ b/tests/controller/test_coordination_watches.py
@@ -39,7 +39,7 @@
                 answer = await calls.watch(cluster.boxes[0], group, 0)
                 self.assertEqual({"events": [], "rev": revision}, answer.body)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_past_0_is_answered_the_present_revision_at_once(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -50,7 +50,7 @@
                 self.assertEqual({"events": [], "rev": 3}, answer.body)
                 self.assertLess(answer.took_s, AT_ONCE_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a watch whose events skip a put, repeat one or are out of order.
     def test_a_resumed_watch_gets_each_later_put_of_its_group_once_and_rising(self) -> None:
@@ -65,7 +65,7 @@
             event = (await calls.watch(cluster.boxes[0], "g1", 5)).body["events"][0]
             self.assertEqual({"name": "g1.6", "value": "g1 value 6", "rev": 6}, event)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against late notification: a put counts by the share of its watchers that receive it in time.
     def test_a_waiting_watch_at_each_controller_gets_a_put_at_once(self) -> None:
@@ -90,7 +90,7 @@
             self.assertLess(max(ended_at), put_at + AT_ONCE_S)
             self.assertGreater(min(ended_at), put_at)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_a_watch_without_news_is_answered_once_its_time_is_over(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -101,7 +101,7 @@
                 self.assertEqual({"events": [], "rev": 2}, answer.body)
                 self.assertAlmostEqual(0.7, answer.took_s, delta=AT_ONCE_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 class WatchFailoverTest(unittest.TestCase):
@@ -117,7 +117,7 @@
                 expected = list(range(past + 1, 6)) if past else []
                 self.assertEqual((5, expected), (answer.body["rev"], revisions(answer)))
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against a watch that goes on waiting for a primary that is lost.
     def test_a_watch_that_waits_beside_a_lost_primary_is_answered_503(self) -> None:
@@ -148,7 +148,7 @@
                         self.assertEqual(503, answer.status)
                     self.assertLess(cluster.world.now - began, 1.0)
 
-                Cluster().play(scenario)
+                Cluster().run(scenario)
 
     # Guards against a watch that goes on waiting on a controller that shuts down or is no longer the primary.
     def test_a_watch_that_waits_at_a_primary_that_shuts_down_is_answered_503(self) -> None:
@@ -163,7 +163,7 @@
             self.assertEqual(503, (await waiting).status)
             self.assertLess(cluster.world.now - began, 1.0)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against events skipped by a watch that resumes across a failover, with puts before and after it.
     def test_a_watch_that_resumes_through_changes_of_primary_skips_nothing(self) -> None:
@@ -195,7 +195,7 @@
             await watching
             self.assertEqual(list(range(2, 61)), seen)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 class HistoryTest(unittest.TestCase):
@@ -221,7 +221,7 @@
                         gone += 1
             self.assertGreater(gone, 0)
 
-        Cluster(slas={"historyS": HISTORY_S}).play(scenario)
+        Cluster(slas={"historyS": HISTORY_S}).run(scenario)
 
     # Guards against a history that is lost, or truncated too early, at a failover or a restart.
     def test_the_history_spans_its_time_through_failovers_and_a_loss_of_all_power(self) -> None:
@@ -246,7 +246,7 @@
             self.assertLess(cluster.world.now - given_at, HISTORY_S)
             self.assertEqual((200, 8, [5, 6, 7, 8]), (answer.status, answer.body["rev"], revisions(answer)))
 
-        Cluster(slas={"historyS": HISTORY_S}).play(scenario)
+        Cluster(slas={"historyS": HISTORY_S}).run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_hold_checkpoints.py
+++ b/tests/controller/test_hold_checkpoints.py
@@ -36,7 +36,7 @@
                 await asyncio.sleep(POLL_S)
             self.assertGreater(seen, 1000)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_locks_that_are_not_held_and_holds_that_are_renewed_cost_no_writes(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -54,7 +54,7 @@
             await asyncio.sleep(5.0)
             self.assertEqual(before, cluster.control(cluster.primary).state.revision)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_many_holds_are_written_a_part_at_a_time(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -68,7 +68,7 @@
             items = [cluster.control(primary).state.items[f"lock/l{number}"] for number in range(count)]
             self.assertLess(max(primary.object.receipts.age_s(item) for item in items), 2 * (MAX_AGE_S + PLAN_S))
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_membership.py
+++ b/tests/controller/test_membership.py
@@ -87,7 +87,7 @@
 
         for zones in ((0, 1, 2), (0, 1, 2, 0, 1)):
             with self.subTest(zones=zones):
-                Cluster(zones).play(scenario)
+                Cluster(zones).run(scenario)
 
     def test_a_backup_is_replaced_before_it_exits(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -100,7 +100,7 @@
             await wait_for_primary(cluster)
             await expect_number(cluster, gen)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_a_witness_exits_at_once(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -109,7 +109,7 @@
             self.assertLess(await terminate(cluster, witness), 0.1)
             self.assertEqual(cluster.control(cluster.primary).number, number)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_a_write_in_flight_is_answered_before_the_primary_exits(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -121,7 +121,7 @@
             await cluster.until(lambda: cluster.led_by(cluster.others(old)), 0.3, "another primary")
             await expect_number(cluster, 2)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_shutdown_time_is_bounded_without_peers(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -130,7 +130,7 @@
             ends = await asyncio.gather(*(terminate(cluster, box) for box in cluster.boxes))
             self.assertLess(max(ends), SHUTDOWN_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_all_shut_down_at_once_and_restart(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -140,7 +140,7 @@
             await asyncio.sleep(0.5)
             await expect_number(cluster, gen)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 class JoiningTest(unittest.TestCase):
@@ -153,7 +153,7 @@
             self.assertEqual(5, len(configuration.witnesses))
 
         delays = {"core-3": 0.15, "core-4": 0.3}
-        Cluster(survive={"nodes": 2, "zones": 1}, start_after_s=delays).play(scenario)
+        Cluster(survive={"nodes": 2, "zones": 1}, start_after_s=delays).run(scenario)
 
 
 class ReplacementTest(unittest.TestCase):
@@ -174,7 +174,7 @@
                 self.assertIn(ident, [w.id for w in configuration_of(cluster).witnesses])
                 await expect_number(cluster, gen)
 
-        Cluster(zones).play(scenario)
+        Cluster(zones).run(scenario)
 
     def test_primary_at_the_same_address(self) -> None:
         self.replaced("primary")
@@ -204,7 +204,7 @@
                 self.assertIn(cluster.control(new).id, [w.id for w in configuration_of(cluster).witnesses])
                 await expect_number(cluster, gen)
 
-        Cluster((0, 1, 2)).play(scenario)
+        Cluster((0, 1, 2)).run(scenario)
 
     def test_unplanned_replacement_of_every_machine(self) -> None:
         """Each machine is lost in turn with its disk, and a new one joins at another address."""
@@ -221,7 +221,7 @@
                 self.assertIn(cluster.control(new).id, [w.id for w in configuration_of(cluster).witnesses])
                 await expect_number(cluster, gen)
 
-        Cluster((0, 1, 2)).play(scenario)
+        Cluster((0, 1, 2)).run(scenario)
 
     def test_unresponsive_witnesses_are_kept_where_the_next_loss_requires_them(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -236,7 +236,7 @@
             self.assertEqual(len(configuration_of(cluster).witnesses), 3)
             await change(cluster)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 class ZonesTest(unittest.TestCase):
@@ -258,7 +258,7 @@
                 await asyncio.sleep(RECOVERY_S)
                 self.assertEqual(unmet(cluster), [])
 
-        Cluster((0, 1, 2, 0, 1, 2), survive={"nodes": 1, "zones": 1}).play(scenario)
+        Cluster((0, 1, 2, 0, 1, 2), survive={"nodes": 1, "zones": 1}).run(scenario)
 
     def test_the_zone_with_most_machines_gets_no_majority(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -273,7 +273,7 @@
 
         cluster = Cluster((0, 1, 2, 0, 0), survive={"nodes": 1, "zones": 1})
         cluster.expected = 3
-        cluster.play(scenario)
+        cluster.run(scenario)
 
     def test_a_single_zone_gets_the_best_choice_and_logs_what_is_unmet(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -281,7 +281,7 @@
             self.assertTrue(any("event=survival" in line and "replicas:zones" in line for line in cluster.world.lines))
             await change(cluster)
 
-        Cluster((0, 0, 0), survive={"nodes": 1, "zones": 1}).play(scenario)
+        Cluster((0, 0, 0), survive={"nodes": 1, "zones": 1}).run(scenario)
 
 
 if __name__ == "__main__":
