--- a/tests/client/test_locks.py
+++ b/tests/client/test_locks.py
@@ -130,7 +130,7 @@
 def test_a_frozen_holder_finds_its_lease_lost_before_any_timer_has_run() -> None:
     async def body(service: FakeService, client: CoordinationClient) -> None:
         async with client.locks.hold("l1", HOLD_S) as lease:
-            service.loop.stand_still(HOLD_S)
+            service.loop.freeze(HOLD_S)
             assert not lease.held
 
     play(body)
@@ -143,7 +143,7 @@
 
         async def call_and_freeze(*arguments: Any) -> Answer:
             answer = await call(*arguments)
-            service.loop.stand_still(HOLD_S)
+            service.loop.freeze(HOLD_S)
             return answer
 
         async with client.locks.hold("l1", HOLD_S) as lease:
--- a/tests/jobstore/test_disks.py
+++ b/tests/jobstore/test_disks.py
@@ -133,7 +133,7 @@
             sync = asyncio.ensure_future(monitor.sync())
             await asyncio.sleep(0.05)
             monitor._check(node)
-            loop.stand_still(3.0)
+            loop.freeze(3.0)
             monitor._check(node)  # would report to the node, which is None, if the disk counted as stalled
             self.assertTrue(monitor.usable)
             self.assertTrue(await sync)
--- a/tests/proxy/test_runner.py
+++ b/tests/proxy/test_runner.py
@@ -420,7 +420,7 @@
         stage.runner.assign(assign([work()]))
         await asyncio.sleep(0)
         assert isinstance(stage.loop, virtual.VirtualLoop)
-        stage.loop.stand_still(2.0)
+        stage.loop.freeze(2.0)
         await asyncio.sleep(1.0)
         self.assertEqual(server.calls, [])
 
@@ -429,7 +429,7 @@
         async def final_answer(call: Call) -> None:
             await writes(1)(call)
             stage.endpoint.reachable = False
-            stage.loop.stand_still(2.0)  # type: ignore[attr-defined]
+            stage.loop.freeze(2.0)  # type: ignore[attr-defined]
 
         stage.server("i-1", final_answer)
         scorer = stage.world.server("s-1", serve)
--- a/tests/soak/test_host.py
+++ b/tests/soak/test_host.py
@@ -24,7 +24,7 @@
         with mock.patch.object(asyncio, "to_thread", sync_in_thread):
             task = asyncio.ensure_future(monitor.run())
             await asyncio.sleep(1.05)
-            loop.stand_still(2.0)
+            loop.freeze(2.0)
             await asyncio.sleep(1.0)
             task.cancel()
         sync, timer = monitor.stalls
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -37,7 +37,7 @@
     def time(self) -> float:
         return self._virtual.now
 
-    def stand_still(self, seconds: float) -> None:
+    def freeze(self, seconds: float) -> None:
         """Simulate a frozen process: advance the time without running anything."""
         self._virtual.now += seconds
 
