--- a/otterreach/loadtest/machines.py
+++ b/otterreach/loadtest/machines.py
@@ -50,8 +50,8 @@
         self.ip = ip
         self.zone = zone
         self.folder = folder
-        self.first = True
-        self.wanted = False  # the process is expected to run
+        self.first_start = True
+        self.should_run = False  # the process is expected to run
         self.unexpected_exits = 0  # number of unexpected exits
         self.used = ResourceUse()
         self._process: asyncio.subprocess.Process | None = None
@@ -101,7 +101,7 @@
             "binds": binds,
             "portRange": PORTS,
             "peers": seeds,
-            "bootstrap": self.first,
+            "bootstrap": self.first_start,
             "counted": self.kind != "front",
             "caps": {"cpuFrac": 1.0, "cores": 1, "ramMb": 300, "nofile": 4096, "netMbps": 1000.0, "diskMb": 400},
             "datadir": None if self.kind == "front" else str(self.disk),
@@ -140,13 +140,13 @@
                 stdin=asyncio.subprocess.DEVNULL,
                 start_new_session=True,
             )
-        self.first = False
-        self.wanted = True
+        self.first_start = False
+        self.should_run = True
         self._watch = asyncio.ensure_future(self._wait(self._process))
 
     async def _wait(self, process: asyncio.subprocess.Process) -> None:
         await process.wait()
-        if self.wanted and process is self._process:
+        if self.should_run and process is self._process:
             self.unexpected_exits += 1
 
     def send_signal(self, number: int) -> None:
@@ -169,7 +169,7 @@
     async def kill(self) -> None:
         """Send SIGKILL and wait for the exit. The process is not restarted."""
         self.measure()
-        self.wanted = False
+        self.should_run = False
         self.send_signal(signal.SIGKILL)
         if self._process:
             await self._process.wait()
@@ -187,7 +187,7 @@
     async def stop(self, grace_s: float) -> None:
         """Send SIGTERM, and SIGKILL after the grace period."""
         self.measure()
-        self.wanted = False
+        self.should_run = False
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGTERM)
         if self._process:
@@ -213,9 +213,9 @@
                 zone_index = n % len(plan.zones)
                 ip = f"{net}.{zone_index + 1}.{FIRST_OCTET[kind] + n}"
                 self.machines.append(Machine(f"{kind}-{n}", kind, ip, plan.zones[zone_index], folder))
-        self.seeds = [m.ctl for m in self.of("core")][:SEEDS]
+        self.seeds = [m.ctl for m in self.machines_of_kind("core")][:SEEDS]
 
-    def of(self, kind: str) -> list[Machine]:
+    def machines_of_kind(self, kind: str) -> list[Machine]:
         """Return the machines of a class."""
         return [m for m in self.machines if m.kind == kind]
 
@@ -235,4 +235,4 @@
         """Stop all machines in order of dependency: front, store, core."""
         grace = float(self.bounds["graceS"]) + STOP_MARGIN_S
         for kind in ("front", "store", "core"):
-            await asyncio.gather(*(m.stop(grace) for m in self.of(kind)))
+            await asyncio.gather(*(m.stop(grace) for m in self.machines_of_kind(kind)))
--- a/otterreach/loadtest/play.py
+++ b/otterreach/loadtest/play.py
@@ -27,7 +27,7 @@
 REREAD_S = 5.0  # after traffic: time allowed for reading a batch job again from the start
 
 
-def draw_net() -> str:
+def loopback_prefix() -> str:
     """Return the first two octets of the addresses, by process id: concurrent plays on one machine rarely collide."""
     return f"127.{16 + os.getpid() % 200}"
 
@@ -55,18 +55,19 @@
         self.quiet = quiet
         self.loop = asyncio.get_running_loop()
         self.begun = self.loop.time()
-        net = net or draw_net()
+        net = net or loopback_prefix()
         bounds = BOUNDS | plan.bounds
         self.system = System(plan, folder, net, bounds)
         fronts = [
-            Front(m.name, m.zone, f"{m.ip}:{FRONT_PORT}", f"{m.ip}:{READYZ_PORT}") for m in self.system.of("front")
+            Front(m.name, m.zone, f"{m.ip}:{FRONT_PORT}", f"{m.ip}:{READYZ_PORT}")
+            for m in self.system.machines_of_kind("front")
         ]
         random = Random(plan.seed)
         self.context = PlayContext(
             plan,
             bounds,
             Entry(fronts),
-            Caller([m.ctl for m in self.system.of("core")], random),
+            Caller([m.ctl for m in self.system.machines_of_kind("core")], random),
             self.loop.time,
             random,
             print_line=self.print_line,
@@ -107,7 +108,7 @@
         return self.played
 
     async def _start(self) -> bool:
-        names = ", ".join(f"{len(self.system.of(kind))} {kind}" for kind in ("core", "store", "front"))
+        names = ", ".join(f"{len(self.system.machines_of_kind(kind))} {kind}" for kind in ("core", "store", "front"))
         self.print_line(f"starting {len(self.system.machines)} machines ({names}) and {len(self.servers)} servers")
         await self.system.start_all()
         settings = self.system.machines[0].file
--- a/otterreach/soak/fleet.py
+++ b/otterreach/soak/fleet.py
@@ -39,7 +39,7 @@
     @property
     def controllers(self) -> list[Machine]:
         """Current controllers, replacements included."""
-        return self.system.of("core")
+        return self.system.machines_of_kind("core")
 
     def addresses(self) -> list[str]:
         """Return the `ctl` addresses of the current controllers, which clients use."""
@@ -108,7 +108,7 @@
         """Send SIGTERM, and SIGKILL after the grace period. A frozen process handles SIGTERM once it is thawed."""
         self._record_unexpected_exit(machine)
         self.down.add(machine.name)
-        machine.wanted = False
+        machine.should_run = False
         machine.send_signal(signal.SIGTERM)
         end = asyncio.get_running_loop().time() + float(SOAK_BOUNDS["graceS"])
         while machine.running and asyncio.get_running_loop().time() < end:
@@ -139,7 +139,7 @@
         zone = self.plan.zones.index(machine.zone)
         ip = f"{self.network_prefix}.{REPLACEMENT_OCTET + zone}.{FIRST_HOST + self._replacements}"
         new = Machine(f"{machine.kind}-r{self._replacements}", machine.kind, ip, machine.zone, self.folder)
-        new.first = False
+        new.first_start = False
         machines = self.system.machines
         machines[machines.index(machine)] = new
         self.down.discard(machine.name)
@@ -154,7 +154,7 @@
         """Record unexpected exits, which are faults of the program, and restart those processes, until cancelled."""
         while True:
             for machine in list(self.system.machines):
-                if machine.wanted and not machine.running and machine.name not in self.restarting:
+                if machine.should_run and not machine.running and machine.name not in self.restarting:
                     self._record_unexpected_exit(machine)
                     self.restarting.add(machine.name)
                     await self.start(machine)
@@ -162,6 +162,6 @@
             await asyncio.sleep(SUPERVISE_INTERVAL_S)
 
     def _record_unexpected_exit(self, machine: Machine) -> None:
-        if machine.wanted and not machine.running:
-            machine.wanted = False
+        if machine.should_run and not machine.running:
+            machine.should_run = False
             self.unexpected_exits.append(f"{machine.name} exited unexpectedly with {machine.exit_code}")
--- a/tests/soak/fake_processes.py
+++ b/tests/soak/fake_processes.py
@@ -57,7 +57,7 @@
         assert not machine.running, f"{machine.name} is started twice"
         started.append(machine.name)
         machine._process = FakeProcess()  # type: ignore[assignment]
-        machine.wanted = True
+        machine.should_run = True
 
     with mock.patch.object(Machine, "start", start), mock.patch.object(Machine, "write_settings"):
         yield started
