--- a/otterreach/simulation/__main__.py
+++ b/otterreach/simulation/__main__.py
@@ -165,7 +165,10 @@
             failures += not confirmed
             rule = found.rule if confirmed or not found.rule else f"{found.rule}, also without the fault"
             numbers = f"{found.seed} | {found.seeds} | {found.steps}"
-            print(f"| {fault.name} | {fault.what} | {fault.found_by} | {rule or 'not found'} | {numbers} |", flush=True)
+            print(
+                f"| {fault.name} | {fault.description} | {fault.found_by} | {rule or 'not found'} | {numbers} |",
+                flush=True,
+            )
     sys.exit(1 if failures else 0)
 
 
--- a/otterreach/simulation/planted.py
+++ b/otterreach/simulation/planted.py
@@ -45,7 +45,7 @@
     """A fault, and what detects it: a scenario of the explored small model, or seeds of a simulation."""
 
     name: str
-    what: str
+    description: str
     changes: tuple[Change, ...]
     found_by: str  # a scenario of the small model, or one of RUNS
     plan: tuple[Fault, ...] = ()  # injected faults, instead of those drawn from the seed
