--- a/tests/proxy/proxy_support.py
+++ b/tests/proxy/proxy_support.py
@@ -130,7 +130,7 @@
             % (status, (ident or self.id).encode(), len(body), head, body)
         )
 
-    def turn_away(self) -> None:
+    def reject(self) -> None:
         self.answer(503, b"", b"Not-Run: 1\r\n")
 
     def begin(self, head: bytes = SEAL) -> None:
@@ -207,8 +207,8 @@
     return script
 
 
-async def turn_away(call: Call) -> None:
-    call.turn_away()
+async def reject(call: Call) -> None:
+    call.reject()
 
 
 async def fail(call: Call) -> None:
@@ -223,7 +223,7 @@
     await asyncio.sleep(3600)
 
 
-class Caller(asyncio.Protocol):
+class FakeClient(asyncio.Protocol):
     """A client with an in-memory connection to an ingress."""
 
     def __init__(self, ingress: Ingress) -> None:
--- a/tests/proxy/test_parts.py
+++ b/tests/proxy/test_parts.py
@@ -21,7 +21,7 @@
 from otterreach.runtime.rpc import Done
 from tests import virtual
 from tests.proxy.proxy_support import (
-    Caller,
+    FakeClient,
     FakeEndpoint,
     World,
     in_virtual_time,
@@ -185,7 +185,7 @@
         self.endpoint.answers[kind] = list(answers)
 
     async def ask(self, method: str, path: str, **more: Any) -> tuple[int, bytes]:
-        answer = await Caller(self.ingress).ask(method=method, path=path, ident="j1", **more)
+        answer = await FakeClient(self.ingress).ask(method=method, path=path, ident="j1", **more)
         return answer.status, answer.body
 
 
@@ -301,7 +301,7 @@
             async def main(data: bytes = data) -> int:
                 ingress = self.ingress()
                 sweeping = asyncio.ensure_future(ingress.sweep())
-                caller = Caller(ingress)
+                caller = FakeClient(ingress)
                 caller.transport.write(data)
                 answer = await caller.answer()
                 sweeping.cancel()
@@ -312,7 +312,7 @@
 
     @in_virtual_time
     async def test_answers_in_order_on_one_connection(self: Any) -> None:
-        caller = Caller(self.ingress(0.01))
+        caller = FakeClient(self.ingress(0.01))
         for n in range(5):
             caller.send(f"/{n}", body=b"b")
         got = [(await caller.next()).body for _ in range(5)]
@@ -320,7 +320,7 @@
 
     @in_virtual_time
     async def test_a_body_is_asked_for_after_the_answers_before_it(self: Any) -> None:
-        caller = Caller(self.ingress(0.1))
+        caller = FakeClient(self.ingress(0.1))
         caller.transport.write(b"GET /0 HTTP/1.1\r\nHost: h\r\n\r\n")
         caller.transport.write(b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\nPUT /2 HTTP/1.1\r\nHost: h\r\n")
         caller.transport.write(b"Content-Length: 4\r\nExpect: 100-continue\r\n\r\n")
@@ -333,7 +333,7 @@
 
     @in_virtual_time
     async def test_a_body_is_not_asked_for_in_the_middle_of_what_came_with_it(self: Any) -> None:
-        caller = Caller(self.ingress(0.1))
+        caller = FakeClient(self.ingress(0.1))
         head = b"PUT /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n"
         caller.transport.write(b"GET /0 HTTP/1.1\r\nHost: h\r\n\r\n" + head)
         await asyncio.sleep(0.5)
@@ -345,7 +345,7 @@
         """The limits are headerMs = 1 s and idleMs = 5 s."""
         ingress = self.ingress()
         sweeping = asyncio.ensure_future(ingress.sweep())
-        caller = Caller(ingress)
+        caller = FakeClient(ingress)
         for byte in b"GET /a HTTP/1.1\r\nHost: h\r\n":
             caller.transport.write(bytes([byte]))
             await asyncio.sleep(0.1)
@@ -356,7 +356,7 @@
     async def test_a_body_may_take_long_as_long_as_it_comes(self: Any) -> None:
         ingress = self.ingress()
         sweeping = asyncio.ensure_future(ingress.sweep())
-        caller = Caller(ingress)
+        caller = FakeClient(ingress)
         caller.transport.write(b"PUT /2 HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\n")
         for _ in range(10):
             await asyncio.sleep(2.0)
@@ -368,7 +368,7 @@
     async def test_a_connection_that_rested_four_fifths_of_idle_ms_takes_a_request(self: Any) -> None:
         ingress = self.ingress()
         sweeping = asyncio.ensure_future(ingress.sweep())
-        caller = Caller(ingress)
+        caller = FakeClient(ingress)
         for n in range(3):
             caller.send(f"/{n}")
             self.assertEqual((await caller.next()).status, 200)
@@ -378,7 +378,7 @@
 
     @in_virtual_time
     async def test_chunked_bodies(self: Any) -> None:
-        caller = Caller(self.ingress())
+        caller = FakeClient(self.ingress())
         caller.transport.write(b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nxy\r\n0\r\n\r\n")
         self.assertEqual((await caller.next()).body, b"/axy")
 
@@ -386,7 +386,7 @@
     async def test_idle_connections_end(self: Any) -> None:
         ingress = self.ingress()
         sweeping = asyncio.ensure_future(ingress.sweep())
-        caller = Caller(ingress)
+        caller = FakeClient(ingress)
         await caller.ask()
         await asyncio.sleep(4.0)
         self.assertFalse(caller.lost)
@@ -397,12 +397,12 @@
     @in_virtual_time
     async def test_shutdown_answers_accepted_requests(self: Any) -> None:
         ingress = self.ingress(0.5)
-        idle, busy = Caller(ingress), Caller(ingress)
+        idle, busy = FakeClient(ingress), FakeClient(ingress)
         busy.send()
         await asyncio.sleep(0.01)
         leaving = asyncio.ensure_future(ingress.shut_down(0.2, 5.0))
         await asyncio.sleep(0.1)
-        late = Caller(ingress)
+        late = FakeClient(ingress)
         late.send("/late")
         answer = await busy.next()
         self.assertEqual((answer.status, answer.keep_alive), (200, False))
@@ -415,7 +415,7 @@
         async def handle(request: Any, client: Client) -> None:
             raise ValueError("boom")
 
-        answer = await Caller(Ingress(handle, Caps)).ask()
+        answer = await FakeClient(Ingress(handle, Caps)).ask()
         self.assertEqual(answer.status, 502)
 
 
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -15,16 +15,16 @@
     HOST,
     SEAL,
     Call,
-    Caller,
+    FakeClient,
     World,
     after,
     disconnect,
     fail,
     in_virtual_time,
+    reject,
     route,
     serve,
     silence,
-    turn_away,
 )
 
 HEAD = b"POST /a/x HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: q1\r\n"
@@ -52,7 +52,7 @@
         world = World([route("r", "/a/", backend="one"), route("s", "/a/b/", backend="two")])
         world.server("i-1", serve, "one")
         world.server("i-2", serve, "two")
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         for path, ident in (("/a/x", b"i-1"), ("/a/b/x?q=/", b"i-2"), ("/a/bx", b"i-1")):
             answer = await caller.ask(path=path)
             self.assertEqual((answer.status, answer.body), (200, ident))
@@ -60,7 +60,7 @@
 
     @in_virtual_time
     async def test_404_only_with_a_recent_replica(self) -> None:
-        answer = await Caller(ingress(World([route()]), age_s=5.0)).ask(path="/b/x")
+        answer = await FakeClient(ingress(World([route()]), age_s=5.0)).ask(path="/b/x")
         self.assertEqual(answer.status, 503)
         self.assertIn(b"retry-after", answer.headers)
 
@@ -69,7 +69,7 @@
         world = World([route()])
         server = world.server("i-1", serve)
         head = "X-Mine: 1\r\nConnection: x-hop\r\nX-Hop: 2\r\n"
-        await Caller(ingress(world)).ask(path="/a/x?y=1", body=b"hello", head=head)
+        await FakeClient(ingress(world)).ask(path="/a/x?y=1", body=b"hello", head=head)
         call = server.calls[0]
         request = call.request
         self.assertEqual((request.method, request.target, request.body), (b"POST", b"/a/x?y=1", b"hello"))
@@ -82,7 +82,7 @@
         """A server must not be given more time than is left."""
         world = World([route()])
         server = world.server("i-1", serve)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         whole = HEAD + b"Deadline-Ms: 1500\r\nContent-Length: 4\r\n\r\nbody"
         caller.transport.write(whole[:-2])
         await asyncio.sleep(0.9)
@@ -94,7 +94,7 @@
     async def test_the_route_s_time_counts_from_the_whole_request(self) -> None:
         world = World([route(timeoutMs=300)])
         world.server("i-1", silence)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         whole = HEAD + b"Content-Length: 4\r\n\r\nbody"
         caller.transport.write(whole[:-2])
         await asyncio.sleep(0.9)
@@ -109,11 +109,11 @@
 
         async def move(call: Call) -> None:
             world.configure([route(backend="two")])
-            call.turn_away()
+            call.reject()
 
         old, new = world.server("i-1", move, "one"), world.server("i-2", serve, "two")
         world.server("i-3", serve, "one")
-        answer = await Caller(ingress(world)).ask()
+        answer = await FakeClient(ingress(world)).ask()
         self.assertEqual((answer.status, len(old.calls) + len(new.calls)), (200, 2))
         self.assertEqual(answer.body, b"i-2")
 
@@ -121,7 +121,7 @@
     async def test_nothing_new_at_a_draining_server(self) -> None:
         world = World([route()])
         server = world.server("i-1", serve)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         await caller.ask()
         world.list(server, state="draining")
         self.assertEqual((await caller.ask(ident="q2")).status, 503)
@@ -131,7 +131,7 @@
     async def test_drained_while_connecting(self) -> None:
         world = World([route()])
         server = world.server("i-1", serve)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         caller.send()
         await asyncio.sleep(1.5 * virtual.LATENCY_S)
         world.list(server, state="draining")
@@ -146,7 +146,7 @@
         async def main() -> tuple[int, int]:
             world = World([route(kind=kind, tries=tries, **more)])
             first = world.server("i-1", script)
-            caller = Caller(ingress(world))
+            caller = FakeClient(ingress(world))
             caller.send()
             await asyncio.sleep(1.5 * virtual.LATENCY_S)
             second = world.server("i-2", others)
@@ -158,13 +158,13 @@
     def test_table(self) -> None:
         lost, garbled = disconnect, broken_answer
         for kind, script, expected in (
-            ("idem", turn_away, (200, 2)),
+            ("idem", reject, (200, 2)),
             ("idem", fail, (200, 2)),
             ("idem", lost, (200, 2)),
             ("idem", garbled, (200, 2)),
             ("idem", no_seal, (200, 2)),
             ("idem", mismatched_id, (200, 2)),
-            ("mutating", turn_away, (200, 2)),
+            ("mutating", reject, (200, 2)),
             ("mutating", fail, (500, 1)),
             ("mutating", lost, (502, 1)),
             ("mutating", garbled, (502, 1)),
@@ -177,20 +177,20 @@
                 self.assertEqual(self.outcome(kind, script), expected)
 
     def test_never_more_than_tries_servers(self) -> None:
-        self.assertEqual(self.outcome("idem", turn_away, 2, turn_away), (503, 2))
+        self.assertEqual(self.outcome("idem", reject, 2, reject), (503, 2))
         self.assertEqual(self.outcome("idem", disconnect, 2, disconnect), (502, 2))
         self.assertEqual(self.outcome("idem", fail, 2, fail), (500, 2))
 
     @in_virtual_time
     async def test_503_only_if_the_request_has_not_run(self) -> None:
         world = World([route(tries=2)])
-        scripts = [disconnect, turn_away]
+        scripts = [disconnect, reject]
 
         async def script(call: Call) -> None:
             await scripts.pop(0)(call)
 
         world.server("i-1", script)
-        self.assertEqual((await Caller(ingress(world)).ask()).status, 502)
+        self.assertEqual((await FakeClient(ingress(world)).ask()).status, 502)
 
     @in_virtual_time
     async def test_a_connection_that_does_not_come_up_has_not_run(self) -> None:
@@ -198,13 +198,13 @@
         world.server("i-1", serve).refuses = True
         world.server("i-2", serve)
         for n in range(8):
-            self.assertEqual((await Caller(ingress(world)).ask(ident=f"q{n}")).status, 200)
+            self.assertEqual((await FakeClient(ingress(world)).ask(ident=f"q{n}")).status, 200)
 
     @in_virtual_time
     async def test_503_soon_without_any_server(self) -> None:
         world = World([route()])
         started = world.loop.time()
-        answer = await Caller(ingress(world)).ask()
+        answer = await FakeClient(ingress(world)).ask()
         self.assertEqual(answer.status, 503)
         self.assertLess(world.loop.time() - started, 0.06)
         self.assertTrue(float(answer.headers[b"retry-after"]) > 0)
@@ -213,7 +213,7 @@
     async def test_time_left_for_another_server(self) -> None:
         world = World([route(tries=2)])
         world.server("i-1", silence)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         caller.send(deadline_ms=1000)
         await asyncio.sleep(0.002)
         world.server("i-2", serve)
@@ -225,7 +225,7 @@
     async def test_a_client_that_leaves_cancels(self) -> None:
         world = World([route()])
         server = world.server("i-1", silence)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         caller.send()
         await asyncio.sleep(0.1)
         caller.transport.abort()
@@ -245,7 +245,7 @@
         for resume, script in ((False, silence), (False, begin), (True, begin), (True, silence)):
             world = World([route(kind="stream", resume=resume, tries=2)])
             servers = [world.server("i-1", script), world.server("i-2", script)]
-            caller = Caller(ingress(world))
+            caller = FakeClient(ingress(world))
             caller.send(deadline_ms=1900)
             await asyncio.sleep(0.5)
             caller.transport.abort()
@@ -261,7 +261,7 @@
         server.id = "i-9"
         other = world.server("i-2", serve)
         for n in range(6):
-            self.assertEqual((await Caller(ingress(world)).ask(ident=f"q{n}")).body, b"i-2")
+            self.assertEqual((await FakeClient(ingress(world)).ask(ident=f"q{n}")).body, b"i-2")
         self.assertEqual((server.calls, len(other.calls)), ([], 6))
 
 
@@ -275,7 +275,7 @@
             call.answer(body=b"extra")
 
         server = world.server("i-1", twice)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         for n in range(3):
             self.assertEqual((await caller.ask(ident=f"q{n}")).body, b"mine")
         self.assertEqual(server.opened, 3)
@@ -291,7 +291,7 @@
             call.write(SEAL + b"\r\nmine" + extra)
 
         server = world.server("i-1", twice)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         for n in range(3):
             self.assertEqual((await caller.ask(ident=f"q{n}")).body, b"mine")
         self.assertEqual(server.opened, 3)
@@ -306,7 +306,7 @@
             call.answer(body=b"late")
 
         server = world.server("i-1", late)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         for n in range(3):
             self.assertEqual((await caller.ask(ident=f"q{n}")).body, b"mine")
         self.assertEqual(server.opened, 3)
@@ -315,7 +315,7 @@
     async def test_an_idle_connection_is_reused(self) -> None:
         world = World([route()])
         server = world.server("i-1", serve)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         for n in range(4):
             await caller.ask(ident=f"q{n}")
             await asyncio.sleep(0.03)
@@ -325,7 +325,7 @@
     async def test_waits_for_the_minimum_idle_time_rather_than_connect(self) -> None:
         world = World([route()])
         server = world.server("i-1", serve)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         await caller.ask(ident="q1")
         await caller.ask(ident="q2")
         self.assertEqual(server.opened, 1)
@@ -338,7 +338,7 @@
             call.answer(head=SEAL + b"Keep-Alive: timeout=2\r\n")
 
         server = world.server("i-1", two_seconds)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         sweeping = asyncio.ensure_future(world.fleet.sweep())
         await caller.ask(ident="q1")
         await asyncio.sleep(2.1)
@@ -354,7 +354,7 @@
             call.answer(head=SEAL + b"Connection: close\r\n")
 
         server = world.server("i-1", closing)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         await caller.ask(ident="q1")
         await asyncio.sleep(0.1)
         await caller.ask(ident="q2")
@@ -364,7 +364,7 @@
     async def test_a_mutating_request_avoids_a_long_idle_connection(self) -> None:
         world = World([route(kind="mutating")])
         server = world.server("i-1", serve)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         for pause in (0.5, 3.0, 0.0):
             await caller.ask()
             await asyncio.sleep(pause)
@@ -376,7 +376,7 @@
         world.add_proxies(10)
         server = world.server("i-1", after(1.0), cap=50)
         await asyncio.sleep(0)
-        callers = [Caller(ingress(world)) for _ in range(20)]
+        callers = [FakeClient(ingress(world)) for _ in range(20)]
         answers = await asyncio.gather(*(c.ask(ident=f"q{n}", deadline_ms=5000) for n, c in enumerate(callers)))
         self.assertEqual(server.opened, 9)  # 100 * 0.9 / 10
         self.assertEqual(sorted(a.status for a in answers), [200] * 9 + [503] * 11)
@@ -395,7 +395,7 @@
             call.end_stream()
 
         world.server("i-1", script)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         caller.send()
         await asyncio.sleep(0.15)
         self.assertIn(b"data: d1", caller.data)
@@ -415,7 +415,7 @@
 
         server = world.server("i-1", script)
         world.server("i-2", script)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         caller.send()
         self.assertIsNone(await caller.answer())
         self.assertIn(b"data: d0", caller.data)
@@ -439,7 +439,7 @@
 
         world.server("i-1", script)
         world.server("i-2", script)
-        answer = await Caller(ingress(world)).ask()
+        answer = await FakeClient(ingress(world)).ask()
         lines = [line for line in answer.body.split(b"\n") if line.startswith(b"data")]
         self.assertEqual(lines, [b"data: d%d" % n for n in range(5)])
         self.assertEqual((asked, answer.headers[b"reply-seal"]), ([None, "2"], b"s-1"))
@@ -456,7 +456,7 @@
             call.disconnect()
 
         world.server("i-1", script)
-        caller = Caller(ingress(world))
+        caller = FakeClient(ingress(world))
         caller.send()
         self.assertIsNone(await caller.answer())
         self.assertEqual(caller.data.count(b"data:"), 1)
--- a/tests/proxy/test_runner.py
+++ b/tests/proxy/test_runner.py
@@ -34,11 +34,11 @@
     disconnect,
     fail,
     list_job_store_node,
+    reject,
     route,
     serve,
     settings,
     silence,
-    turn_away,
     work,
 )
 
@@ -173,7 +173,7 @@
         async def next_one(call: Call) -> None:
             await scripts.pop(0)(call)
 
-        scripts += [without_seal, disconnect, turn_away, writes(4)]
+        scripts += [without_seal, disconnect, reject, writes(4)]
         stage.server("i-1", next_one)
         stage.runner.assign(assign([work()]))
         done = await stage.result()
@@ -282,7 +282,7 @@
 
     @staged(tries=2)
     async def test_other_failures_do_not_count(self, stage: Stage) -> None:
-        scripts: list[Script] = [fail, disconnect, turn_away, disconnect, disconnect, writes(2)]
+        scripts: list[Script] = [fail, disconnect, reject, disconnect, disconnect, writes(2)]
 
         async def next_one(call: Call) -> None:
             await scripts.pop(0)(call)
@@ -303,7 +303,7 @@
 
     @staged()
     async def test_given_up_only_after_its_time(self, stage: Stage) -> None:
-        stage.server("i-1", turn_away)
+        stage.server("i-1", reject)
         stage.runner.assign(assign([work()], wait_ms=3000))
         started = stage.loop.time()
         done = await stage.result()
@@ -368,7 +368,7 @@
     @staged(tries=2)
     async def test_failed_after_so_many_500s(self, stage: Stage) -> None:
         stage.server("i-1", writes(1))
-        scripts: list[Script] = [disconnect, turn_away, fail, fail]
+        scripts: list[Script] = [disconnect, reject, fail, fail]
 
         async def next_one(call: Call) -> None:
             await scripts.pop(0)(call)
@@ -609,7 +609,7 @@
     @staged()
     async def test_full_servers_are_waited_for(self, stage: Stage) -> None:
         stage.world.add_proxies(3)
-        stage.server("i-1", turn_away)
+        stage.server("i-1", reject)
         stage.runner.assign(assign([work()]))
         await asyncio.sleep(6.0)
         self.assertEqual(self.returned(stage), [])
--- a/tests/runtime/test_hostile_peers.py
+++ b/tests/runtime/test_hostile_peers.py
@@ -25,7 +25,7 @@
 from otterreach.runtime.rpc import HEADER, Endpoint, Link
 from otterreach.sidecar import http1
 from tests import virtual
-from tests.proxy.proxy_support import Call, Caller, FakeServer, ServerEnd, World, route
+from tests.proxy.proxy_support import Call, FakeClient, FakeServer, ServerEnd, World, route
 from tests.proxy.test_requests import ingress
 from tests.virtual import LATENCY_S, MemoryLoop, MemoryTransport, connect
 
@@ -253,7 +253,7 @@
         elif behavior is ServerBehavior.PLAIN_503:
             write(self.whole(call, 503))
         elif behavior in (ServerBehavior.REJECTED, ServerBehavior.EARLY_REJECTED):
-            call.turn_away()
+            call.reject()
         elif behavior is ServerBehavior.MISDIRECTED:
             call.answer(421, b"", b"")
         elif behavior is not ServerBehavior.SILENCE:
@@ -276,10 +276,10 @@
 
 async def one_client(world: World, number: int, line: list[Ask], heard: dict[str, Heard]) -> None:
     listener = ingress(world)
-    caller = Caller(listener)
+    caller = FakeClient(listener)
     for turn, ask in enumerate(line):
         if caller.lost:
-            caller = Caller(listener)
+            caller = FakeClient(listener)
         ident = f"q{number}-{turn}"
         heard[ident] = Heard(ask.kind, None)
         path = f"/{ask.kind[0]}/{ident}"
@@ -287,7 +287,7 @@
         if ask.leaves_s is not None:
             await asyncio.sleep(ask.leaves_s)
             caller.transport.abort()
-            caller = Caller(listener)
+            caller = FakeClient(listener)
         else:
             heard[ident] = Heard(ask.kind, await caller.answer())
         await asyncio.sleep(ask.pause_s)
