--- a/otterreach/simulation/coordination.py
+++ b/otterreach/simulation/coordination.py
@@ -83,7 +83,7 @@
     def _report_first_violation(self) -> None:
         """End the run with the first violation, if there is any."""
         for violation in find_violations(self.population.history, self.calm, BOUNDS):
-            self.world.expect(False, violation.rule.value, violation.what)
+            self.world.expect(False, violation.rule.value, violation.description)
             return
 
     async def _final(self) -> None:
--- a/otterreach/simulation/coordination_client.py
+++ b/otterreach/simulation/coordination_client.py
@@ -89,7 +89,7 @@
             await asyncio.sleep(self.random.uniform(*DELAY_S))
         body = request.encoded_body()
         response = await client.ask(address, request.method, request.target, body, HEADERS, timeout_s)
-        call.over = asyncio.get_running_loop().time()
+        call.exchange_ended_at = asyncio.get_running_loop().time()
         call.was_answered = response is not None
         return response
 
--- a/otterreach/simulation/coordination_history.py
+++ b/otterreach/simulation/coordination_history.py
@@ -11,7 +11,7 @@
 from http import HTTPStatus
 from math import inf
 
-SILENCE = 0  # status of a copy that was not answered, or whose answer was lost
+NO_STATUS = 0  # status of a copy that was not answered, or whose answer was lost
 MAX_ARRIVAL_DELAY_S = 20.0  # an unanswered copy may be applied this late: longer than any machine is frozen
 NOT_APPLIED_STATUSES = (HTTPStatus.PRECONDITION_FAILED, HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
@@ -35,7 +35,7 @@
     """A violated rule, and a description with the calls that violate it."""
 
     rule: Rule
-    what: str
+    description: str
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
@@ -44,8 +44,8 @@
 
     sent: float
     answered: float = inf
-    status: int = SILENCE
-    over: float = inf  # when the exchange ended: from then on the copy can't leave the caller any more
+    status: int = NO_STATUS
+    exchange_ended_at: float = inf  # when the exchange ended: from then on the copy can't leave the caller any more
     was_answered: bool = False  # an answer came by then, even if it was dropped or too late for the caller
     fault_injected: bool = False  # the simulation dropped its answer or delayed the copy: latency not checked
     final: bool = False
@@ -63,12 +63,12 @@
     @property
     def is_indeterminate(self) -> bool:
         """True if the call may or may not have been applied: no answer, or a failure without a guarantee."""
-        return self.status == SILENCE or (self.status >= HTTPStatus.INTERNAL_SERVER_ERROR and not self.is_refused)
+        return self.status == NO_STATUS or (self.status >= HTTPStatus.INTERNAL_SERVER_ERROR and not self.is_refused)
 
     @property
     def applied_by(self) -> float:
         """The latest time at which the call may be applied."""
-        return self.over if self.was_answered else self.sent + MAX_ARRIVAL_DELAY_S
+        return self.exchange_ended_at if self.was_answered else self.sent + MAX_ARRIVAL_DELAY_S
 
     @property
     def span(self) -> str:
--- a/otterreach/simulation/coordination_liveness.py
+++ b/otterreach/simulation/coordination_liveness.py
@@ -47,7 +47,7 @@
     """Yield what was not answered in time. `free_s`: a lock may still be refused for this long after a hold ends."""
     for call in history.calls():
         due = call.sent + ANSWER_S + (call.wait_s if isinstance(call, Watch) else 0.0)
-        unanswered = call.status not in DEFINITE_STATUSES and not call.fault_injected and call.over < inf
+        unanswered = call.status not in DEFINITE_STATUSES and not call.fault_injected and call.exchange_ended_at < inf
         if unanswered and any(span.covers(call.sent, due) for span in calm):
             yield Violation(Rule.PROMPT, f"no definite answer in time without faults: {call}")
     yield from _find_late_events(history, calm)
@@ -119,7 +119,7 @@
 def _may_block_until(call: Acquire | Renewal, span: CalmSpan, releases: _DefiniteReleases) -> float:
     """Return the time until which a call may keep others from the lock."""
     if call.is_indeterminate:
-        return max(call.over, call.sent + ANSWER_S, span.begin) + call.hold_s
+        return max(call.exchange_ended_at, call.sent + ANSWER_S, span.begin) + call.hold_s
     if not call.is_ok:
         return -inf
     return min(releases.latest_end(call), call.sent + call.hold_s)
--- a/otterreach/simulation/history.py
+++ b/otterreach/simulation/history.py
@@ -71,7 +71,7 @@
 
     def _record_outcome(self, change: Change, outcome: Outcome, now: float) -> None:
         """Record a definite outcome; it must be the same for all copies of a change, whenever and wherever sent."""
-        if change.outcome is Outcome.UNCLEAR:
+        if change.outcome is Outcome.INDETERMINATE:
             change.outcome = outcome
             change.answered = now
         same = change.outcome is outcome
--- a/otterreach/simulation/linearizability.py
+++ b/otterreach/simulation/linearizability.py
@@ -20,7 +20,7 @@
 class Outcome(Enum):
     """Outcome of a change, as far as its caller knows."""
 
-    UNCLEAR = "unclear"  # indeterminate: may take effect at any time after its sending, or never
+    INDETERMINATE = "unclear"  # indeterminate: may take effect at any time after its sending, or never
     ACKNOWLEDGED = "acknowledged"
     REFUSED = "refused"  # another version was current: the change never takes effect
 
@@ -32,10 +32,10 @@
     base: int
     gen: int
     mark: str
-    whole: bool  # replaces the whole content; otherwise adds to it
+    replaces_content: bool  # replaces the whole content; otherwise adds to it
     called: float
     answered: float = inf  # time of the first definite answer
-    outcome: Outcome = Outcome.UNCLEAR
+    outcome: Outcome = Outcome.INDETERMINATE
 
     def __str__(self) -> str:
         span = f"{self.called:.3f} to {self.answered:.3f}"
@@ -145,7 +145,7 @@
     def _contents(self) -> list[Marks]:
         contents: list[Marks] = [()]
         for change in self.chain:
-            contents.append((change.mark,) if change.whole else (*contents[-1], change.mark))
+            contents.append((change.mark,) if change.replaces_content else (*contents[-1], change.mark))
         return contents
 
     def _constrain_by_refusals(self) -> str:
--- a/otterreach/simulation/operators.py
+++ b/otterreach/simulation/operators.py
@@ -87,9 +87,9 @@
         base = random.choice(self.bases) if random.random() < STALE_SHARE else self.base
         change = Change(base, base + random.randint(1, 3), mark, True, self.loop.time())
         if base and random.random() < PATCH_SHARE:
-            change.whole = False
+            change.replaces_content = False
         valid = random.random() >= INVALID_SHARE
-        sent = Sent(change, "PUT" if change.whole else "PATCH", _body(change, valid), valid)
+        sent = Sent(change, "PUT" if change.replaces_content else "PATCH", _body(change, valid), valid)
         self.history.sent.append(sent)
         return sent
 
@@ -98,7 +98,7 @@
         while not self.stopping():
             count = 2 if self.random.random() < CONCURRENT_SHARE else 1
             await asyncio.gather(*(self._send_once(sent) for _ in range(count)))
-            if sent.change.outcome is not Outcome.UNCLEAR or self.random.random() < GIVE_UP_SHARE:
+            if sent.change.outcome is not Outcome.INDETERMINATE or self.random.random() < GIVE_UP_SHARE:
                 return
             await asyncio.sleep(self.random.uniform(*RETRY_S))
 
@@ -116,7 +116,7 @@
     backend = "b" if valid else "unknown"
     fields = {"host": f"{change.mark}.example", "prefix": "/p/", "kind": "idem", "timeoutMs": 1}
     routes = [{"name": change.mark, "backend": backend} | fields]
-    if change.whole:
+    if change.replaces_content:
         return json.dumps({"gen": change.gen, "routes": routes, "backends": [{"name": "b"}]}).encode()
     return json.dumps({"gen": change.gen, "upsert": {"routes": routes}}).encode()
 
--- a/otterreach/soak/result.py
+++ b/otterreach/soak/result.py
@@ -34,7 +34,7 @@
         """Add the findings of the checkers to `late` or `violations`."""
         for violation in violations:
             found = self.late if violation.rule is Rule.PROMPT else self.violations
-            found.append(f"{violation.rule.name}: {violation.what}")
+            found.append(f"{violation.rule.name}: {violation.description}")
 
     def count_calls(self, history: CoordinationHistory) -> None:
         """Count the calls by kind and status."""
--- a/otterreach/soak/wire.py
+++ b/otterreach/soak/wire.py
@@ -86,15 +86,18 @@
                 connection.close()
 
     async def _send(self, call: Call, request: WireRequest, address: str, wait_s: float) -> http1.Response | None:
-        """Carry out one call to its end, which may come later than its caller waits; `call.over` records that time."""
+        """Carry out one call to its end, and record the time of the end in `call.exchange_ended_at`.
+
+        The exchange may end later than its caller waits.
+        """
         loop = asyncio.get_running_loop()
         connection = await self._acquire_connection(address, wait_s)
         if connection is None:
-            call.over = loop.time()
+            call.exchange_ended_at = loop.time()
             return None
         wire = http1.Request(request.method.encode(), request.target.encode(), {}, request.encoded_body(), True)
         response = await connection.exchange(http1.encode_request(wire, address.encode(), HEADERS))
-        call.over = loop.time()
+        call.exchange_ended_at = loop.time()
         return response
 
     async def _acquire_connection(self, address: str, wait_s: float) -> PersistentConnection | None:
--- a/tests/simulation/test_coordination_checkers.py
+++ b/tests/simulation/test_coordination_checkers.py
@@ -36,7 +36,7 @@
     return Acquire(
         sent=sent,
         answered=sent + 0.1,
-        over=sent + 0.1,
+        exchange_ended_at=sent + 0.1,
         status=status,
         lock="l",
         owner=owner,
@@ -47,15 +47,21 @@
 
 def renewal(owner: str, sent: float, fence: int, answered: float = 0.0, status: int = 200) -> Renewal:
     end = answered or sent + 0.1
-    return Renewal(sent=sent, answered=end, over=end, status=status, lock="l", owner=owner, hold_s=3.0, fence=fence)
+    return Renewal(
+        sent=sent, answered=end, exchange_ended_at=end, status=status, lock="l", owner=owner, hold_s=3.0, fence=fence
+    )
 
 
 def release(owner: str, sent: float, fence: int) -> Release:
-    return Release(sent=sent, answered=sent + 0.1, over=sent + 0.1, status=200, lock="l", owner=owner, fence=fence)
+    return Release(
+        sent=sent, answered=sent + 0.1, exchange_ended_at=sent + 0.1, status=200, lock="l", owner=owner, fence=fence
+    )
 
 
 def number(sent: float, answered: float, value: int, final: bool = False) -> NumberRequest:
-    return NumberRequest(sent=sent, answered=answered, over=answered, status=200, name="n", value=value, final=final)
+    return NumberRequest(
+        sent=sent, answered=answered, exchange_ended_at=answered, status=200, name="n", value=value, final=final
+    )
 
 
 def put(value: str, expect: int, *copies: PutCopy, key: str = "g.a") -> Put:
@@ -63,11 +69,11 @@
 
 
 def copy(sent: float, revision: int = 0, status: int = 200) -> PutCopy:
-    return PutCopy(sent=sent, answered=sent + 0.1, over=sent + 0.1, status=status, revision=revision)
+    return PutCopy(sent=sent, answered=sent + 0.1, exchange_ended_at=sent + 0.1, status=status, revision=revision)
 
 
 def unanswered(sent: float) -> PutCopy:
-    return PutCopy(sent=sent, over=sent + 1.0)
+    return PutCopy(sent=sent, exchange_ended_at=sent + 1.0)
 
 
 def read(sent: float, value: str, revision: int, key: str = "g.a", final: bool = False) -> Read:
@@ -75,7 +81,7 @@
     return Read(
         sent=sent,
         answered=sent + 0.1,
-        over=sent + 0.1,
+        exchange_ended_at=sent + 0.1,
         status=status,
         key=key,
         value=value,
@@ -88,7 +94,7 @@
     return Watch(
         sent=sent,
         answered=sent + 0.1,
-        over=sent + 0.1,
+        exchange_ended_at=sent + 0.1,
         status=status,
         group="g.",
         past=past,
@@ -204,7 +210,15 @@
         A,
         B,
         Watch(
-            sent=0.5, answered=3.3, over=3.3, status=200, group="g.", past=1, wait_s=9.0, revision=2, events=(SECOND,)
+            sent=0.5,
+            answered=3.3,
+            exchange_ended_at=3.3,
+            status=200,
+            group="g.",
+            past=1,
+            wait_s=9.0,
+            revision=2,
+            events=(SECOND,),
         ),
     ),
 }
@@ -249,7 +263,7 @@
     known: dict[str, list[tuple[str, int]]] = {"g.a": [("", 0)], "g.b": [("", 0)]}
     for revision, (called, answered) in zip(revisions, sorted(spans[:3]), strict=True):
         key = random.choice(["g.a", "g.b"])
-        one = PutCopy(sent=called, answered=answered, over=answered, status=200, revision=revision)
+        one = PutCopy(sent=called, answered=answered, exchange_ended_at=answered, status=200, revision=revision)
         history.puts.append(Put(key, f"v{revision}", latest[key], [one]))
         latest[key] = revision
         known[key].append((f"v{revision}", revision))
@@ -258,7 +272,15 @@
         value, revision = random.choice(known[key])
         status = 200 if revision else 404
         history.reads.append(
-            Read(sent=called, answered=answered, over=answered, status=status, key=key, value=value, revision=revision)
+            Read(
+                sent=called,
+                answered=answered,
+                exchange_ended_at=answered,
+                status=status,
+                key=key,
+                value=value,
+                revision=revision,
+            )
         )
     return history
 
--- a/tests/simulation/test_linearizability.py
+++ b/tests/simulation/test_linearizability.py
@@ -13,7 +13,7 @@
 
 from otterreach.simulation.linearizability import Change, Outcome, Read, find_violation
 
-ACKNOWLEDGED, REFUSED, UNCLEAR = Outcome.ACKNOWLEDGED, Outcome.REFUSED, Outcome.UNCLEAR
+ACKNOWLEDGED, REFUSED, INDETERMINATE = Outcome.ACKNOWLEDGED, Outcome.REFUSED, Outcome.INDETERMINATE
 
 
 def change(base: int, gen: int, mark: str, called: float, answered: float, outcome: Outcome) -> Change:
@@ -40,12 +40,12 @@
         self.assert_good([self.first], [Read(0, (), 0.5, 0.9), Read(1, ("a",), 0.2, 0.6)])
 
     def test_reads_do_not_go_back_while_the_change_is_unclear(self) -> None:
-        second = change(1, 2, "b", 2.0, inf, UNCLEAR)
+        second = change(1, 2, "b", 2.0, inf, INDETERMINATE)
         newer, older = Read(2, ("b",), 3.0, 4.0), Read(1, ("a",), 5.0, 6.0)
         self.assert_bad([self.first, second], [newer, older], "was not current before")
 
     def test_unclear_change_may_take_effect_late_or_never(self) -> None:
-        second = change(1, 2, "b", 2.0, inf, UNCLEAR)
+        second = change(1, 2, "b", 2.0, inf, INDETERMINATE)
         self.assert_good([self.first, second], [Read(1, ("a",), 50.0, 51.0)])
         self.assert_good([self.first, second], [Read(1, ("a",), 50.0, 51.0), Read(2, ("b",), 52.0, 53.0)])
 
@@ -57,12 +57,12 @@
         self.assert_bad([self.first, *two], [], "two changes on one version")
 
     def test_acknowledged_and_another_read_on_one_version(self) -> None:
-        two = [change(1, 2, "b", 2.0, 3.0, ACKNOWLEDGED), change(1, 3, "c", 2.0, inf, UNCLEAR)]
+        two = [change(1, 2, "b", 2.0, 3.0, ACKNOWLEDGED), change(1, 3, "c", 2.0, inf, INDETERMINATE)]
         self.assert_bad([self.first, *two], [Read(3, ("c",), 4.0, 5.0)], "two changes on one version")
 
     def test_two_of_one_number(self) -> None:
         """One of two changes to the same version is based on a version that was never current."""
-        other = [change(0, 2, "b", 0.0, inf, UNCLEAR), change(1, 3, "c", 2.0, 3.0, ACKNOWLEDGED)]
+        other = [change(0, 2, "b", 0.0, inf, INDETERMINATE), change(1, 3, "c", 2.0, 3.0, ACKNOWLEDGED)]
         self.assert_bad([self.first, *other, change(2, 3, "d", 2.0, 3.0, ACKNOWLEDGED)], [], "no chain")
 
     def test_refused_while_its_base_was_current(self) -> None:
@@ -73,12 +73,12 @@
     def test_refused_for_another_change(self) -> None:
         refused = change(1, 2, "b", 2.0, 3.0, REFUSED)
         self.assert_good([self.first, refused, change(1, 2, "c", 2.5, 9.0, ACKNOWLEDGED)], [])
-        self.assert_good([self.first, refused, change(1, 2, "c", 2.5, inf, UNCLEAR)], [])
+        self.assert_good([self.first, refused, change(1, 2, "c", 2.5, inf, INDETERMINATE)], [])
         self.assert_bad([self.first, refused, change(1, 2, "c", 3.5, 9.0, ACKNOWLEDGED)], [], "was not current")
 
     def test_refused_then_other_version_still_read(self) -> None:
         """The refusal implies that the other change was applied, but a later read does not include it."""
-        refused, other = change(1, 2, "b", 2.0, 3.0, REFUSED), change(1, 2, "c", 1.5, inf, UNCLEAR)
+        refused, other = change(1, 2, "b", 2.0, 3.0, REFUSED), change(1, 2, "c", 1.5, inf, INDETERMINATE)
         self.assert_bad([self.first, refused, other], [Read(1, ("a",), 4.0, 5.0)], "was not current before")
 
     def test_refused_is_never_read(self) -> None:
@@ -115,8 +115,8 @@
     changes = []
     for number, (called, answered) in enumerate(spans[:count]):
         base = random.choice([0, 0, 1, 2])
-        outcome = random.choice([ACKNOWLEDGED, REFUSED, UNCLEAR])
-        end = inf if outcome is UNCLEAR else answered
+        outcome = random.choice([ACKNOWLEDGED, REFUSED, INDETERMINATE])
+        end = inf if outcome is INDETERMINATE else answered
         changes.append(Change(base, base + random.randint(1, 2), f"m{number}", True, called, end, outcome))
     reads = []
     for called, answered in spans[count:]:
@@ -127,8 +127,8 @@
 
 def any_order(changes: list[Change], reads: list[Read]) -> bool:
     """Return True if an order consistent with real time explains all answers; unclear changes may be omitted."""
-    unclear = [c for c in changes if c.outcome is UNCLEAR]
-    clear = [c for c in changes if c.outcome is not UNCLEAR]
+    unclear = [c for c in changes if c.outcome is INDETERMINATE]
+    clear = [c for c in changes if c.outcome is not INDETERMINATE]
     for chosen in range(2 ** len(unclear)):
         taken = [c for n, c in enumerate(unclear) if chosen >> n & 1]
         calls: list[Change | Read] = [*clear, *taken, *reads]
--- a/tests/soak/test_wire.py
+++ b/tests/soak/test_wire.py
@@ -11,7 +11,7 @@
 from otterreach.runtime.http import JsonServer, Reply
 from otterreach.sidecar import http1
 from otterreach.simulation.coordination_client import WireFaults, WireRequest
-from otterreach.simulation.coordination_history import SILENCE, CoordinationHistory, NumberRequest
+from otterreach.simulation.coordination_history import NO_STATUS, CoordinationHistory, NumberRequest
 from otterreach.soak.wire import MAX_CONNECTIONS, PersistentConnectionClient
 from tests import virtual
 
@@ -69,12 +69,12 @@
         server.delays.append(3.0)
         abandoned = new_call(loop)
         assert await client.exchange(abandoned, REQUEST) == {}
-        assert abandoned.status == SILENCE
+        assert abandoned.status == NO_STATUS
         assert await client.exchange(new_call(loop), REQUEST) == {"value": 2}
         assert loop.opened == 2
-        assert abandoned.over > loop.time(), "the call may still take effect"
+        assert abandoned.exchange_ended_at > loop.time(), "the call may still take effect"
         await asyncio.sleep(3.0)
-        assert abandoned.over < loop.time()
+        assert abandoned.exchange_ended_at < loop.time()
         assert await client.exchange(new_call(loop), REQUEST) == {"value": 3}
         assert loop.opened == 2, "the connection of the abandoned call is reused"
 
@@ -102,7 +102,7 @@
             connection.abort()
         assert await exchange == {}
         assert loop.time() - started < 0.3
-        assert call.over < loop.time() + 0.01
+        assert call.exchange_ended_at < loop.time() + 0.01
 
     run_with_server(body)
 
@@ -112,7 +112,7 @@
         del loop.listeners[ADDRESS]
         call = new_call(loop)
         assert await client.exchange(call, REQUEST) == {}
-        assert call.status == SILENCE
-        assert call.over <= loop.time()
+        assert call.status == NO_STATUS
+        assert call.exchange_ended_at <= loop.time()
 
     run_with_server(body)
