--- a/otterreach/simulation/coordination.py
+++ b/otterreach/simulation/coordination.py
@@ -13,7 +13,7 @@
 
 from otterreach.simulation import control
 from otterreach.simulation.coordination_check import Bounds, find_violations
-from otterreach.simulation.coordination_liveness import CalmSpan
+from otterreach.simulation.coordination_liveness import FaultFreeSpan
 from otterreach.simulation.coordination_population import Population, PopulationSetup
 from otterreach.simulation.faults import Fault, Plan
 from otterreach.simulation.loop import Process
@@ -38,7 +38,7 @@
         super().__init__(world, setup)
         self.population_setup = population
         self.population: Population
-        self.calm: list[CalmSpan] = []
+        self.fault_free: list[FaultFreeSpan] = []
         if self.random.random() < FINAL_FAULT_SHARE:
             self.plan = self._with_final_fault(self.plan)
 
@@ -55,25 +55,25 @@
         self.population = Population(
             self.population_setup, Random(self.world.seed ^ 0xC00), self._addresses, HISTORY_S, self._over
         )
-        works = [*self.population.works(), self._record_calm_spans(), self._check_coordination()]
+        works = [*self.population.caller_coroutines(), self._record_fault_free_spans(), self._check_coordination()]
         processes = [Process(f"application-{n}", f"10.7.0.{n + 1}") for n in range(len(works))]
         return tasks + [process.start(self.world.loop, work) for process, work in zip(processes, works, strict=True)]
 
-    async def _record_calm_spans(self) -> None:
+    async def _record_fault_free_spans(self) -> None:
         while not self.stopping:
             await asyncio.sleep(CALM_CHECK_S)
-            self._record_calm_span()
+            self._record_fault_free_span()
 
-    def _record_calm_span(self) -> None:
+    def _record_fault_free_span(self) -> None:
         """Extend the current fault-free span, or begin a new one after a fault."""
         if self.injector is None or self.injector.active:
             return
         begin = max(self.injector.last_change, self.injector.start)
-        span = CalmSpan(begin, begin + CONTACT_S, self.world.now)
-        if self.calm and self.calm[-1].begin == begin:
-            self.calm[-1] = span
+        span = FaultFreeSpan(begin, begin + CONTACT_S, self.world.now)
+        if self.fault_free and self.fault_free[-1].begin == begin:
+            self.fault_free[-1] = span
         else:
-            self.calm.append(span)
+            self.fault_free.append(span)
 
     async def _check_coordination(self) -> None:
         while not self.stopping:
@@ -82,13 +82,13 @@
 
     def _report_first_violation(self) -> None:
         """End the run with the first violation, if there is any."""
-        for violation in find_violations(self.population.history, self.calm, BOUNDS):
+        for violation in find_violations(self.population.history, self.fault_free, BOUNDS):
             self.world.expect(False, violation.rule.value, violation.description)
             return
 
     async def _final(self) -> None:
         await self.population.audit()
-        self._record_calm_span()
+        self._record_fault_free_span()
         self._report_first_violation()
         await super()._final()
 
--- a/otterreach/simulation/coordination_check.py
+++ b/otterreach/simulation/coordination_check.py
@@ -18,7 +18,7 @@
     Violation,
     Watch,
 )
-from otterreach.simulation.coordination_liveness import CalmSpan, find_liveness_violations
+from otterreach.simulation.coordination_liveness import FaultFreeSpan, find_liveness_violations
 from otterreach.simulation.keyspace_checker import find_key_violations
 from otterreach.simulation.keyspace_linearizability import find_linearizability_violations
 from otterreach.simulation.lock_checker import find_lock_violations
@@ -34,7 +34,9 @@
     free_s: float  # a lock may still be refused for this long after the end of a hold
 
 
-def find_violations(history: CoordinationHistory, calm: Sequence[CalmSpan], bounds: Bounds) -> Iterator[Violation]:
+def find_violations(
+    history: CoordinationHistory, fault_free: Sequence[FaultFreeSpan], bounds: Bounds
+) -> Iterator[Violation]:
     """Yield all violations, those that are the simplest to understand first."""
     return chain(
         history.violations,
@@ -44,7 +46,7 @@
         find_key_violations(history),
         find_watch_violations(history, bounds.history_s),
         find_linearizability_violations(history),
-        find_liveness_violations(history, calm, bounds.free_s),
+        find_liveness_violations(history, fault_free, bounds.free_s),
     )
 
 
--- a/otterreach/simulation/coordination_liveness.py
+++ b/otterreach/simulation/coordination_liveness.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CalmSpan:
+class FaultFreeSpan:
     """A time span without faults. The core is stable from `stable_from` on."""
 
     begin: float
@@ -42,20 +42,20 @@
 
 
 def find_liveness_violations(
-    history: CoordinationHistory, calm: Sequence[CalmSpan], free_s: float
+    history: CoordinationHistory, fault_free: Sequence[FaultFreeSpan], free_s: float
 ) -> Iterator[Violation]:
     """Yield what was not answered in time. `free_s`: a lock may still be refused for this long after a hold ends."""
     for call in history.calls():
         due = call.sent + ANSWER_S + (call.wait_s if isinstance(call, Watch) else 0.0)
         unanswered = call.status not in DEFINITE_STATUSES and not call.fault_injected and call.exchange_ended_at < inf
-        if unanswered and any(span.covers(call.sent, due) for span in calm):
+        if unanswered and any(span.covers(call.sent, due) for span in fault_free):
             yield Violation(Rule.PROMPT, f"no definite answer in time without faults: {call}")
-    yield from _find_late_events(history, calm)
-    for refused in _find_late_refusals(history, calm, free_s):
+    yield from _find_late_events(history, fault_free)
+    for refused in _find_late_refusals(history, fault_free, free_s):
         yield Violation(Rule.PROMPT, f"acquire refused although no other owner can hold the lock: {refused}")
 
 
-def _find_late_events(history: CoordinationHistory, calm: Sequence[CalmSpan]) -> Iterator[Violation]:
+def _find_late_events(history: CoordinationHistory, fault_free: Sequence[FaultFreeSpan]) -> Iterator[Violation]:
     """Yield events answered more than `ANSWER_S` after their put was acknowledged and the watch was sent."""
     acknowledged = {put.value: put.acknowledged for put in history.puts}
     for watch in history.watches:
@@ -64,11 +64,13 @@
         for event in watch.events:
             due = max(acknowledged.get(event.value, inf), watch.sent)
             late = due + ANSWER_S < watch.answered
-            if late and any(span.covers(due, watch.answered) for span in calm):
+            if late and any(span.covers(due, watch.answered) for span in fault_free):
                 yield Violation(Rule.PROMPT, f"late event {event.revision}, due from {due:.3f} on, in {watch}")
 
 
-def _find_late_refusals(history: CoordinationHistory, calm: Sequence[CalmSpan], free_s: float) -> Iterator[Acquire]:
+def _find_late_refusals(
+    history: CoordinationHistory, fault_free: Sequence[FaultFreeSpan], free_s: float
+) -> Iterator[Acquire]:
     holding: defaultdict[str, list[Acquire | Renewal]] = defaultdict(list)
     for acquire in history.acquires:
         holding[acquire.lock].append(acquire)
@@ -76,7 +78,7 @@
         holding[renewal.lock].append(renewal)
     releases = _DefiniteReleases(history)
     for refused in history.acquires:
-        span = next((s for s in calm if s.stable_from + free_s < refused.sent < s.end), None)
+        span = next((s for s in fault_free if s.stable_from + free_s < refused.sent < s.end), None)
         if span is None or refused.status != HTTPStatus.CONFLICT:
             continue
         others = [call for call in holding[refused.lock] if call.owner != refused.owner]
@@ -116,7 +118,7 @@
         return min((one.answered for one in later if one.fence >= call.fence), default=inf)
 
 
-def _may_block_until(call: Acquire | Renewal, span: CalmSpan, releases: _DefiniteReleases) -> float:
+def _may_block_until(call: Acquire | Renewal, span: FaultFreeSpan, releases: _DefiniteReleases) -> float:
     """Return the time until which a call may keep others from the lock."""
     if call.is_indeterminate:
         return max(call.exchange_ended_at, call.sent + ANSWER_S, span.begin) + call.hold_s
--- a/otterreach/simulation/coordination_population.py
+++ b/otterreach/simulation/coordination_population.py
@@ -70,7 +70,7 @@
     def _client(self) -> CoordinationClient:
         return CoordinationClient(Random(self.random.getrandbits(64)), self.addresses, self.setup.faults, self.history)
 
-    def works(self) -> list[Coroutine[Any, Any, None]]:
+    def caller_coroutines(self) -> list[Coroutine[Any, Any, None]]:
         """Return one coroutine for each caller."""
         setup = self.setup
         lock_callers = [
--- a/otterreach/soak/run.py
+++ b/otterreach/soak/run.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from otterreach.simulation.coordination_check import Bounds, find_violations
-from otterreach.simulation.coordination_liveness import CalmSpan
+from otterreach.simulation.coordination_liveness import FaultFreeSpan
 from otterreach.soak.callers import SoakPopulation, population_setup, wait_until_served
 from otterreach.soak.disruptions import Disruptor, lose_power
 from otterreach.soak.fleet import Fleet
@@ -48,7 +48,7 @@
         )
         self.stopping = False
         self.host = HostMonitor(folder / "host")
-        self.calm: list[CalmSpan] = []
+        self.fault_free: list[FaultFreeSpan] = []
         self.result = SoakResult(setup, processes=len(self.fleet.system.machines))
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -88,8 +88,8 @@
     async def _disrupt(self) -> None:
         self._spawn(self.fleet.supervise())
         self._spawn(self.host.run())
-        self._spawn(self._record_calm())
-        self.callers = [self._spawn(coroutine) for coroutine in self.population.works()]
+        self._spawn(self._record_fault_free_spans())
+        self.callers = [self._spawn(coroutine) for coroutine in self.population.caller_coroutines()]
         await asyncio.sleep(FORMATION_S)
         await self.disruptor.run(self.setup.seconds)
         if self.setup.final_power_loss:
@@ -97,7 +97,7 @@
             self.print_line(f"power loss of all controllers, {lost} of them lose their disks")
             await lose_power(self.fleet, self.random, lost)
 
-    async def _record_calm(self) -> None:
+    async def _record_fault_free_spans(self) -> None:
         """Record the spans in which every process runs, until cancelled."""
         begin: float | None = None
         while True:
@@ -106,9 +106,9 @@
                 begin = None
             elif begin is None:
                 begin = now
-                self.calm.append(CalmSpan(now, now + CONTACT_S, now))
+                self.fault_free.append(FaultFreeSpan(now, now + CONTACT_S, now))
             else:
-                self.calm[-1] = CalmSpan(begin, begin + CONTACT_S, now)
+                self.fault_free[-1] = FaultFreeSpan(begin, begin + CONTACT_S, now)
             await asyncio.sleep(CALM_POLL_S)
 
     async def _finish(self) -> None:
@@ -127,7 +127,9 @@
         await self.population.audit()
         await self._check_configuration()
         bounds = Bounds(HISTORY_S, FREE_S)
-        violations = await asyncio.to_thread(lambda: list(find_violations(self.population.history, self.calm, bounds)))
+        violations = await asyncio.to_thread(
+            lambda: list(find_violations(self.population.history, self.fault_free, bounds))
+        )
         self.result.add_violations(violations)
 
     async def _check_configuration(self) -> None:
--- a/tests/simulation/fake_coordination.py
+++ b/tests/simulation/fake_coordination.py
@@ -18,7 +18,7 @@
 from otterreach.sidecar import http1
 from otterreach.simulation.coordination_check import Bounds, find_violations
 from otterreach.simulation.coordination_history import Violation, group_of
-from otterreach.simulation.coordination_liveness import CalmSpan
+from otterreach.simulation.coordination_liveness import FaultFreeSpan
 from otterreach.simulation.coordination_population import Population, PopulationSetup
 from otterreach.simulation.loop import Process, VirtualLoop
 from otterreach.simulation.net import Network
@@ -198,11 +198,11 @@
         population = Population(setup, Random(seed), lambda: addresses, HISTORY_S, lambda: loop.time() > end)
         callers = [
             Process(f"application-{number}", f"10.7.0.{number + 1}").start(loop, one)
-            for number, one in enumerate(population.works())
+            for number, one in enumerate(population.caller_coroutines())
         ]
         await asyncio.wait(callers)
         await Process("auditor", "10.6.0.1").start(loop, population.audit())
-        calm = [CalmSpan(begin, begin + CONTACT_S, loop.time())]
-        return list(find_violations(population.history, calm, Bounds(HISTORY_S, FREE_S)))
+        fault_free = [FaultFreeSpan(begin, begin + CONTACT_S, loop.time())]
+        return list(find_violations(population.history, fault_free, Bounds(HISTORY_S, FREE_S)))
 
     return loop.run(work())
--- a/tests/simulation/test_coordination_checkers.py
+++ b/tests/simulation/test_coordination_checkers.py
@@ -23,12 +23,12 @@
     Watch,
     WatchEvent,
 )
-from otterreach.simulation.coordination_liveness import CalmSpan
+from otterreach.simulation.coordination_liveness import FaultFreeSpan
 from otterreach.simulation.keyspace_linearizability import find_linearizability_violations
 
 BOUNDS = Bounds(history_s=20.0, free_s=1.5)
-FAULT_FREE = [CalmSpan(0.0, 0.0, 1000.0)]
-NEVER_FAULT_FREE: list[CalmSpan] = []
+FAULT_FREE = [FaultFreeSpan(0.0, 0.0, 1000.0)]
+NEVER_FAULT_FREE: list[FaultFreeSpan] = []
 DRAWN_HISTORIES = 600
 
 
@@ -111,7 +111,7 @@
 SECOND = WatchEvent("g.a", "v2", 2)
 
 
-def rules(*calls: Call | Put, calm: list[CalmSpan] = NEVER_FAULT_FREE) -> set[Rule]:
+def rules(*calls: Call | Put, fault_free: list[FaultFreeSpan] = NEVER_FAULT_FREE) -> set[Rule]:
     """Return the rules that a history of these calls violates."""
     history = CoordinationHistory()
     for call in calls:
@@ -129,7 +129,7 @@
             history.reads.append(call)
         elif isinstance(call, Watch):
             history.watches.append(call)
-    return {violation.rule for violation in find_violations(history, calm, BOUNDS)}
+    return {violation.rule for violation in find_violations(history, fault_free, BOUNDS)}
 
 
 VALID: dict[str, tuple[Call | Put, ...]] = {
@@ -237,8 +237,8 @@
 
 @pytest.mark.parametrize("name", VIOLATING_WITHOUT_FAULTS)
 def test_late_answer_violates_only_without_faults(name: str) -> None:
-    assert Rule.PROMPT in rules(*VIOLATING_WITHOUT_FAULTS[name], calm=FAULT_FREE)
-    assert Rule.PROMPT not in rules(*VIOLATING_WITHOUT_FAULTS[name], calm=NEVER_FAULT_FREE)
+    assert Rule.PROMPT in rules(*VIOLATING_WITHOUT_FAULTS[name], fault_free=FAULT_FREE)
+    assert Rule.PROMPT not in rules(*VIOLATING_WITHOUT_FAULTS[name], fault_free=NEVER_FAULT_FREE)
 
 
 def test_same_verdict_as_all_orders() -> None:
