--- a/otterreach/simulation/history.py
+++ b/otterreach/simulation/history.py
@@ -43,7 +43,7 @@
     models: dict[str, int] = field(default_factory=dict)
     servers: dict[str, str] = field(default_factory=dict)  # acknowledged state by server id: up, draining or gone
 
-    def answered(self, sent: Sent, status: int, now: float) -> None:
+    def record_answer(self, sent: Sent, status: int, now: float) -> None:
         """Record the answer to one copy of a change; statuses other than 200, 400 and 412 leave the outcome unclear."""
         change = sent.change
         if status == OK:
@@ -77,13 +77,13 @@
         same = change.outcome is outcome
         self.expect(same, "refused and acknowledged", f"{change}, at {now:.3f} {outcome.value}")
 
-    def read(self, body: bytes, called: float, now: float) -> int:
+    def record_read(self, body: bytes, called: float, now: float) -> int:
         """Record the read of a configuration and return its version."""
         raw = json.loads(body)
         self.reads.append(Read(raw["gen"], marks_of(raw), called, now))
         return int(raw["gen"])
 
-    def read_nothing(self, called: float, now: float) -> None:
+    def record_empty_read(self, called: float, now: float) -> None:
         """Record a read before the first configuration."""
         self.reads.append(Read(0, (), called, now))
 
--- a/otterreach/simulation/operators.py
+++ b/otterreach/simulation/operators.py
@@ -105,7 +105,7 @@
     async def _send_once(self, sent: Sent) -> None:
         response = await self.caller.ask(sent.method, "/config", sent.body, sent.change.base)
         if response is not None:
-            self.history.answered(sent, response.status, self.loop.time())
+            self.history.record_answer(sent, response.status, self.loop.time())
 
     async def _read_version(self) -> None:
         if gen := await read(self.caller, self.history):
@@ -129,8 +129,8 @@
     if response is None:
         return 0
     if response.status == 404:
-        history.read_nothing(called, loop.time())
-    return history.read(response.body, called, loop.time()) if response.status == 200 else 0
+        history.record_empty_read(called, loop.time())
+    return history.record_read(response.body, called, loop.time()) if response.status == 200 else 0
 
 
 async def watch_reads(caller: Caller, history: History, index: int, stopping: Callable[[], bool]) -> None:
