--- a/otterreach/simulation/control.py
+++ b/otterreach/simulation/control.py
@@ -95,7 +95,7 @@
         """Start all machines, inject the planned faults, and check the final state."""
         world = self.world
         for box in world.boxes.values():
-            world.plainly(self.random.uniform(0.0, 0.3), box.start)
+            world.call_later(self.random.uniform(0.0, 0.3), box.start)
         self.invariants.watch()
         tasks = self._start_callers()
         await self._wait_until(lambda: self.history.newest > 0, START_S, "first configuration")
@@ -112,23 +112,27 @@
             await asyncio.wait([task], timeout=CALLER_STOP_S)
             if task.done():
                 task.result()
-        await self._final()
+        await self._check_final_state()
 
     def _start_callers(self) -> list[asyncio.Task[None]]:
         """Start the callers, each as a process on a machine without faults."""
         coroutines: list[Any] = [self._operate(n) for n in range(self.setup.operators)]
-        coroutines += [watch_reads(self._caller(), self.history, n, self._over) for n in range(self.setup.controllers)]
-        coroutines += [train(self._caller(), self.history, self._over), self._check_history()]
+        coroutines += [
+            watch_reads(self._caller(), self.history, n, self._is_stopping) for n in range(self.setup.controllers)
+        ]
+        coroutines += [train(self._caller(), self.history, self._is_stopping), self._check_history()]
         callers = [Process(f"caller-{n}", f"10.9.0.{n + 1}") for n in range(len(coroutines))]
         for n in range(self.setup.servers):
             callers.append(Process(f"server-{n}", f"10.8.0.{n + 1}"))
             address = callers[-1].address
             coroutines.append(
-                ServerAddress(f"s-{n}", address, self._caller(), self.history, self._new_server, self._over).run()
+                ServerAddress(
+                    f"s-{n}", address, self._caller(), self.history, self._new_server, self._is_stopping
+                ).run()
             )
         return [caller.start(self.world.loop, work) for caller, work in zip(callers, coroutines, strict=True)]
 
-    def _over(self) -> bool:
+    def _is_stopping(self) -> bool:
         return self.stopping
 
     def _addresses(self) -> list[str]:
@@ -138,7 +142,7 @@
         return Caller(Random(self.random.getrandbits(64)), self._addresses, self.setup.lost_share)
 
     async def _operate(self, number: int) -> None:
-        await Operator(f"op{number}", self._caller(), self.history, self._over).run()
+        await Operator(f"op{number}", self._caller(), self.history, self._is_stopping).run()
 
     def _new_server(self, ident: str) -> ModelServer:
         gen = max(1, self.history.models.get("m", 1))  # a new server starts with the newest version
@@ -182,7 +186,7 @@
                 version >= newest, "brought to all", f"{box.name} has {version}, acknowledged is {newest}"
             )
 
-    async def _final(self) -> None:
+    async def _check_final_state(self) -> None:
         caller = Caller(self.random, self._addresses)
         for address in self._addresses():
             if await read(caller, self.history, address):
--- a/otterreach/simulation/coordination.py
+++ b/otterreach/simulation/coordination.py
@@ -53,7 +53,7 @@
     def _start_callers(self) -> list[asyncio.Task[None]]:
         tasks = super()._start_callers()
         self.population = Population(
-            self.population_setup, Random(self.world.seed ^ 0xC00), self._addresses, HISTORY_S, self._over
+            self.population_setup, Random(self.world.seed ^ 0xC00), self._addresses, HISTORY_S, self._is_stopping
         )
         works = [*self.population.caller_coroutines(), self._record_fault_free_spans(), self._check_coordination()]
         processes = [Process(f"application-{n}", f"10.7.0.{n + 1}") for n in range(len(works))]
@@ -86,11 +86,11 @@
             self.world.expect(False, violation.rule.value, violation.description)
             return
 
-    async def _final(self) -> None:
+    async def _check_final_state(self) -> None:
         await self.population.audit()
         self._record_fault_free_span()
         self._report_first_violation()
-        await super()._final()
+        await super()._check_final_state()
 
 
 def run(seed: int, plan: Plan | None = None, setup: control.Setup | None = None) -> tuple[World, Plan]:
--- a/otterreach/simulation/faults.py
+++ b/otterreach/simulation/faults.py
@@ -14,7 +14,7 @@
 from otterreach.runtime.rpc import Endpoint
 from otterreach.simulation.loop import OWNER
 from otterreach.simulation.member_changes import MEMBER_KINDS, MemberChanges
-from otterreach.simulation.world import ZONES, Box, World
+from otterreach.simulation.world import ZONES, SimulatedMachine, World
 
 COMMON_KINDS = ("kill", "power", "freeze", "late_freeze", "cut", "one_way", "reset", "slow_link", "slow_disk")
 ALL_KINDS = (*COMMON_KINDS, "stall_disk", "full_disk", "slow_machine")  # drawn where a scenario has a leader
@@ -212,7 +212,7 @@
         self.leader: Callable[[], str] = lambda: ""  # returns the name of the machine that leads, or ""
         self.members = MemberChanges(world)
         # machines of a member change, which may have been removed since
-        self._changed_members: dict[Fault, list[Box]] = {}
+        self._changed_members: dict[Fault, list[SimulatedMachine]] = {}
         self._began: dict[Fault, Fault] = {}  # planned fault -> fault with placeholders resolved
         self.random = Random(world.seed ^ 0x57)
         self.armed: dict[Fault, int] = {}  # faults that wait for a message, and how many such messages to skip first
@@ -221,14 +221,14 @@
         self.healed = -1e9  # time when a partition was last healed
         self.start = world.now
         for fault in plan.faults:
-            world.plainly(fault.at, self._begin, fault)
-            world.plainly(fault.at + fault.for_s, self._end, fault)
+            world.call_later(fault.at, self._begin, fault)
+            world.call_later(fault.at + fault.for_s, self._end, fault)
 
     def calm_for(self) -> float:
         """Return the seconds since the last fault ended; 0 while one is active."""
         return 0.0 if self.active else self.world.now - max(self.last_change, self.start)
 
-    def _boxes(self, fault: Fault) -> list[Box]:
+    def _boxes(self, fault: Fault) -> list[SimulatedMachine]:
         """Return the machines of a fault that still exist."""
         return [self.world.boxes[name] for name in fault.on if name in self.world.boxes]
 
@@ -258,8 +258,8 @@
                 del self.armed[fault]
                 on = fault.on or (sender,)
                 triggered = replace(fault, kind=fault.kind.partition("@")[0], on=on)
-                self.world.plainly(self.random.choice(AFTER_MESSAGE_S), self._begin, triggered)
-                self.world.plainly(fault.for_s, self._end, triggered)
+                self.world.call_later(self.random.choice(AFTER_MESSAGE_S), self._begin, triggered)
+                self.world.call_later(fault.for_s, self._end, triggered)
 
     def watch_messages(self) -> None:
         """Report each call between processes to `sent`, for the rest of the run."""
@@ -308,7 +308,7 @@
                 self._pause_repeatedly(box, self.world.now + fault.for_s)
             elif fault.kind == QUOTA:
                 begins_in = self.random.uniform(0.0, QUOTA_PERIOD_S)  # machines must not be in phase
-                self.world.plainly(begins_in, self._exhaust_quota, box, self.world.now + fault.for_s)
+                self.world.call_later(begins_in, self._exhaust_quota, box, self.world.now + fault.for_s)
         self._apply_lasting_faults()
 
     def _end(self, planned: Fault) -> None:
@@ -329,32 +329,32 @@
             held = {f.kind for f in self.active if box.name in f.on}
             if not held & {"power", "wipe"}:
                 self.world.net.power_on(box.ip)
-                if "kill" not in held and not box.up and box.wanted:
+                if "kill" not in held and not box.up and box.restart_on_exit:
                     box.start()
             if not held & {"freeze", "late_freeze"}:
                 box.thaw()
                 self.thawed[box.name] = self.world.now
         self._apply_lasting_faults()
 
-    def _pause_repeatedly(self, box: Box, end: float) -> None:
+    def _pause_repeatedly(self, box: SimulatedMachine, end: float) -> None:
         """Pause a slow machine repeatedly, possibly between any two callbacks."""
         if self.world.now >= end:
             return
-        if box.runs:
+        if box.is_running:
             box.freeze(late=self.random.random() < 0.5)
-            self.world.plainly(self.random.uniform(*SLOW_PAUSE_S), self._thaw_unless_frozen, box)
-        self.world.plainly(self.random.uniform(*SLOW_INTERVAL_S), self._pause_repeatedly, box, end)
+            self.world.call_later(self.random.uniform(*SLOW_PAUSE_S), self._thaw_unless_frozen, box)
+        self.world.call_later(self.random.uniform(*SLOW_INTERVAL_S), self._pause_repeatedly, box, end)
 
-    def _exhaust_quota(self, box: Box, end: float) -> None:
+    def _exhaust_quota(self, box: SimulatedMachine, end: float) -> None:
         """Pause the machine until its next quota period begins."""
         if self.world.now >= end:
             return
-        if box.runs:
+        if box.is_running:
             box.freeze(late=False)
-            self.world.plainly(QUOTA_PERIOD_S - QUOTA_RUN_S, self._thaw_unless_frozen, box)
-        self.world.plainly(QUOTA_PERIOD_S, self._exhaust_quota, box, end)
+            self.world.call_later(QUOTA_PERIOD_S - QUOTA_RUN_S, self._thaw_unless_frozen, box)
+        self.world.call_later(QUOTA_PERIOD_S, self._exhaust_quota, box, end)
 
-    def _thaw_unless_frozen(self, box: Box) -> None:
+    def _thaw_unless_frozen(self, box: SimulatedMachine) -> None:
         if not any(f.kind in ("freeze", "late_freeze") and box.name in f.on for f in self.active):
             box.thaw()
             self.thawed[box.name] = self.world.now
--- a/otterreach/simulation/invariants.py
+++ b/otterreach/simulation/invariants.py
@@ -17,7 +17,7 @@
 from otterreach.runtime.records import ServerRecord, VersionRecord
 from otterreach.runtime.store import ReplicatedStore
 from otterreach.simulation.history import History
-from otterreach.simulation.world import ZONES, Box, World
+from otterreach.simulation.world import ZONES, SimulatedMachine, World
 
 STATE_RANKS = {"up": 0, "draining": 1}
 GONE_RANK = 2
@@ -96,7 +96,7 @@
             for key, revision in revs.items():
                 self.acked_items[key] = max(self.acked_items.get(key, 0), revision)
 
-    def controls(self) -> list[tuple[Box, ControlReplication]]:
+    def controls(self) -> list[tuple[SimulatedMachine, ControlReplication]]:
         """Return the controllers that are up."""
         return [(box, box.object.control) for box in self.world.of_role("core") if box.up and box.object]
 
--- a/otterreach/simulation/job_members.py
+++ b/otterreach/simulation/job_members.py
@@ -14,7 +14,7 @@
 from otterreach.jobstore.placement import partition_of
 from otterreach.simulation import client
 from otterreach.simulation.job_trainers import BatchJob
-from otterreach.simulation.world import CTL, Box, Main, World
+from otterreach.simulation.world import CTL, Main, SimulatedMachine, World
 
 PAUSE_S = (1.0, 6.0)  # between two changes
 RETRY_S = 0.3
@@ -23,7 +23,7 @@
 MAX_STORES = 7
 
 
-def holds_job(box: Box, job: str) -> bool:
+def holds_job(box: SimulatedMachine, job: str) -> bool:
     """Return True if the batch job is on the disk of the machine and, if it is up, in its complete replica."""
     on_disk = f"{job}.0".encode() in box.disk.data[: box.disk.synced]
     if not box.up or box.object is None:
@@ -59,8 +59,8 @@
             if not self.stopping and await change():
                 self.done[kind] = self.done.get(kind, 0) + 1
 
-    def _remaining(self) -> list[Box]:
-        return [b for b in self.world.of_role("store") if b.runs and b.name not in self.retiring]
+    def _remaining(self) -> list[SimulatedMachine]:
+        return [b for b in self.world.of_role("store") if b.is_running and b.name not in self.retiring]
 
     async def _add(self) -> bool:
         """Add a machine at a new address."""
@@ -70,7 +70,7 @@
         box = self.world.add(f"store-{number}", "store", number % 3, self.store_node)
         box.first = False
         self.world.lines.append(f"{self.world.now:9.3f} ADD {box.name}")
-        self.world.plainly(0.0, box.start)
+        self.world.call_later(0.0, box.start)
         return True
 
     async def _stop_one(self) -> bool:
@@ -103,7 +103,7 @@
         finally:
             self.retiring.discard(box.name)
 
-    async def _order_retirement(self, method: str, box: Box, end: float) -> bool:
+    async def _order_retirement(self, method: str, box: SimulatedMachine, end: float) -> bool:
         """Return True once the retirement is accepted (POST) or done (GET); each attempt asks a random controller."""
         cores = self.world.of_role("core")
         while self.world.now < end and not self.stopping:
@@ -117,7 +117,7 @@
             await asyncio.sleep(RETRY_S)
         return False
 
-    async def _remove_retired(self, box: Box) -> None:
+    async def _remove_retired(self, box: SimulatedMachine) -> None:
         """Remove the machine with its disk; an empty one replaces it later."""
         if not box.up:
             return  # it died meanwhile; its disk may still be needed when it comes back
@@ -129,7 +129,7 @@
         await asyncio.sleep(self.random.uniform(*REPLACEMENT_DELAY_S))
         box.power_on()
 
-    def check_copies(self, job: str, rule: str, without: Box | None = None) -> None:
+    def check_copies(self, job: str, rule: str, without: SimulatedMachine | None = None) -> None:
         """Check that the batch job is on enough disks to survive the loss of `survive` machines."""
         if self.world.now - self.lost_disk_at < RETIRE_S / 2:
             return  # a disk was lost, and its data may not be replicated again yet
--- a/otterreach/simulation/job_proxy.py
+++ b/otterreach/simulation/job_proxy.py
@@ -14,7 +14,7 @@
 from otterreach.runtime.codes import Code, Failure
 from otterreach.runtime.node import Node
 from otterreach.runtime.rpc import Done, Link
-from otterreach.simulation.world import Box
+from otterreach.simulation.world import SimulatedMachine
 
 CALL_S = 0.8
 SLOTS = 6
@@ -25,7 +25,7 @@
 class ProxyObserver(Protocol):
     """Is notified of the actions of a proxy."""
 
-    def begins(self, box: Box, key: tuple[str, str]) -> None:
+    def begins(self, box: SimulatedMachine, key: tuple[str, str]) -> None:
         """Called before the proxy sends an item to a server."""
 
     def item_assigned(self, job: str, item: str, body: bytes) -> None:
@@ -67,7 +67,7 @@
     Right before an item is sent, JobStoreDirectory must have confirmed recently that its batch job is still open.
     """
 
-    def __init__(self, observer: ProxyObserver, box: Box, node: Node) -> None:
+    def __init__(self, observer: ProxyObserver, box: SimulatedMachine, node: Node) -> None:
         self.observer = observer
         self.box = box
         self.node = node
--- a/otterreach/simulation/job_trainers.py
+++ b/otterreach/simulation/job_trainers.py
@@ -15,7 +15,7 @@
 from otterreach.runtime.rpc import Done
 from otterreach.simulation.job_proxy import CALL_S, DirectoryFleet, text_of
 from otterreach.simulation.loop import Process
-from otterreach.simulation.world import Box, World
+from otterreach.simulation.world import SimulatedMachine, World
 
 VISIBLE_WITHIN_S = 1.0
 TRAINERS = 3
@@ -48,7 +48,7 @@
 
     async def train(self, number: int, process: Process) -> None:
         """Run a trainer, which calls the job store nodes as a proxy does, from a machine without faults."""
-        box = Box(self.world, process.name, "front", process.address, "hall-a", _no_role)
+        box = SimulatedMachine(self.world, process.name, "front", process.address, "hall-a", _no_role)
         box.first = True
         node = box.new_node()
         # The node is not announced to the others; it only follows the control state.
@@ -190,5 +190,5 @@
         self.world.expect(False, "in time", f"{batch_job.id}: results not readable within 10 s after the end")
 
 
-async def _no_role(box: Box) -> None:
+async def _no_role(box: SimulatedMachine) -> None:
     """Do nothing: the machine of a trainer runs no role."""
--- a/otterreach/simulation/jobs.py
+++ b/otterreach/simulation/jobs.py
@@ -26,7 +26,7 @@
 from otterreach.simulation.job_proxy import SimulatedProxy
 from otterreach.simulation.job_trainers import TRAINERS, Trainers
 from otterreach.simulation.loop import Process
-from otterreach.simulation.world import Box, World
+from otterreach.simulation.world import SimulatedMachine, World
 
 SLAS = control.SLAS | {"cancelMs": 3000, "settleMs": 1000, "statusS": 600}
 CANCEL_S = 3.0
@@ -34,7 +34,7 @@
 CALM_CALL_S = 4.0  # time limit of a call during fault-free spans
 
 
-async def store_node(box: Box) -> None:
+async def store_node(box: SimulatedMachine) -> None:
     """Run a job store node until SIGTERM, then shut it down gracefully."""
     node = box.new_node()
     journal = box.journal()
@@ -89,7 +89,7 @@
         for name in ("transition_to", "promise", "finish_replay"):
             self.world.wrap(PartitionReplica, name, mark_changes)
         self.world.wrap(JobRequests, "handle_submit", self._check_acknowledged_copies)
-        self.world.wrap(Box, "power_off", self._record_disk_loss)
+        self.world.wrap(SimulatedMachine, "power_off", self._record_disk_loss)
 
     def _check_acknowledged_copies(self, original: Any) -> Any:
         """Wrap `handle_submit`: an acknowledged submission has to be on enough disks at that moment."""
@@ -104,7 +104,7 @@
         return handle_submit
 
     def _record_disk_loss(self, original: Any) -> Any:
-        def lost(box: Box, wipe: bool = False) -> None:
+        def lost(box: SimulatedMachine, wipe: bool = False) -> None:
             """Record the time of the last loss of a disk."""
             if wipe and box.role == "store" and box.name not in self.members.retiring:
                 self.members.lost_disk_at = self.world.now
@@ -112,7 +112,7 @@
 
         return lost
 
-    async def _proxy(self, box: Box) -> None:
+    async def _proxy(self, box: SimulatedMachine) -> None:
         node = box.new_node()
         box.object = SimulatedProxy(self, box, node)
         await node.start("front")
@@ -120,7 +120,7 @@
 
     # Checks after each step -----------------------------------------------------------------------
 
-    def _store_nodes(self) -> list[tuple[Box, JobStoreNode]]:
+    def _store_nodes(self) -> list[tuple[SimulatedMachine, JobStoreNode]]:
         return [(b, b.object) for b in self.world.of_role("store") if b.up and isinstance(b.object, JobStoreNode)]
 
     def _summary(self) -> Any:
@@ -141,7 +141,7 @@
                     what = f"{known} and {name}: partition {replica.partition}, epoch {replica.epoch}"
                     self.world.expect(known == name, "one primary", what)
 
-    def begins(self, box: Box, key: tuple[str, str]) -> None:
+    def begins(self, box: SimulatedMachine, key: tuple[str, str]) -> None:
         """Check an item that a proxy is about to send to a server."""
         batch_job = self.batch_jobs.get(key[0])
         self.world.expect(batch_job and key[1] in batch_job.items, "runs what was never sent", " ".join(key))
@@ -170,7 +170,7 @@
         """Start all machines, inject the planned faults, and read all results at the end."""
         world = self.world
         for box in world.boxes.values():
-            world.plainly(self.random.uniform(0.0, 0.3), box.start)
+            world.call_later(self.random.uniform(0.0, 0.3), box.start)
         self._wrap_methods()
         trainers = [Process(f"trainer-{n}", f"10.9.0.{n + 1}") for n in range(TRAINERS + 1)]
         tasks = [process.start(world.loop, self.trainers.train(n, process)) for n, process in enumerate(trainers)]
--- a/otterreach/simulation/member_changes.py
+++ b/otterreach/simulation/member_changes.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from random import Random
 
-from otterreach.simulation.world import ZONES, Box, World
+from otterreach.simulation.world import ZONES, SimulatedMachine, World
 
 MEMBER_KINDS = ("join", "replace", "lose", "lose_same_address", "restart_in_turn", "seeds")
 TERMINATE_S = 1.5  # from SIGTERM to the removal of the machine
@@ -24,7 +24,7 @@
         self.random = Random(world.seed ^ 0x3E3)
         self._successors: dict[str, str] = {}
         self._count = 0
-        self.begins: dict[str, Callable[[Box, float], None]] = {
+        self.begins: dict[str, Callable[[SimulatedMachine, float], None]] = {
             "join": self._join,
             "replace": self._replace,
             "lose": self._lose,
@@ -32,7 +32,7 @@
             "restart_in_turn": self._restart_in_turn,
             "seeds": self._change_seeds,
         }
-        self.ends: dict[str, Callable[[Box], None]] = {
+        self.ends: dict[str, Callable[[SimulatedMachine], None]] = {
             "replace": self._stop_replaced,
             "lose": self._start_successor,
             "lose_same_address": self._start_at_same_address,
@@ -44,53 +44,53 @@
             name = self._successors[name]
         return name
 
-    def _new_machine(self, template: Box, zone: str, ip: str = "") -> Box:
+    def _new_machine(self, template: SimulatedMachine, zone: str, ip: str = "") -> SimulatedMachine:
         self._count += 1
         name = f"{template.role}-new-{self._count}"
         box = self.world.add(name, template.role, ZONES.index(zone), template.main, ip)
         box.first = False
         return box
 
-    def _join(self, box: Box, for_s: float) -> None:
+    def _join(self, box: SimulatedMachine, for_s: float) -> None:
         zones = [b.zone for b in self.world.of_role(box.role)]
         self._new_machine(box, min(ZONES, key=zones.count)).start()
 
-    def _replace(self, box: Box, for_s: float) -> None:
+    def _replace(self, box: SimulatedMachine, for_s: float) -> None:
         """Start a planned replacement: the new machine is started before the old one is stopped."""
         new = self._new_machine(box, box.zone)
         self._successors[box.name] = new.name
         new.start()
 
-    def _stop_replaced(self, box: Box) -> None:
-        box.wanted = False
+    def _stop_replaced(self, box: SimulatedMachine) -> None:
+        box.restart_on_exit = False
         box.terminate()
-        self.world.plainly(TERMINATE_S, self._remove, box)
+        self.world.call_later(TERMINATE_S, self._remove, box)
 
-    def _remove(self, box: Box) -> None:
-        box.wanted = False
+    def _remove(self, box: SimulatedMachine) -> None:
+        box.restart_on_exit = False
         box.power_off(wipe=True)
         self.world.boxes.pop(box.name, None)
 
-    def _lose(self, box: Box, for_s: float) -> None:
+    def _lose(self, box: SimulatedMachine, for_s: float) -> None:
         """Remove the machine permanently, without a shutdown."""
         self._remove(box)
 
-    def _start_successor(self, box: Box) -> None:
+    def _start_successor(self, box: SimulatedMachine) -> None:
         new = self._new_machine(box, box.zone)
         self._successors[box.name] = new.name
         new.start()
 
-    def _start_at_same_address(self, box: Box) -> None:
+    def _start_at_same_address(self, box: SimulatedMachine) -> None:
         new = self._new_machine(box, box.zone, box.ip)
         self._successors[box.name] = new.name
         new.power_on()
 
-    def _restart_in_turn(self, box: Box, for_s: float) -> None:
+    def _restart_in_turn(self, box: SimulatedMachine, for_s: float) -> None:
         boxes = self.world.of_role(box.role)
         for index, member in enumerate(boxes):
-            self.world.plainly(for_s * index / len(boxes), member.terminate)
+            self.world.call_later(for_s * index / len(boxes), member.terminate)
 
-    def _change_seeds(self, box: Box, for_s: float) -> None:
+    def _change_seeds(self, box: SimulatedMachine, for_s: float) -> None:
         """Change the seeds of running processes and of those started later."""
         boxes = self.world.of_role(box.role)
         chosen = self.random.sample(boxes, min(SEEDS, len(boxes)))
--- a/otterreach/simulation/roles.py
+++ b/otterreach/simulation/roles.py
@@ -7,10 +7,10 @@
 
 from otterreach.controller.node import ControllerNode
 from otterreach.proxy.node import Proxy
-from otterreach.simulation.world import Box
+from otterreach.simulation.world import SimulatedMachine
 
 
-async def controller(box: Box) -> None:
+async def controller(box: SimulatedMachine) -> None:
     """Run a controller on the machine's disk until SIGTERM."""
     node = box.new_node()
     journal = box.journal()
@@ -25,7 +25,7 @@
     return connection
 
 
-async def proxy(box: Box) -> None:
+async def proxy(box: SimulatedMachine) -> None:
     """Run a proxy until SIGTERM: it follows the control state and can hold the singleton role of orders to servers."""
     node = box.new_node()
     box.object = Proxy(node, node.random, open_virtual)
--- a/otterreach/simulation/world.py
+++ b/otterreach/simulation/world.py
@@ -37,7 +37,7 @@
         self.rule = rule
 
 
-class Box:
+class SimulatedMachine:
     """A machine: its address, its disk and the current incarnation of its process."""
 
     def __init__(self, world: World, name: str, role: str, ip: str, zone: str, main: Main) -> None:
@@ -53,7 +53,7 @@
         self.first = True
         self.node: Node | None = None
         self.object: Any = None  # the top-level object of the role, set by `main`
-        self.wanted = True  # the process is restarted when it ends
+        self.restart_on_exit = True  # the process is restarted when it ends
 
     @property
     def up(self) -> bool:
@@ -61,7 +61,7 @@
         return self.process is not None and not self.process.dead
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         """True if the process exists and is not frozen."""
         return self.up and self.process is not None and not self.process.frozen
 
@@ -114,13 +114,13 @@
 
     def _on_exit(self, process: Process, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and (error := task.exception()):
-            self.world.broken(InvariantViolationError("ended by itself", f"{self.name}: {error!r}"))
-        self.world.plainly(RESTART_S, self._restart, process)
+            self.world.record_violation(InvariantViolationError("ended by itself", f"{self.name}: {error!r}"))
+        self.world.call_later(RESTART_S, self._restart, process)
 
     def _restart(self, process: Process) -> None:
         if self.process is process and not process.dead:
             self.kill()
-        if self.wanted:
+        if self.restart_on_exit:
             self.start()
 
     def kill(self) -> None:
@@ -134,8 +134,8 @@
             self.object = None
 
     def terminate(self) -> None:
-        """Stop the process as SIGTERM does; it is restarted if `wanted` is set."""
-        if self.runs and self.node is not None and self.process is not None:
+        """Stop the process as SIGTERM does; it is restarted if `restart_on_exit` is set."""
+        if self.is_running and self.node is not None and self.process is not None:
             self.world.loop.call_as(self.process, self.node.stopping.set)
 
     def power_off(self, wipe: bool = False) -> None:
@@ -164,7 +164,7 @@
             self.world.net.thaw(self.process)
 
 
-Main = Callable[[Box], Awaitable[None]]
+Main = Callable[[SimulatedMachine], Awaitable[None]]
 
 
 class World:
@@ -178,7 +178,7 @@
         self.random = Random(seed)
         self.loop = VirtualLoop()
         self.net = Network(self.loop, Random(seed ^ 0x5EED))
-        self.boxes: dict[str, Box] = {}
+        self.boxes: dict[str, SimulatedMachine] = {}
         self._addresses = [0] * len(ZONES)  # number of addresses assigned, by zone
         self.processes: list[Process] = []  # includes dead ones, see Process.tasks
         self.seeds: list[str] = []
@@ -194,15 +194,15 @@
         self._summary: Callable[[], Any] = lambda: None
         self.loop.after = self._after
 
-    def add(self, name: str, role: str, zone: int, main: Main, ip: str = "") -> Box:
+    def add(self, name: str, role: str, zone: int, main: Main, ip: str = "") -> SimulatedMachine:
         """Add a machine at a new address, or at `ip`, which a removed machine may have had before."""
         if not ip:
             self._addresses[zone] += 1
             ip = f"10.{zone + 1}.0.{self._addresses[zone]}"
-        box = self.boxes[name] = Box(self, name, role, ip, ZONES[zone], main)
+        box = self.boxes[name] = SimulatedMachine(self, name, role, ip, ZONES[zone], main)
         return box
 
-    def of_role(self, role: str) -> list[Box]:
+    def of_role(self, role: str) -> list[SimulatedMachine]:
         """Return the machines of a role."""
         return [box for box in self.boxes.values() if box.role == role]
 
@@ -211,11 +211,11 @@
         """The virtual time, in seconds."""
         return self.loop.time()
 
-    def plainly(self, seconds: float, callback: Callable[..., Any], *args: Any) -> None:
+    def call_later(self, seconds: float, callback: Callable[..., Any], *args: Any) -> None:
         """Call back after a delay, outside of any simulated process."""
         self.net.later(seconds, callback, *args)
 
-    def broken(self, failure: InvariantViolationError) -> None:
+    def record_violation(self, failure: InvariantViolationError) -> None:
         """Record the first violation, which ends the run; later ones are ignored."""
         if self.failure is None:
             self.failure = failure
@@ -224,7 +224,7 @@
     def expect(self, holds: Any, rule: str, what: str) -> None:
         """Fail the run with the name of the rule if `holds` is false."""
         if not holds:
-            self.broken(InvariantViolationError(rule, what))
+            self.record_violation(InvariantViolationError(rule, what))
 
     def watch(self, summary: Callable[[], Any], *checks: Callable[[], None], always: bool = True) -> None:
         """Run `checks` whenever the value of `summary` changes; its distinct values are counted as states.
@@ -263,11 +263,13 @@
             try:
                 self.loop.run(guarded())
             except StalledError as error:
-                self.broken(InvariantViolationError("stalled", str(error)))
+                self.record_violation(InvariantViolationError("stalled", str(error)))
             self._collect()
 
     def _unhandled(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        self.broken(InvariantViolationError("unhandled", f"{context.get('message')}: {context.get('exception')!r}"))
+        self.record_violation(
+            InvariantViolationError("unhandled", f"{context.get('message')}: {context.get('exception')!r}")
+        )
 
     def _collect(self) -> None:
         """Collect what dead processes left behind now, without warnings, rather than in the middle of the next run."""
@@ -337,4 +339,4 @@
         self.world.lines.append(f"{self.world.now:9.3f} {name:10} {text}")
         event = text.partition("event=")[2].partition(" ")[0]
         if f"event={event}" in self.FORBIDDEN_EVENTS:
-            self.world.broken(InvariantViolationError(event, f"{name}: {text}"))
+            self.world.record_violation(InvariantViolationError(event, f"{name}: {text}"))
--- a/tests/controller/controller_world.py
+++ b/tests/controller/controller_world.py
@@ -16,7 +16,7 @@
 from otterreach.runtime.rpc import Endpoint
 from otterreach.simulation import client
 from otterreach.simulation.control import SLAS
-from otterreach.simulation.world import CTL, Box, World
+from otterreach.simulation.world import CTL, SimulatedMachine, World
 
 START_S = 6.0
 POLL_S = 0.02
@@ -47,7 +47,7 @@
         self.expected = len(self.boxes)  # number of witnesses
         self.world.seeds = [box.ip for box in self.boxes[:3]]
 
-    async def _controller(self, box: Box) -> None:
+    async def _controller(self, box: SimulatedMachine) -> None:
         settings = replace(box.settings(), **self.survive)  # type: ignore[arg-type]
         random = Random(zlib.crc32(f"{self.world.seed} {box.name} {box.incarnations}".encode()))
         box.node = Node(settings, Endpoint(), random)
@@ -55,14 +55,14 @@
         records = journal.read()
         box.object = ControllerNode(settings, box.node, journal)  # type: ignore[arg-type]
         await box.object.run(records)
-        self.world.plainly(0.0, box.kill)  # the process exits
+        self.world.call_later(0.0, box.kill)  # the process exits
 
     def run(self, scenario: Callable[[Cluster], Awaitable[None]]) -> None:
         """Start all controllers, wait until all are in the configuration, then run the scenario."""
 
         async def whole() -> None:
             for box in self.boxes:
-                self.world.plainly(self.start_after_s.get(box.name, 0.0), box.start)
+                self.world.call_later(self.start_after_s.get(box.name, 0.0), box.start)
             await self.until(self._complete, START_S, "all in one configuration")
             status, _ = await self.put(self.primary, 0, 1, "first")
             assert status == 200, status
@@ -90,60 +90,62 @@
 
     # Roles ---------------------------------------------------------------------------------------
 
-    def control(self, box: Box) -> ControlReplication:
+    def control(self, box: SimulatedMachine) -> ControlReplication:
         control: ControlReplication = box.object.control
         return control
 
-    def primaries(self) -> list[Box]:
+    def primaries(self) -> list[SimulatedMachine]:
         return [box for box in self.boxes if box.up and box.object and self.control(box).is_primary]
 
     @property
-    def primary(self) -> Box:
+    def primary(self) -> SimulatedMachine:
         """The primary of the highest epoch."""
         return max(self.primaries(), key=lambda box: self.control(box).number)
 
-    def led_by(self, boxes: Iterable[Box]) -> bool:
+    def led_by(self, boxes: Iterable[SimulatedMachine]) -> bool:
         """Return True if one of these machines is a primary."""
         return any(box in boxes for box in self.primaries())
 
-    def named(self, idents: Iterable[str]) -> list[Box]:
+    def named(self, idents: Iterable[str]) -> list[SimulatedMachine]:
         """Return the machines with these controller ids."""
         wanted = set(idents)
         return [box for box in self.boxes if box.object and self.control(box).id in wanted]
 
     @property
-    def backups(self) -> list[Box]:
+    def backups(self) -> list[SimulatedMachine]:
         configuration = self.control(self.primary).accepted
         assert configuration is not None
         return self.named(configuration.backups)
 
-    def others(self, *inside: Box) -> list[Box]:
+    def others(self, *inside: SimulatedMachine) -> list[SimulatedMachine]:
         return [box for box in self.boxes if box not in inside]
 
     # Faults --------------------------------------------------------------------------------------
 
-    def cut(self, inside: Iterable[Box], outside: Iterable[Box], both_ways: bool = True) -> None:
+    def cut(
+        self, inside: Iterable[SimulatedMachine], outside: Iterable[SimulatedMachine], both_ways: bool = True
+    ) -> None:
         """Drop all messages from `inside` to `outside`, and the other way round if `both_ways`."""
         self.world.net.cut([b.ip for b in inside], [b.ip for b in outside], both_ways=both_ways)
 
-    def isolate(self, *inside: Box) -> None:
+    def isolate(self, *inside: SimulatedMachine) -> None:
         self.cut(inside, self.others(*inside))
 
     def heal(self) -> None:
         self.world.net.heal()
 
-    def terminate(self, box: Box, again: bool = False) -> None:
+    def terminate(self, box: SimulatedMachine, again: bool = False) -> None:
         """Send SIGTERM; if `again`, the machine starts a new process after the exit."""
         assert box.node is not None
-        box.wanted = again
+        box.restart_on_exit = again
         box.node.stopping.set()
 
-    def replace(self, box: Box) -> None:
+    def replace(self, box: SimulatedMachine) -> None:
         """Replace the machine by one with the same address and an empty disk."""
         box.power_off(wipe=True)
         box.power_on()
 
-    def add(self, zone: int) -> Box:
+    def add(self, zone: int) -> SimulatedMachine:
         """Start one more machine, with an empty disk and three running controllers as its seeds."""
         self.world.seeds = [b.ip for b in self.boxes if b.up][:3]
         box = self.world.add(f"core-{len(self.boxes)}", "core", zone, self._controller)
@@ -155,7 +157,13 @@
     # HTTP calls ----------------------------------------------------------------------------------
 
     async def call(
-        self, box: Box, method: str, path: str, body: bytes = b"", match: int | None = None, timeout_s: float = 1.0
+        self,
+        box: SimulatedMachine,
+        method: str,
+        path: str,
+        body: bytes = b"",
+        match: int | None = None,
+        timeout_s: float = 1.0,
     ) -> tuple[int, float, bytes]:
         """Return the status (0: no response), seconds and body of an HTTP call."""
         headers = {} if match is None else {b"If-Match": str(match).encode()}
@@ -164,12 +172,12 @@
         took = self.world.now - began
         return (response.status, took, response.body) if response else (0, took, b"")
 
-    async def put(self, box: Box, base: int, gen: int, name: str) -> tuple[int, float]:
+    async def put(self, box: SimulatedMachine, base: int, gen: int, name: str) -> tuple[int, float]:
         """Put a configuration and return the status and seconds."""
         status, took, _ = await self.call(box, "PUT", "/config", configuration_of(gen, name), base)
         return status, took
 
-    async def get(self, box: Box) -> tuple[int, float, int]:
+    async def get(self, box: SimulatedMachine) -> tuple[int, float, int]:
         """Get the configuration and return the status, the seconds, and its version number."""
         status, took, body = await self.call(box, "GET", "/config")
         return status, took, json.loads(body)["gen"] if status == 200 else 0
--- a/tests/controller/coordination_support.py
+++ b/tests/controller/coordination_support.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from otterreach.simulation.world import Box
+from otterreach.simulation.world import SimulatedMachine
 from tests.controller.controller_world import Cluster
 
 HOLD_MS = 3000
@@ -35,7 +35,7 @@
         return self.status not in NOTHING_DONE and self.status not in OUTCOME_UNKNOWN
 
 
-Call = Callable[[Box], Awaitable[Answer]]
+Call = Callable[[SimulatedMachine], Awaitable[Answer]]
 
 
 class Coordination:
@@ -45,34 +45,34 @@
         self.cluster = cluster
 
     async def send(
-        self, box: Box, method: str, path: str, body: Any = None, timeout_s: float = CALL_TIMEOUT_S
+        self, box: SimulatedMachine, method: str, path: str, body: Any = None, timeout_s: float = CALL_TIMEOUT_S
     ) -> Answer:
         """Send any call. A body that is not bytes is sent as JSON."""
         data = b"" if body is None else body if isinstance(body, bytes) else json.dumps(body).encode()
         status, took_s, raw = await self.cluster.call(box, method, path, data, timeout_s=timeout_s)
         return Answer(status, took_s, _json(raw), raw)
 
-    async def acquire(self, box: Box, lock: str, owner: str, hold_ms: int = HOLD_MS) -> Answer:
+    async def acquire(self, box: SimulatedMachine, lock: str, owner: str, hold_ms: int = HOLD_MS) -> Answer:
         return await self.send(box, "POST", f"/locks/{lock}", {"owner": owner, "holdMs": hold_ms})
 
-    async def renew(self, box: Box, lock: str, owner: str, fence: int, hold_ms: int = HOLD_MS) -> Answer:
+    async def renew(self, box: SimulatedMachine, lock: str, owner: str, fence: int, hold_ms: int = HOLD_MS) -> Answer:
         return await self.send(box, "PUT", f"/locks/{lock}", {"owner": owner, "fence": fence, "holdMs": hold_ms})
 
-    async def release(self, box: Box, lock: str, owner: str, fence: int) -> Answer:
+    async def release(self, box: SimulatedMachine, lock: str, owner: str, fence: int) -> Answer:
         return await self.send(box, "DELETE", f"/locks/{lock}", {"owner": owner, "fence": fence})
 
-    async def number(self, box: Box, name: str) -> Answer:
+    async def number(self, box: SimulatedMachine, name: str) -> Answer:
         return await self.send(box, "POST", f"/numbers/{name}", {})
 
-    async def put(self, box: Box, key: str, value: str, expect: int | None) -> Answer:
+    async def put(self, box: SimulatedMachine, key: str, value: str, expect: int | None) -> Answer:
         """Put a value on an expected revision; with `expect` None, on any revision."""
         condition = {} if expect is None else {"expect": expect}
         return await self.send(box, "PUT", f"/cells/{key}", {"value": value} | condition)
 
-    async def read(self, box: Box, key: str) -> Answer:
+    async def read(self, box: SimulatedMachine, key: str) -> Answer:
         return await self.send(box, "GET", f"/cells/{key}")
 
-    async def watch(self, box: Box, group: str, past: int, wait_ms: int = 0) -> Answer:
+    async def watch(self, box: SimulatedMachine, group: str, past: int, wait_ms: int = 0) -> Answer:
         path = f"/watch/{group}.?past={past}&waitMs={wait_ms}"
         return await self.send(box, "GET", path, timeout_s=wait_ms / 1000 + CALL_TIMEOUT_S)
 
--- a/tests/controller/test_contact.py
+++ b/tests/controller/test_contact.py
@@ -10,7 +10,7 @@
 from otterreach.controller.election import Election
 from otterreach.controller.formation import Formation
 from otterreach.controller.witness_contacts import WitnessContacts
-from otterreach.simulation.world import Box
+from otterreach.simulation.world import SimulatedMachine
 from tests.controller.controller_world import Cluster, configuration_of
 
 UNCLEAR = (0, 503)
@@ -18,7 +18,7 @@
 FAILOVER_S = 1.6
 
 
-async def expect_no_answer(cluster: Cluster, box: Box, seconds: float = MAX_ANSWER_S) -> None:
+async def expect_no_answer(cluster: Cluster, box: SimulatedMachine, seconds: float = MAX_ANSWER_S) -> None:
     """Check that every kind of call is answered 503 in time: reads, new, repeated, stale and invalid changes."""
     calls: list[tuple[str, bytes, int | None]] = [
         ("GET", b"", None),
@@ -33,7 +33,7 @@
         assert took <= seconds, f"{method} {body!r}: {took:.2f} s at {box.name}"
 
 
-async def expect_service(cluster: Cluster, box: Box) -> int:
+async def expect_service(cluster: Cluster, box: SimulatedMachine) -> int:
     """Put a change based on the current version, repeat it, and read it back; return the new version."""
     status, _, base = await cluster.get(box)
     assert status == 200, status
@@ -45,7 +45,7 @@
     return base + 1
 
 
-async def expect_new_primary(cluster: Cluster, old: Box) -> None:
+async def expect_new_primary(cluster: Cluster, old: SimulatedMachine) -> None:
     """Wait until another controller than the old primary leads."""
     others = cluster.others(old)
     await cluster.until(lambda: cluster.led_by(others), FAILOVER_S, "another primary")
@@ -192,7 +192,7 @@
 
     def play(self, owner: type, step: str, before: bool) -> None:
         cluster = Cluster()
-        isolated: list[Box] = []
+        isolated: list[SimulatedMachine] = []
 
         def around(original: Any) -> Any:
             async def isolating(part: Election | Formation, *args: Any, **kwargs: Any) -> Any:
--- a/tests/controller/test_control_api_faults.py
+++ b/tests/controller/test_control_api_faults.py
@@ -21,7 +21,7 @@
 from otterreach.simulation import client
 from otterreach.simulation.control import SLAS, controller
 from otterreach.simulation.loop import Process
-from otterreach.simulation.world import CTL, Box, World
+from otterreach.simulation.world import CTL, SimulatedMachine, World
 
 CONTROLLERS = 5
 OPERATORS = 8
@@ -79,7 +79,7 @@
         self.newest = 0  # acknowledged
 
     @property
-    def boxes(self) -> list[Box]:
+    def boxes(self) -> list[SimulatedMachine]:
         return self.world.of_role("core")
 
     def run(self) -> None:
@@ -157,7 +157,7 @@
         self.world.expect(config["gen"] == won.gen, "read what was accepted", f"{config['gen']}, not {won.gen}")
         self.world.expect(won.name in names, "read what was accepted", f"{names} without {won.name}")
 
-    async def _read_on(self, box: Box) -> None:
+    async def _read_on(self, box: SimulatedMachine) -> None:
         """Check that a read that began after an acknowledgement doesn't return an older configuration."""
         while True:
             least = self.newest
@@ -192,38 +192,38 @@
                     box = next(box for box in cluster.boxes if box.object and box.object.control is control)
                     longest = SLOW_DISK_S if cluster._slow_disks else 0.0
                     delay = cluster.random.choice(DELAYS_S) + cluster.random.uniform(0.0, longest)
-                    cluster.world.plainly(delay, cluster._inject, box)
+                    cluster.world.call_later(delay, cluster._inject, box)
                 return future
 
             return propose
 
         self.world.wrap(ControlReplication, "propose", proposing)
 
-    def _inject(self, box: Box) -> None:
+    def _inject(self, box: SimulatedMachine) -> None:
         world, net = self.world, self.world.net
         others = [other.ip for other in self.boxes if other is not box]
         if self.fault == "kill":
             box.kill()
-            world.plainly(0.3, box.start)
+            world.call_later(0.3, box.start)
         elif self.fault == "freeze":
             box.freeze()
-            world.plainly(FAULT_S, box.thaw)
+            world.call_later(FAULT_S, box.thaw)
         elif self.fault == "cut":
             net.cut([box.ip], others)
-            world.plainly(FAULT_S, net.heal)
+            world.call_later(FAULT_S, net.heal)
         elif self.fault == "cut from backups":
             control = box.object.control
             backups = [
                 w.address.partition(":")[0] for w in control.accepted.witnesses if w.id in control.accepted.backups
             ]
             net.cut([box.ip], backups)
-            world.plainly(FAULT_S, net.heal)
+            world.call_later(FAULT_S, net.heal)
         else:
             affected = [box] if self.fault == "power of primary" else self.boxes
             for one in affected:
                 one.disk.slow_s = 0.0
                 one.power_off()
-                world.plainly(self.random.uniform(0.5, 0.8), one.power_on)
+                world.call_later(self.random.uniform(0.5, 0.8), one.power_on)
 
 
 class FaultsTest(unittest.TestCase):
--- a/tests/controller/test_coordination_failover.py
+++ b/tests/controller/test_coordination_failover.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from otterreach.simulation.world import Box
+from otterreach.simulation.world import SimulatedMachine
 from tests.controller.controller_world import Cluster
 from tests.controller.coordination_support import Coordination
 
@@ -14,7 +14,7 @@
 RETRY_S = 0.03
 
 
-async def fail_over(cluster: Cluster) -> Box:
+async def fail_over(cluster: Cluster) -> SimulatedMachine:
     """Power off the primary for good, and return the next one."""
     lost = cluster.primary
     lost.power_off()
--- a/tests/controller/test_coordination_power.py
+++ b/tests/controller/test_coordination_power.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from otterreach.simulation.world import Box
+from otterreach.simulation.world import SimulatedMachine
 from tests.controller.controller_world import Cluster
 from tests.controller.coordination_support import Coordination
 
@@ -14,7 +14,7 @@
 SYNC_S = 4.5  # limit for full replication after a loss
 
 
-async def lose_all_power(cluster: Cluster, wiped: tuple[Box, ...] = (), down_s: float = 0.5) -> None:
+async def lose_all_power(cluster: Cluster, wiped: tuple[SimulatedMachine, ...] = (), down_s: float = 0.5) -> None:
     """Power off all controllers at once. Those in `wiped` lose their disks and are not started again."""
     for box in cluster.boxes:
         box.power_off(wipe=box in wiped)
--- a/tests/controller/test_coordination_promises.py
+++ b/tests/controller/test_coordination_promises.py
@@ -21,7 +21,7 @@
     """Power off the primary for a while."""
     box = cluster.primary
     box.power_off()
-    cluster.world.plainly(DOWN_S, box.power_on)
+    cluster.world.call_later(DOWN_S, box.power_on)
 
 
 async def kill(cluster: Cluster) -> None:
@@ -39,13 +39,13 @@
 async def lose_backups(cluster: Cluster) -> None:
     """Partition the primary from its backups for a while."""
     cluster.cut([cluster.primary], cluster.backups)
-    cluster.world.plainly(DOWN_S, cluster.heal)
+    cluster.world.call_later(DOWN_S, cluster.heal)
 
 
 async def lose_answers(cluster: Cluster) -> None:
     """Drop the messages to the primary for a while; its own messages arrive."""
     cluster.cut(cluster.others(cluster.primary), [cluster.primary], both_ways=False)
-    cluster.world.plainly(2 * DOWN_S, cluster.heal)
+    cluster.world.call_later(2 * DOWN_S, cluster.heal)
 
 
 async def hand_over(cluster: Cluster) -> None:
--- a/tests/controller/test_coordination_watches.py
+++ b/tests/controller/test_coordination_watches.py
@@ -188,7 +188,7 @@
                 if number in (15, 35):
                     box = cluster.primary
                     box.kill()
-                    cluster.world.plainly(1.0, box.start)
+                    cluster.world.call_later(1.0, box.start)
                 key, value = f"g1.{number % 7}", f"value {number}"
                 answer = await calls.repeat(calls.put, key, value, None)
                 self.assertEqual((200, {"rev": number}), (answer.status, answer.body))
@@ -233,7 +233,7 @@
             past = (await calls.watch(cluster.boxes[0], "g1", 0)).body["rev"]
             box = cluster.primary
             box.kill()
-            cluster.world.plainly(0.5, box.start)
+            cluster.world.call_later(0.5, box.start)
             for number in range(5, 9):
                 key = f"g1.{number}"
                 await calls.repeat(calls.put, key, f"value of {key}", 0)
--- a/tests/controller/test_election.py
+++ b/tests/controller/test_election.py
@@ -13,7 +13,7 @@
 from otterreach.controller.messages import Prepare, Promise
 from otterreach.simulation.disk import Disk, VirtualJournal
 from otterreach.simulation.loop import VirtualLoop
-from otterreach.simulation.world import Box, World
+from otterreach.simulation.world import SimulatedMachine, World
 
 OWN, NUMBER = "a", 3
 
@@ -37,7 +37,7 @@
         """Return the result of `_collect_promises` for the number after NUMBER, and the number promised here then."""
 
         async def work() -> Any:
-            async def idle(box: Box) -> None: ...
+            async def idle(box: SimulatedMachine) -> None: ...
 
             box = World(1).add("core-0", "core", 0, idle)
             replica = LocalReplica(box.settings(), cast(Any, VirtualJournal(Disk(Random(1)))))
--- a/tests/controller/test_membership.py
+++ b/tests/controller/test_membership.py
@@ -7,7 +7,7 @@
 
 from otterreach.controller.epochs import EpochConfiguration
 from otterreach.controller.survival import unmet_by_replicas, unmet_by_voters
-from otterreach.simulation.world import Box
+from otterreach.simulation.world import SimulatedMachine
 from tests.controller.controller_world import Cluster
 
 SHUTDOWN_S = 1.1
@@ -52,7 +52,7 @@
     assert (status, read) == (200, gen), (status, read, gen)
 
 
-async def wait_for_primary_among(cluster: Cluster, boxes: list[Box], within_s: float) -> float:
+async def wait_for_primary_among(cluster: Cluster, boxes: list[SimulatedMachine], within_s: float) -> float:
     """Wait until one of these machines is primary and return the seconds that took."""
     return await cluster.until(lambda: cluster.led_by(boxes), within_s, "another primary")
 
@@ -62,11 +62,11 @@
     await cluster.until(lambda: len(configuration_of(cluster).witnesses) == count, within_s, f"{count} witnesses")
 
 
-async def wait_for_exit(cluster: Cluster, box: Box) -> float:
+async def wait_for_exit(cluster: Cluster, box: SimulatedMachine) -> float:
     return await cluster.until(lambda: not box.up, SHUTDOWN_S, "the end")
 
 
-async def terminate(cluster: Cluster, box: Box, again: bool = False) -> float:
+async def terminate(cluster: Cluster, box: SimulatedMachine, again: bool = False) -> float:
     """Send SIGTERM and return the seconds until the process has exited."""
     cluster.terminate(box, again)
     return await wait_for_exit(cluster, box)
@@ -213,7 +213,7 @@
             for old in list(cluster.boxes):
                 gen = await change(cluster)
                 old.power_off(wipe=True)
-                old.wanted = False
+                old.restart_on_exit = False
                 new = cluster.add(zone=int(old.name[-1]) % 3)
                 await asyncio.sleep(RECOVERY_S)
                 self.assertEqual(unmet(cluster), [])
@@ -227,7 +227,7 @@
         async def scenario(cluster: Cluster) -> None:
             witnesses = cluster.others(cluster.primary, *cluster.backups)
             for box in witnesses[:2]:
-                box.wanted = False
+                box.restart_on_exit = False
                 box.kill()
                 await asyncio.sleep(2 * RECOVERY_S)
             self.assertEqual(len(configuration_of(cluster).witnesses), 3)
