--- a/otterreach/controller/api/resource.py
+++ b/otterreach/controller/api/resource.py
@@ -28,10 +28,10 @@
     def propose(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
         """Change items. The result is True once the changes are on all replicas, False if that is not certain."""
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         """Return True if this controller is the primary now."""
 
-    async def committed(self) -> bool:
+    async def wait_until_committed(self) -> bool:
         """Return True if this controller is the primary now and `state`, as of the call, is on all replicas."""
 
 
@@ -66,4 +66,4 @@
 
 async def when_committed(control: ControlState, answer: ApiResponse) -> ApiResponse:
     """Return `answer` once the current state, on which it depends, is committed; UNAVAILABLE if that fails."""
-    return answer if await control.committed() else UNAVAILABLE
+    return answer if await control.wait_until_committed() else UNAVAILABLE
--- a/otterreach/controller/election.py
+++ b/otterreach/controller/election.py
@@ -43,7 +43,7 @@
         self.in_progress = False
         self.disabled = False  # set at graceful shutdown: this controller starts no more elections
 
-    def may_stand(self) -> bool:
+    def is_eligible(self) -> bool:
         """Return True if this controller is a member of the highest configuration known to it.
 
         Only members hold all acknowledged writes, so only they may become primary.
@@ -72,7 +72,7 @@
         identities = [reply for reply in replies if isinstance(reply, IdentityReply) and reply.uninitialised]
         if len(identities) < len(others):
             return
-        witnesses = [replica.info, *(identity.controller[0] for identity in identities)]
+        witnesses = [replica.controller_info, *(identity.controller[0] for identity in identities)]
         configuration = self.formation.initial_configuration(witnesses)
         self.in_progress = True
         try:
@@ -83,7 +83,7 @@
                 self.formation.log_unmet(configuration)
                 self.become_primary([])
             else:
-                replica.become(Mode.FOLLOWING, "initial configuration not accepted by all seeds")
+                replica.set_mode(Mode.FOLLOWING, "initial configuration not accepted by all seeds")
         finally:
             self.in_progress = False
 
@@ -107,7 +107,7 @@
         replica = self.replica
         base = replica.newer_configuration or replica.accepted
         assert base is not None
-        self.attempts.note(replica.id, base.number)
+        self.attempts.record(replica.id, base.number)
         number = max(replica.promised, replica.highest_known_number, base.number) + 1
         promised = await self._collect_promises(base, number, change.transfer)
         if promised is None:
@@ -153,7 +153,7 @@
             return None
         replica.promise(number)
         if not was_primary:
-            replica.become(Mode.CANDIDATE, f"candidate for epoch {number}")
+            replica.set_mode(Mode.CANDIDATE, f"candidate for epoch {number}")
         if not await replica.sync() or replica.promised != number:
             replica.step_down("promised to another candidate, or disk failed")
             return None
--- a/otterreach/controller/node.py
+++ b/otterreach/controller/node.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Iterable
 
-from otterreach.controller.api.router import ApiRouter, CoordinationParts, events_kept_s
+from otterreach.controller.api.router import ApiRouter, CoordinationContext, event_retention_s
 from otterreach.controller.event_collection import EventCollection
 from otterreach.controller.failure_detector import FailureDetector
 from otterreach.controller.hold_checkpoints import HoldCheckpoints
@@ -20,7 +20,7 @@
 from otterreach.controller.store_registry import StoreRegistry
 from otterreach.controller.survival import limits_of
 from otterreach.controller.watch_hub import WatchHub
-from otterreach.controller.watcher import Watcher
+from otterreach.controller.watcher import LivenessReporter
 from otterreach.runtime.http import JsonServer
 from otterreach.runtime.journal import Journal
 from otterreach.runtime.journal_format import Record
@@ -51,7 +51,7 @@
         self.control = ControlReplication(
             settings, endpoint, journal, node.follower, node.random, self._leadership_changed
         )
-        self.watcher = Watcher(settings, endpoint, self.control, self.detector)
+        self.watcher = LivenessReporter(settings, endpoint, self.control, self.detector)
         self.stores = StoreRegistry(endpoint, self.control, self.detector, limits, clock)
         self.members = MemberRegistry(endpoint, self.control, self.detector, self.stores.forget_draining)
         self.placement = PartitionPlacement(endpoint, self.control, self.stores, limits, clock)
@@ -63,12 +63,12 @@
         self.control.on_committed(self.watches.items_committed)
         self.hold_checkpoints = HoldCheckpoints(self.control, self.receipts)
         self.lock_collection = LockCollection(self.control, self.receipts)
-        coordination = CoordinationParts(self.receipts, self.watches, self._has_just_stalled)
+        coordination = CoordinationContext(self.receipts, self.watches, self._has_just_stalled)
         self.api = ApiRouter(
             settings, self.control, node.follower, self._stores_once_stable, self.detector, coordination
         )
         self.event_collection = EventCollection(
-            self.control, self.api.histories, self.receipts, events_kept_s(settings)
+            self.control, self.api.histories, self.receipts, event_retention_s(settings)
         )
         self.server = JsonServer(self.api.handle)
         self._stable_from = 0.0  # from this time on, missing heartbeats are acted on
@@ -86,7 +86,7 @@
             self.node.endpoint.spawn(work)
         await self.node.stopping.wait()
         await self.control.leave()
-        self.api.abandon_waiting_calls()
+        self.api.abort_pending_calls()
         self.server.stop()
         await self.journal.sync()
 
@@ -97,7 +97,7 @@
             self._stable_from = self.clock() + STABILIZATION_S
             self.detector.assume_alive(self.members.member_ids(), self.control.state.records(ServerRecord))
         else:
-            self.watches.abandon()
+            self.watches.abort()
 
     async def _plan(self) -> None:
         """Run the primary's periodic work: compare the control state with the live members and propose changes."""
--- a/otterreach/controller/primary.py
+++ b/otterreach/controller/primary.py
@@ -43,7 +43,7 @@
         self.contacts.begin_epoch(replica.accepted, replica.id, replica.is_primary)
         self.follower.primary = replica.settings.address
         self.writes.begin_epoch()
-        replica.become(Mode.PRIMARY, f"epoch {replica.number} took effect")
+        replica.set_mode(Mode.PRIMARY, f"epoch {replica.number} took effect")
         self.publisher.publish_all(installed)  # changes made since then are still to be appended to the backups
         self._refresh_state_age()
         self.writes.resume()
@@ -69,13 +69,13 @@
             answered = [self.contacts.by_id[backup].answered_at for backup in configuration.backups]
             self.follower.fresh_at = min(answered, default=self.replica.loop.time())
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         """Return True if this controller is confirmed as the primary now. Called before a read is answered."""
-        return await self.heartbeats.confirm()
+        return await self.heartbeats.confirm_leadership()
 
-    async def committed(self) -> bool:
+    async def wait_until_committed(self) -> bool:
         """Return True if this is the primary now and all members have every change made before the call."""
-        return await self.writes.committed()
+        return await self.writes.wait_until_committed()
 
     def propose(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
         """Set items to new values: see WritePipeline.propose."""
--- a/otterreach/controller/replication.py
+++ b/otterreach/controller/replication.py
@@ -135,17 +135,17 @@
         """Return the failure for a call that only the primary serves."""
         return self.replica.not_primary()
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         """Return True if this controller is confirmed as the primary now. Called before a read is answered."""
-        return await self.primary.confirm()
+        return await self.primary.confirm_leadership()
 
-    async def committed(self) -> bool:
+    async def wait_until_committed(self) -> bool:
         """Return True if this is the primary now and all members have every change made before the call."""
-        return await self.primary.committed()
+        return await self.primary.wait_until_committed()
 
     async def done_when_committed(self) -> Done | Failure:
         """Return the reply to a call whose change is in the state already: Done once that state cannot be lost."""
-        return Done() if await self.committed() else Failure(Code.NOT_SYNCED, "not at all replicas")
+        return Done() if await self.wait_until_committed() else Failure(Code.NOT_SYNCED, "not at all replicas")
 
     @property
     def accepts_writes(self) -> bool:
@@ -218,7 +218,7 @@
     def _election_is_due(self) -> bool:
         """Return True if the election time-out has expired and this controller may stand for election."""
         waits = self.mode is Mode.FOLLOWING and not self.election.disabled
-        return waits and self.election_timer.has_expired() and self.election.may_stand()
+        return waits and self.election_timer.has_expired() and self.election.is_eligible()
 
     def _collect_tombstones(self, now: float) -> None:
         changes = self.tombstone_clock.due_change(now)
--- a/otterreach/controller/watcher.py
+++ b/otterreach/controller/watcher.py
@@ -15,7 +15,7 @@
 REPORT_INTERVAL_S = 0.25
 
 
-class Watcher:
+class LivenessReporter:
     """Feeds the failure detector with heartbeats and with the reports of other watchers."""
 
     def __init__(
@@ -45,7 +45,7 @@
             address = self.control.primary_address
             if self.control.is_primary or not address:
                 continue
-            link = self.endpoint.linked(address)
+            link = self.endpoint.open_link(address)
             if link:
                 link.send(self.detector.report_since(self.settings.node, reported_at))
                 reported_at = now
--- a/otterreach/runtime/http.py
+++ b/otterreach/runtime/http.py
@@ -91,7 +91,7 @@
 
         If the kernel holds unread bytes, the timer is restarted instead: a request among them would be lost.
         """
-        if self.unread and not self._parser.error:
+        if self.has_unread_data and not self._parser.error:
             self._start_idle_timer(IDLE_TIMEOUT_S)
         else:
             self.abort()
@@ -120,8 +120,8 @@
 
         It must not precede the responses to earlier requests: the caller would attribute it to one of those.
         """
-        if self._parser.wants_continue and not self._queue and self._transport:
-            self._parser.wants_continue = False
+        if self._parser.expects_continue and not self._queue and self._transport:
+            self._parser.expects_continue = False
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     async def _answer_queue(self) -> None:
@@ -161,7 +161,7 @@
 
     def close_if_idle(self) -> None:
         """Close the connection unless a request is being handled or queued, or unread bytes may contain one."""
-        if not self._answer_task and not self._queue and not self.unread and self._transport:
+        if not self._answer_task and not self._queue and not self.has_unread_data and self._transport:
             self._transport.close()
 
 
--- a/otterreach/runtime/node.py
+++ b/otterreach/runtime/node.py
@@ -151,7 +151,7 @@
     def _send_to_watchers(self, heartbeat: Heartbeat) -> None:
         sent = 0
         for address in watchers_in_order(self.settings.node, self.follower.controllers):
-            link = self.endpoint.linked(address)
+            link = self.endpoint.open_link(address)
             if link:
                 link.send(heartbeat)
                 sent += 1
@@ -176,7 +176,7 @@
 
     async def watch_settings(self) -> None:
         """Reload the settings whenever the file has changed; never returns."""
-        path = os.environ.get(settings_module.VARIABLE, "")
+        path = os.environ.get(settings_module.SETTINGS_FILE_VARIABLE, "")
         last_change = 0
         while True:
             await asyncio.sleep(SETTINGS_CHECK_S)
--- a/otterreach/runtime/relay.py
+++ b/otterreach/runtime/relay.py
@@ -173,7 +173,7 @@
             parent_lost = not self.parent or self.loop.time() - self._last_message_at > PARENT_TIMEOUT_S
             if parent_lost or self.age_s() > MAX_AGE_S and self.random.random() < SEARCH_SHARE:
                 await self._attach(parent_lost)
-            link = self.endpoint.linked(self.parent) if self.parent else None
+            link = self.endpoint.open_link(self.parent) if self.parent else None
             if link:
                 link.send(FreshnessProbe(int(self.loop.time() * 1000)))
             await asyncio.sleep(PROBE_INTERVAL_S if self.parent else RETRY_S)
@@ -237,7 +237,7 @@
         address = candidates[self._attempts % len(candidates)]
         self._attempts += 1
         requested_at = self.loop.time()
-        self.attachments.note(self.settings.node, self.fresh_at)
+        self.attachments.record(self.settings.node, self.fresh_at)
         reply = await self.endpoint.call(address, Follow(self.settings.node, self.store.digests), CALL_TIMEOUT_S)
         if isinstance(reply, Failure):
             if address == self.parent:
--- a/otterreach/simulation/planted_keys.py
+++ b/otterreach/simulation/planted_keys.py
@@ -198,7 +198,7 @@
     Planted(
         "present-revision-without-contact",
         "a watch is accepted without confirming the epoch",
-        (Change(f"{WATCH_RESOURCE}._watch", "not await self.control.confirm()", "False"),),
+        (Change(f"{WATCH_RESOURCE}._watch", "not await self.control.confirm_leadership()", "False"),),
         COORDINATION,
         plan=PRIMARIES_FREEZE,
         rule=Rule.STALE.value,
@@ -227,12 +227,12 @@
         "reads, conflicts and repeated calls are answered from state that is not yet on all replicas",
         (
             Change(
-                "otterreach.controller.writes:WritePipeline.committed",
+                "otterreach.controller.writes:WritePipeline.wait_until_committed",
                 "while self._committed < submitted and",
                 "while False and",
             ),
             Change(
-                "otterreach.controller.writes:WritePipeline.committed",
+                "otterreach.controller.writes:WritePipeline.wait_until_committed",
                 "return self._committed >= submitted and self._step_downs == step_downs",
                 "return True",
             ),
@@ -243,7 +243,7 @@
     Planted(
         "empty-watch-of-an-old-primary",
         "a watch that times out is answered without confirming the epoch",
-        (Change(f"{WATCH_RESOURCE}._after_wait", "not await self.control.confirm()", "False"),),
+        (Change(f"{WATCH_RESOURCE}._after_wait", "not await self.control.confirm_leadership()", "False"),),
         COORDINATION,
         plan=PRIMARIES_FREEZE_BRIEFLY,
     ),
--- a/otterreach/simulation/small_model.py
+++ b/otterreach/simulation/small_model.py
@@ -161,7 +161,7 @@
             events.append(("read", member.name))
         may_stand = (
             control.mode in (Mode.FOLLOWING, Mode.PRIMARY)
-            and control.election.may_stand()
+            and control.election.is_eligible()
             and not control.election.in_progress
         )
         if may_stand and self._may("elect", bounds.elections):
@@ -231,7 +231,7 @@
         member.run(lambda: spawn(self._read(member.control, dict(self.checks.seen.acked))))
 
     async def _read(self, control: ControlReplication, acked: dict[str, int]) -> None:
-        if not await control.confirm():
+        if not await control.confirm_leadership():
             return
         for key, revision in acked.items():
             item = control.follower.store.items.get(key)
@@ -247,7 +247,7 @@
 
     def _do_reform(self, member: Member, joiner: str) -> None:
         """Add a member as the primary does after a join request; a witness at its address (its old disk) is dropped."""
-        new = next(m for m in self.members if m.name == joiner).control.replica.info
+        new = next(m for m in self.members if m.name == joiner).control.replica.controller_info
         record = member.control.accepted
         assert record is not None
         drop = frozenset(w.id for w in record.witnesses if w.address == new.address)
--- a/tests/controller/control_api_support.py
+++ b/tests/controller/control_api_support.py
@@ -94,17 +94,17 @@
             if not future.done():
                 future.set_result(done)
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         await asyncio.sleep(0)
         return self.is_primary
 
-    async def committed(self) -> bool:
+    async def wait_until_committed(self) -> bool:
         if self._waiting:
             write = self._waiting[-1]
             await asyncio.wait([write])
             if not write.result():
                 return False
-        return await self.confirm()
+        return await self.confirm_leadership()
 
 
 class Endpoint:
--- a/tests/controller/test_coordination_epoch_end.py
+++ b/tests/controller/test_coordination_epoch_end.py
@@ -5,7 +5,7 @@
 import asyncio
 import unittest
 
-from otterreach.controller.writes import LAST_COUNT, NEW_EPOCH_COUNT
+from otterreach.controller.writes import MAX_COUNT, NEW_EPOCH_COUNT
 from tests.controller.controller_world import Cluster
 from tests.controller.coordination_support import Answer, Coordination
 
@@ -39,7 +39,7 @@
             self.assertEqual(200, (await calls.renew(cluster.boxes[2], "l1", "a1", fence)).status)
             self.assertEqual(31, (await waiting).body["rev"])
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against revisions beyond their epoch, and against wrong answers to writes at the very end of the count.
     def test_at_the_very_end_a_write_is_refused_until_the_new_epoch_and_nothing_is_lost(self) -> None:
@@ -47,7 +47,7 @@
             calls = Coordination(cluster)
             await calls.put(cluster.boxes[0], "g1.a", "v1", 0)
             control = cluster.control(cluster.primary)
-            control.primary.writes._count_in_epoch = LAST_COUNT - 1
+            control.primary.writes._count_in_epoch = MAX_COUNT - 1
             began = cluster.world.now
             answers = await asyncio.gather(
                 *(calls.put(cluster.boxes[turn % 5], f"g1.{turn}", f"value {turn}", 0) for turn in range(10))
@@ -60,7 +60,7 @@
             self.assertLess(cluster.world.now - began, PROMPT_S)
             self.assertEqual(11, (await calls.repeat(calls.watch, "g1", 0)).body["rev"])
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_promises.py
+++ b/tests/controller/test_coordination_promises.py
@@ -21,7 +21,7 @@
     """Power off the primary for a while."""
     box = cluster.primary
     box.power_off()
-    cluster.world.plainly(DOWN_S, box.power_on)
+    cluster.world.call_later(DOWN_S, box.power_on)
 
 
 async def kill(cluster: Cluster) -> None:
@@ -39,13 +39,13 @@
 async def lose_backups(cluster: Cluster) -> None:
     """Partition the primary from its backups for a while."""
     cluster.cut([cluster.primary], cluster.backups)
-    cluster.world.plainly(DOWN_S, cluster.heal)
+    cluster.world.call_later(DOWN_S, cluster.heal)
 
 
 async def lose_answers(cluster: Cluster) -> None:
     """Drop the messages to the primary for a while; its own messages arrive."""
     cluster.cut(cluster.others(cluster.primary), [cluster.primary], both_ways=False)
-    cluster.world.plainly(2 * DOWN_S, cluster.heal)
+    cluster.world.call_later(2 * DOWN_S, cluster.heal)
 
 
 async def hand_over(cluster: Cluster) -> None:
@@ -84,7 +84,7 @@
                             for box, answer in zip(cluster.boxes, answers, strict=True):
                                 await self._check_key(calls, box.name, answer)
 
-                        Cluster().play(scenario)
+                        Cluster().run(scenario)
 
     async def _check_key(self, calls: Coordination, value: str, answer: Answer) -> None:
         self.assertIn(answer.status, (200, 503, 504, NO_ANSWER))
@@ -118,7 +118,7 @@
                             if answer.status in (200, 503):
                                 self.assertEqual(409 if answer.status == 200 else 200, other.status)
 
-                    Cluster().play(scenario)
+                    Cluster().run(scenario)
 
     # Guards against a write that is reported as rejected although a later primary may commit it.
     def test_a_write_whose_primary_loses_its_place_ends_without_a_clear_answer(self) -> None:
@@ -138,7 +138,7 @@
                 self.assertIn(answer.status, (504, NO_ANSWER))
                 self.assertLess(answer.took_s, CALL_TIMEOUT_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     def test_each_controller_answers_503_within_a_second_while_there_is_no_majority(self) -> None:
         async def scenario(cluster: Cluster) -> None:
@@ -161,7 +161,7 @@
                     self.assertEqual(503, answer.status)
                     self.assertLess(answer.took_s, CALL_TIMEOUT_S)
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_coordination_served.py
+++ b/tests/controller/test_coordination_served.py
@@ -5,8 +5,8 @@
 import asyncio
 import unittest
 
-from otterreach.controller.figures import controller_figures
-from otterreach.runtime.figures import Figure
+from otterreach.controller.figures import controller_metrics
+from otterreach.runtime.figures import MetricSample
 from tests.controller.controller_world import Cluster
 from tests.controller.coordination_support import Coordination
 
@@ -34,7 +34,7 @@
                     self.assertEqual({"rev": 1}, put.body)
                     self.assertEqual(1, watch.body["rev"])
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
     # Guards against 503 for good from a controller that is not a witness because a further one would add nothing.
     def test_calls_are_served_at_a_controller_outside_the_configuration(self) -> None:
@@ -50,7 +50,7 @@
 
         cluster = Cluster(zones=(0, 1, 2, 0), survive={"nodes": 1, "zones": 1})
         cluster.expected = 3
-        cluster.play(scenario)
+        cluster.run(scenario)
 
     # Guards against incidents that no metric shows: calls that are answered 404 or 503 leave no other trace.
     def test_answers_are_counted_by_resource_and_status(self) -> None:
@@ -60,16 +60,16 @@
             await calls.acquire(box, "l1", "a3.7")
             await calls.acquire(box, "l1", "b1.1")
             await calls.send(box, "GET", "/nothing/l1")
-            figures = {
-                (figure.labels["resource"], figure.labels["status"]): figure.value
-                for figure in controller_figures(box.object)
-                if isinstance(figure, Figure) and figure.name == "api_answers_total"
+            values = {
+                (sample.labels["resource"], sample.labels["status"]): sample.value
+                for sample in controller_metrics(box.object)
+                if isinstance(sample, MetricSample) and sample.name == "api_answers_total"
             }
-            self.assertEqual(1, figures["locks", "200"])
-            self.assertEqual(1, figures["locks", "409"])
-            self.assertEqual(1, figures["unknown", "404"])
+            self.assertEqual(1, values["locks", "200"])
+            self.assertEqual(1, values["locks", "409"])
+            self.assertEqual(1, values["unknown", "404"])
 
-        Cluster().play(scenario)
+        Cluster().run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/controller/test_retirement.py
+++ b/tests/controller/test_retirement.py
@@ -25,10 +25,10 @@
     def __init__(self, published: ReplicatedStore) -> None:
         self.state, self.published, self.revision = ReplicatedStore(), published, 0
 
-    async def confirm(self) -> bool:
+    async def confirm_leadership(self) -> bool:
         return True
 
-    async def committed(self) -> bool:
+    async def wait_until_committed(self) -> bool:
         return True
 
     def propose(self, changes: list[tuple[str, bytes]]) -> asyncio.Future[bool]:
