--- a/otterreach/controller/api/coordination_answers.py
+++ b/otterreach/controller/api/coordination_answers.py
@@ -74,6 +74,7 @@
 async def after_repeat(control: CoordinationState, accepted: ApiResponse) -> ApiResponse:
     """Return the response to a repeat of an accepted call.
 
-    The call may already be in effect, so a failure must not be answered with a status that says that it is not.
+    The accepted call may already be in effect. If that can't be confirmed, the response is therefore OUTCOME_UNKNOWN,
+    and not a status which guarantees that the call has changed nothing.
     """
     return accepted if await control.wait_until_committed() else OUTCOME_UNKNOWN
--- a/otterreach/controller/api/coordination_fields.py
+++ b/otterreach/controller/api/coordination_fields.py
@@ -53,7 +53,7 @@
 
     @classmethod
     def of_body(cls, body: bytes, known: Collection[str]) -> Fields:
-        """Parse the fields of a JSON object, which must all be known."""
+        """Parse the fields of a JSON object. A field that is not in `known` raises FieldError."""
         if len(body) > MAX_BODY_BYTES:
             raise FieldError("body", f"longer than {MAX_BODY_BYTES} bytes")
         try:
--- a/otterreach/controller/api/forwarding.py
+++ b/otterreach/controller/api/forwarding.py
@@ -16,7 +16,8 @@
 
     def __init__(self, control: ControlReplication) -> None:
         self.control = control
-        self._waiting: dict[asyncio.Future[None], str] = {}  # future that ends the wait: address of the primary
+        # Future that ends a wait -> address of the primary waited for.
+        self._waiting: dict[asyncio.Future[None], str] = {}
         self._monitor: asyncio.Task[None] | None = None
 
     async def forward(self, call: ApiCall, timeout_s: float) -> ApiResponse | Failure:
--- a/otterreach/controller/messages.py
+++ b/otterreach/controller/messages.py
@@ -178,7 +178,10 @@
 @message(32)
 @dataclass(slots=True)
 class BackupShutdown(Request[Done]):
-    """A request of a backup that shuts down to its primary, to be replaced; Done once its replica is not needed."""
+    """A request to the primary from a backup that is shutting down, to be replaced by another controller.
+
+    The reply is Done once a configuration without the sender is in effect, so that its replica is no longer needed.
+    """
 
     number: int
     leaving: str
--- a/otterreach/controller/primary.py
+++ b/otterreach/controller/primary.py
@@ -44,7 +44,8 @@
         self.follower.primary = replica.settings.address
         self.writes.begin_epoch()
         replica.set_mode(Mode.PRIMARY, f"epoch {replica.number} took effect")
-        self.publisher.publish_all(installed)  # changes made since then are still to be appended to the backups
+        # Changes made since `installed` was collected are not published yet: `resume` appends them to the backups.
+        self.publisher.publish_all(installed)
         self._refresh_state_age()
         self.writes.resume()
 
--- a/otterreach/controller/publisher.py
+++ b/otterreach/controller/publisher.py
@@ -25,7 +25,8 @@
     def __init__(self, replica: LocalReplica, follower: Follower) -> None:
         self.replica = replica
         self.follower = follower
-        self.on_committed: list[Callable[[list[Item]], None]] = []  # called with all items, including private ones
+        # Called with all committed items, including the private ones (see `is_private`), which are not published.
+        self.on_committed: list[Callable[[list[Item]], None]] = []
 
     def publish(self, items: list[Item]) -> None:
         """Publish changes that are on disk at all members."""
--- a/otterreach/controller/replication.py
+++ b/otterreach/controller/replication.py
@@ -35,7 +35,7 @@
 from otterreach.runtime.store import Item, ReplicatedStore
 
 TICK_S = 0.05
-MAX_PUBLISHED_AGE_S = 1.0  # maximum age of published state for the primary that it names to count as live
+MAX_PUBLISHED_AGE_S = 1.0  # a primary counts as live if the published state that names it is at most this old
 REWRITE_LIMITS = Limits(4 * 1024 * 1024, 4.0)
 
 
@@ -157,7 +157,7 @@
         self.replica.on_items.append(observer)
 
     def on_committed(self, observer: Callable[[list[Item]], None]) -> None:
-        """Register an observer, called at the primary, of items that all members now have."""
+        """Register an observer of committed items, which all members now have. It is called at the primary only."""
         self.primary.publisher.on_committed.append(observer)
 
     def propose(self, changes: Iterable[tuple[str, bytes]]) -> asyncio.Future[bool]:
--- a/otterreach/controller/writes.py
+++ b/otterreach/controller/writes.py
@@ -180,7 +180,9 @@
                 write.complete(True)
             return
         if self._step_downs != step_downs:
-            return  # these writes were answered at the step down; a later primary may not have had their items
+            # These writes were answered at the step-down. Their items must not be queued again for a later epoch of
+            # this controller, since a primary in between may not have had them.
+            return
         # To be appended again in the next epoch, or abandoned when this controller steps down.
         self._queued_items = items + self._queued_items
         self._queued_writes = writes + self._queued_writes
