--- a/otterreach/balancer/limits.py
+++ b/otterreach/balancer/limits.py
@@ -16,7 +16,9 @@
 MAX_REFUSED_SHARE = 0.95  # some requests are always sent, since the estimates need their answers
 SPARE_REQUESTS = 4.0  # open requests that are always allowed: the decaying answer rate may miss as many
 EXCESS_CAPACITY = 0.5  # part of the capacity that a tenant above its share may use
-SHARE_SLACK = 1.5  # tolerated excess over a tenant's share: usage varies in normal operation, too
+# Tolerated multiple of the rate at which a tenant, beside the present rates of all others, would have exactly
+# its share of the requests: usage varies in normal operation, too.
+SHARE_SLACK = 1.5
 MAX_VOTES = 100  # bound of the majority vote for a class's typical client time-out
 IDLE_DRIFT = 1e-4  # growth per answer of the minimum ratio: it doubles in some 7000 answers
 MEAN_RATIO_ALPHA = 0.02  # smoothing factor of the mean latency ratio: averages some 50 answers
@@ -42,9 +44,10 @@
     def _time_waited_ns(self, event: api.Request, request_class: api.RequestClass) -> int:
         """Return the estimated time for which the client has waited in earlier attempts.
 
-        A client gives each attempt the class's typical time-out (found by majority vote), or all the time
-        that is left to it. Without this estimate, an overloaded fleet would spend most of its work on retries
-        that can't be answered in time.
+        A client gives each attempt the class's typical time-out, or all the time that is left to it. The
+        typical time-out is found by a running majority vote, in which each arriving request votes for the
+        time that its client has left. Without this estimate, an overloaded fleet would spend most of its work
+        on retries that can't be answered in time.
         """
         typical, votes = self.typical_left_ns[event.class_index]
         typical = typical if votes else event.left_ns
--- a/otterreach/balancer/logic.py
+++ b/otterreach/balancer/logic.py
@@ -69,10 +69,10 @@
                 self._set_timer("probe", self.half_life_ns // 10)
 
     def _gossip(self) -> None:
-        """Send the latency ratio and the latest observations to random peers.
+        """Send the latency ratio to random peers, and the latest observations to the first of them.
 
         In a large fleet, a single sidecar gets too few answers from any endpoint for reliable estimates.
-        There is at most one round per latency target.
+        There is at most one round per `min_target_ns`, the smallest latency target of all classes.
         """
         settings = self.settings
         if (
@@ -125,7 +125,7 @@
 
     def _attempt(self, request: PendingRequest) -> None:
         if request.done or request.has_open_attempt():
-            return  # already resumed, by its timer or by its place in the key's queue
+            return  # ended or sent already: its timer and its turn in the key's queue may both resume it
         expected_ns = self._expected_ns(request)
         # A stuck request delays all others of its key. Those that can no longer be in time end early, while
         # a refusal can still be answered in time.
--- a/otterreach/balancer/routing.py
+++ b/otterreach/balancer/routing.py
@@ -66,6 +66,11 @@
         self.mean_weight = weight / max(1, len(self.ready)) or 1.0
 
     def _on_report(self, event: api.Outcome | api.ProbeResult) -> None:
+        """Apply the load that an endpoint reports with an answer or a probe: its number of queued requests.
+
+        Where endpoints don't report a queue, it is their number of requests in flight. The report also moves
+        the fleet's mean toward this number by the part ALPHA of the difference.
+        """
         endpoint = self.endpoints.get(event.endpoint)
         load = event.load
         value = load[self.load_column] if self.load_column < len(load) else -1.0
@@ -151,7 +156,10 @@
         return slowdown
 
     def _typical_slowdown(self, endpoint: Endpoint) -> float:
-        """Return the x_i of an endpoint without samples: the mean of its kind.
+        """Return the x_i (ratio of response times to expected times) of an endpoint without samples.
+
+        It is the mean x_i of the endpoints of the same kind in the same zone; before these have any samples,
+        it is the mean weight of the ready endpoints divided by this one's.
 
         In a large fleet most endpoints have no samples yet; with equal values for all, slow kinds would be
         chosen as often as fast ones.
--- a/otterreach/balancer/state.py
+++ b/otterreach/balancer/state.py
@@ -66,7 +66,7 @@
         self.queue_at = 0
         self.sent_since_report = 0  # attempts of this sidecar since the last load report
         self.warm_from = row.started_ns + settings.warm_up_ns if row.started_ns else 0
-        self.capacity_share = 1.0  # guaranteed part of its full capacity during warm-up
+        self.capacity_share = 1.0  # part of its full capacity during warm-up: guaranteed, or shown by answers
         # x_i from its own answers only, starting at the slowest guaranteed speed: one answer proves little.
         self.proven_slowdown = 1 / settings.start_capacity if settings.start_capacity > 0 else MAX_SLOWDOWN
         self.update(row)
@@ -118,7 +118,8 @@
         target = request_class.target_ns + int(request_class.target_stretch * (event.hint_ns or 0))
         self.abandoned_at = now + event.left_ns  # when the client times out
         self.due_at = now + min(target - waited, event.left_ns)
-        # Answers after the limit have no value.
+        # An answer after `limit` has no value. If the class gives late answers a value, the limit is the
+        # client's time-out; else it is the time at which the answer is due.
         self.limit = self.abandoned_at if request_class.late_value else self.due_at
         self.key = event.key if request_class.in_order else 0  # not 0: one request of a key at a time
         self.attempts: list[Attempt] = []
@@ -157,7 +158,8 @@
         self.min_target_ns = min(request_class.target_ns for request_class in classes)
 
     def _log(self, topic: str, text: str) -> None:
-        # The topics are listed in docs/on-call.md. One line per topic and half-life bounds the log volume.
+        # The topics are listed in docs/on-call.md. To bound the log volume, at most one line of each topic is
+        # logged per `half_life_ns`.
         if self.now >= self.logged.get(topic, 0):
             self.logged[topic] = self.now + self.half_life_ns
             self.actions.append(api.Log(f"{topic}: {text}"))
--- a/otterreach/balancer/wire.py
+++ b/otterreach/balancer/wire.py
@@ -218,6 +218,13 @@
 
 
 def _encode_peer_message(latency_ratio: float, observations: tuple[api.EndpointObservation, ...]) -> bytes:
+    """Encode a latency ratio and at most MAX_OBSERVATIONS observations, in one byte for each quantity.
+
+    The ratio is in units of 1/255. With n = _STEPS_PER_DOUBLING, a slowdown s is encoded as
+    n * (log2(s) + 4), and a queue of q requests as n * log2(q + 1). An age is in units of _AGE_UNIT_NS. Each
+    byte is rounded, and a value out of range becomes 0 or 255. Each observation begins with its endpoint's
+    number, in 4 bytes.
+    """
     rows = [
         _OBSERVATION.pack(
             s.endpoint,
