--- a/otterreach/simulation/coordination_history.py
+++ b/otterreach/simulation/coordination_history.py
@@ -119,7 +119,7 @@
     """POST /numbers/ID."""
 
     name: str
-    value: int = 0  # number of the answer
+    value: int = 0  # the number returned in the answer
 
     def __str__(self) -> str:
         return f"number {self.value} of {self.name} ({self.span})"
--- a/otterreach/simulation/linearizability.py
+++ b/otterreach/simulation/linearizability.py
@@ -121,8 +121,8 @@
     reads: Sequence[Read]
     refused: Sequence[Change]
     index: dict[int, int] = field(init=False)  # position in the chain, by version; position 0 is the empty start
-    earliest: list[float] = field(init=False)
-    latest: list[float] = field(init=False)
+    earliest: list[float] = field(init=False)  # by position: the version did not become current before this time
+    latest: list[float] = field(init=False)  # by position: the version was current by this time at the latest
 
     def violation(self) -> str:
         """Return a description of the answer that contradicts this order of changes; empty if there is none."""
@@ -132,6 +132,10 @@
         return self._constrain_by_reads() or self._constrain_by_refusals() or self._find_late_version()
 
     def _constrain_by_reads(self) -> str:
+        """Require that the version of each read was current at some time during the read, with the content read.
+
+        So the version became current before the read was answered, and the next one after the read was called.
+        """
         contents = self._contents()
         for read in self.reads:
             position = self.index[read.gen]
--- a/otterreach/simulation/loop.py
+++ b/otterreach/simulation/loop.py
@@ -53,7 +53,11 @@
         self.frozen = True
 
     def thaw(self, loop: VirtualLoop, due: list[asyncio.Handle] | None = None) -> None:
-        """Resume the process; its deferred callbacks run in the order of `due`, by default that of their due times."""
+        """Resume the process, and run its deferred callbacks in the next iteration.
+
+        :param due: the deferred callbacks in the order in which they are to run; by default, that in which they became
+            due
+        """
         self.frozen = False
         deferred = self.deferred
         self.deferred = []
--- a/otterreach/simulation/planted.py
+++ b/otterreach/simulation/planted.py
@@ -60,7 +60,7 @@
     rule: str  # the violated rule; empty if nothing detected the fault
     seed: int
     seeds: int  # number of seeds tried
-    steps: int  # callbacks of the last run, or events of the search
+    steps: int  # number of callbacks in the last run of a simulation, or of events in all searches of the small model
 
 
 def _locate(where: str) -> tuple[Any, str, Any]:
