--- a/otterreach/loadtest/callers.py
+++ b/otterreach/loadtest/callers.py
@@ -15,7 +15,7 @@
 from otterreach.runtime.codes import Failure
 from otterreach.sidecar import http1
 
-FINAL_STATUSES = (400, 401, 404, 413, 431)  # not retried, as a success
+FINAL_STATUSES = (400, 401, 404, 413, 431)  # final as a success is: a request with such an answer is not retried
 NOT_RUN_STATUSES = (408, 421, 429, 503)  # guarantee that the request has not run
 RETRY_S = 0.05
 
--- a/otterreach/loadtest/engine.py
+++ b/otterreach/loadtest/engine.py
@@ -321,7 +321,8 @@
         for run in sorted(self.waiting, key=lambda r: r.urgency):
             if len(self.running) >= self.spec.cap:
                 return
-            # Under `wait`, runs that have begun continue even after preemption: the order waits for their end.
+            # An order with the method `wait` waits until the runs that have begun have ended. So these are admitted
+            # again during the order after a preemption; only the method `retain` holds runs back.
             if self.order and self.order.model == run.request.model and self.order.method == "retain":
                 continue
             prefill = self.kv_cache.uncached_tokens(run.keys) + run.generated
@@ -342,6 +343,11 @@
                 self._set_stage(run, Stage.DECODE)
 
     def _decode(self, dt_s: float, outcomes: list[Event | End]) -> None:
+        """Generate tokens for `dt_s` in each run that has been prefilled, the most urgent first.
+
+        A token takes `token_ms` plus `busy_ms` per running run, multiplied by `slow`. If a run's new tokens don't fit
+        into the KV cache, the least urgent of the running runs is preempted, until they fit or it is this run itself.
+        """
         token_ms = (self.spec.token_ms + self.spec.busy_ms * len(self.running)) * self.slow
         for run in sorted(self.running, key=lambda r: r.urgency):
             if run.stage is not Stage.DECODE:
