--- a/otterreach/scaletest/cost.py
+++ b/otterreach/scaletest/cost.py
@@ -91,7 +91,7 @@
 
 
 async def measure_steps(servers: int, fronts: int) -> dict[str, float]:
-    """Return the processor time of each step in ms, and the sizes of messages in bytes, at one size."""
+    """Return the processor time of each step in ms, and the sizes of messages in bytes, for a fleet of this size."""
     store = build_store(servers, fronts)
     kinds: tuple[type[Record], ...] = (ServerRecord, OrderLeaseRecord, MemberRecord)
     for kind in kinds:
--- a/otterreach/scaletest/run.py
+++ b/otterreach/scaletest/run.py
@@ -27,7 +27,9 @@
 from otterreach.scaletest.table import Sample
 
 FILL_TIMEOUT_S = 30.0  # in addition to the joining time, until all state has reached all followers
-REST_SHARE, CHANGE_SHARE, DRAIN_SHARE = 0.45, 0.15, 0.1  # shares of the measuring time; the new version gets the rest
+# Shares of the measuring time: without any changes, with changes of the configuration, and with drains of servers. What
+# remains of it is the time limit for the new version.
+REST_SHARE, CHANGE_SHARE, DRAIN_SHARE = 0.45, 0.15, 0.1
 CHANGES = 3
 DRAINS = 3
 VERSION_OVER_S = 4.0
--- a/otterreach/scaletest/size.py
+++ b/otterreach/scaletest/size.py
@@ -21,7 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """Numbers of nodes and processes. Hollow proxies share `hollow` processes, servers `server_hosts` others."""
+    """Numbers of nodes and processes.
+
+    All hollow proxies run in `hollow` processes, and all hollow servers in `server_hosts` other processes.
+    """
 
     fronts: int = 300  # hollow proxies
     servers: int = 1800
