--- a/otterreach/jobstore/dispatcher.py
+++ b/otterreach/jobstore/dispatcher.py
@@ -25,7 +25,9 @@
 from otterreach.runtime.repeated_work import RepeatedWork
 from otterreach.runtime.rpc import Link
 
-ITEMS_LOST_AFTER_S = 2.0  # a proxy has lost the items of a job if its pings don't name the job this long after sending
+# A proxy has lost the items of a job if a ping does not name the job this long after items of it were last sent to the
+# proxy or reported as running there.
+ITEMS_LOST_AFTER_S = 2.0
 RUNNING_REPORT_WAIT_S = 0.4  # a new primary waits this long for the proxies to report which items they run
 SURPLUS_DELAY_S = 60.0  # added to the due time of items that no trainer waits for
 NO_SURPLUS = 1 << 60  # greater than any order
@@ -240,7 +242,8 @@
             return
         batches: dict[str, list[AssignedItem]] = {}  # by node
         ready = self._ready_jobs()
-        # Items that no trainer waits for come after all others: they replace a group that fails.
+        # Surplus items, which no trainer waits for, come after the needed items of all jobs: a surplus group only
+        # serves to replace a group that fails.
         needed = [(job, self.surplus_from[job.id]) for job in ready]
         surplus = [(job, NO_SURPLUS) for job in ready]
         for job, end in [*needed, *surplus]:
--- a/otterreach/jobstore/job.py
+++ b/otterreach/jobstore/job.py
@@ -77,7 +77,7 @@
     end_index: int = 0  # log index after the entry that ended it
     crc: int = 0  # over the results
     committed: bool = False  # the submission is at all replicas
-    ended: bool = False  # the end is at all replicas
+    ended: bool = False  # the entry that ended it is committed: it is at all replicas
     proxies: set[str] = field(default_factory=set)  # nodes that were assigned items of it
 
     @property
--- a/otterreach/jobstore/job_requests.py
+++ b/otterreach/jobstore/job_requests.py
@@ -74,7 +74,10 @@
     # Read ----------------------------------------------------------------------------------------
 
     def confirmed_leader(self, job: str) -> PartitionLeader | Failure:
-        """Return this machine's leadership of a job's partition if it is known to be the only one, or a Failure."""
+        """Return this machine's leadership of a job's partition.
+
+        Return a Failure unless this machine is known to be the partition's only primary at present.
+        """
         leader = self.replication.leader(partition_of(job))
         if isinstance(leader, Failure) or leader.is_confirmed:
             return leader
--- a/otterreach/jobstore/replica_stream.py
+++ b/otterreach/jobstore/replica_stream.py
@@ -149,7 +149,10 @@
         return self._handle_position(reply, sent_at)
 
     def _handle_position(self, reply: ReplicaPosition | Failure, sent_at: float) -> bool:
-        """Continue from the position in the reply. Return False if there is none, so that the call is to be retried."""
+        """Continue from the position in the reply.
+
+        Return False if the reply is a Failure and so has no position: the call is then to be retried.
+        """
         replica = self.owner.replica
         if isinstance(reply, Failure):
             if reply.code is Code.STALE_EPOCH:
