--- a/otterreach/client/watches.py
+++ b/otterreach/client/watches.py
@@ -74,7 +74,9 @@
     async def _restart(self, group: str, keys: Sequence[str]) -> Restarted:
         """Return the values of the keys. The revision is fetched before the values, so no later put is missed."""
         revision = (await self._query(group, ABSENT_REVISION, 0.0)).integer("rev")
-        while revision == ABSENT_REVISION:  # the first put can't be waited for: past=0 returns the revision at once
+        # An empty group is polled until its first put, since the watch can't start at past=0: if the put were made
+        # before such a query, the answer would be its revision, at once and without the put.
+        while revision == ABSENT_REVISION:
             await asyncio.sleep(EMPTY_GROUP_POLL_S)
             revision = (await self._query(group, ABSENT_REVISION, 0.0)).integer("rev")
         cells = [cell for key in keys if (cell := await self._read(key)) is not None]
