--- a/otterreach/sidecar/__main__.py
+++ b/otterreach/sidecar/__main__.py
@@ -22,7 +22,8 @@
 MAX_KILL_DEADLINE_S = 3.0
 KILL_GRACE_S = 0.7
 KILL_RESERVE_S = 0.1
-# Time to wait at start-up for a list newer than `known`, with pushed lists. The platform allows 30 s for the start.
+# If discovery pushes lists, the sidecar waits at start-up at most this time for a list newer than `known`, the one in
+# its configuration. The platform allows 30 s for the start.
 FIRST_LIST_TIMEOUT_S = 10.0
 BACKOFF_SHARE = 0.5  # longest backoff, as part of the time in which an update must be received
 GC_THRESHOLDS = (10_000, 20, 20)  # high, since reference cycles are rare: parsers break theirs
--- a/otterreach/sidecar/discovery.py
+++ b/otterreach/sidecar/discovery.py
@@ -35,8 +35,8 @@
     def __init__(self) -> None:
         self._partial_line = b""  # incomplete last line
         self._lines: list[bytes] = []  # lines of the incomplete object
-        self._depth = 0  # nesting depth at their end
-        self._size = 0  # their size in bytes
+        self._depth = 0  # nesting depth at the end of `_lines`
+        self._size = 0  # size of `_lines` in bytes
         self._keys: set[bytes] = set()  # top-level keys of the incomplete list
 
     def feed(self, data: bytes) -> list[bytes]:
@@ -72,7 +72,8 @@
     def _split_lists(self, completed: list[bytes]) -> None:
         """Split the lines at the last object that starts in the first column.
 
-        Called when a top-level key occurs twice: that object was taken for the list's last entry, but is the next list.
+        Called when a top-level key occurs twice: that object was taken for the last entry of the list before it, but
+        it is itself the next list.
         """
         start = max((n for n, line in enumerate(self._lines) if line.startswith(b"{")), default=0)
         next_list = self._lines[start:]
@@ -165,7 +166,8 @@
             print("discovery: no data within the time-out", file=sys.stderr)
         except OSError as error:
             print(f"discovery: {type(error).__name__}: {error}", file=sys.stderr)
-            # A refused connection means that nothing listens there; a failed service would leave calls pending.
+            # A refused connection means that nothing listens there, so no update is available for now. Other errors
+            # don't prove that: a service that has failed but still listens would leave calls pending.
             if isinstance(error, ConnectionRefusedError):
                 self._on_idle()
         except Exception:  # after any error the watch must be reopened, or updates are missed permanently
--- a/otterreach/sidecar/endpoints.py
+++ b/otterreach/sidecar/endpoints.py
@@ -322,7 +322,7 @@
         """Write the request of an attempt, unless its answer is no longer needed.
 
         In a delayed event loop, the deadline may have passed before its timer runs, and the client may have closed its
-        connection without this having been read.
+        connection before the sidecar has read the close.
         """
         left_ns = attempt.deadline_ns - time.monotonic_ns()
         if left_ns <= 0 or not attempt.is_wanted():
--- a/otterreach/sidecar/http1.py
+++ b/otterreach/sidecar/http1.py
@@ -313,7 +313,7 @@
     def on_body(self, data: bytes) -> None:
         """Add a part of the body (callback of httptools)."""
         if self.response is not None:
-            return  # belongs to another response that follows this one
+            return  # the data belongs to another response that follows this one
         if self._on_body:
             self._on_body(data)
         else:
