--- a/otterreach/proxy/item_return.py
+++ b/otterreach/proxy/item_return.py
@@ -32,7 +32,8 @@
     """Return True if an item is to be returned.
 
     :param obstacle: the reason why it finds no server now; None if it finds one
-    :param waited_s: time for which it has been at no server
+    :param waited_s: time since the end of its last attempt that was answered and may have been executed; before the
+        first such attempt, time since it was assigned
     :param unreachable: consecutive attempts without any answer from their server
     :param state_age_s: age of the local replica of the control state
     :param has_text: True if part of its text has been generated
--- a/otterreach/proxy/item_run.py
+++ b/otterreach/proxy/item_run.py
@@ -84,7 +84,8 @@
         self.failures = max(0, work.failures)  # answers with status 500, including those at earlier proxies
         self.reward_failures = 0
         self.retries = 0  # since an attempt last generated an event
-        self.left_server_at = now  # time since which it has been at no server
+        # End of the last attempt that was answered and may have been executed; before the first, time of assignment.
+        self.left_server_at = now
         self.unreachable = 0  # consecutive attempts without any answer from their server
         self.avoided: set[str] = set()  # ids of the servers that failed last
         self.route_missing_since: float | None = None
--- a/otterreach/proxy/ping_schedule.py
+++ b/otterreach/proxy/ping_schedule.py
@@ -1,9 +1,9 @@
 """The schedule of a proxy's pings to the job store nodes.
 
 A node is pinged at the short interval if it serves a batch job with items here, has not answered the last ping, or was
-sent a load that is outdated. All others, which are most of them, are pinged at the long interval, so that the number of
-messages grows with the work and not with proxies times nodes. The schedule is deterministic: the time and the random
-generator are passed in.
+last sent load figures (`ItemLoad`) that are outdated. All others, which are most of them, are pinged at the long
+interval, so that the number of messages grows with the work and not with proxies times nodes. The schedule is
+deterministic: the time and the random generator are passed in.
 """
 
 from __future__ import annotations
--- a/otterreach/proxy/runner.py
+++ b/otterreach/proxy/runner.py
@@ -72,7 +72,11 @@
         self.end_job(cancel.job)
 
     def assign(self, assign: AssignItems) -> None:
-        """Accept the items that a job store node assigns, or return them during shutdown."""
+        """Queue the items that a job store node assigns; during shutdown, return them instead.
+
+        The assignment is ignored if its epoch is older than the newest known one of the partition, or if the job has
+        ended. Items that are already here are not queued again.
+        """
         is_outdated = assign.epoch < self.directory.newest_epoch(assign.partition)
         if is_outdated or self._permission.has_ended(assign.job):
             return
--- a/otterreach/proxy/text_generation.py
+++ b/otterreach/proxy/text_generation.py
@@ -13,8 +13,8 @@
 from otterreach.proxy.send_permission import SendPermission
 from otterreach.runtime.configuration import Route
 
-STREAM_TIMEOUT_S = 1.2  # without data after the first event
-FIRST_EVENT_TIMEOUT_S = 2.5  # without data before the first event: the item may wait in the server's queue
+STREAM_TIMEOUT_S = 1.2  # an attempt is stalled after this time without data after the first event
+FIRST_EVENT_TIMEOUT_S = 2.5  # likewise before it; longer, since the item may wait in the server's queue
 SERVER_TIMEOUT_S = 0.8  # without data on any connection to the server; otherwise the limits above are doubled
 STALL_CHECK_S = 0.25
 
