--- a/otterreach/runtime/relay.py
+++ b/otterreach/runtime/relay.py
@@ -255,8 +255,9 @@
     async def _fetch_rest(self, address: str, reply: Changes) -> None:
         """Fetch the remaining chunks of differing items, each time with the digests of the items present by then.
 
-        Each answer has to bring other ranges of keys than the one before, so the loop ends. A parent that lags, or
-        whose items change all the time, is queried again later.
+        The loop ends once this replica matches the parent's, at an answer with the same ranges of keys as the one
+        before, or after RANGES answers. A parent that lags, or whose items change all the time, is queried again
+        later.
         """
         for _ in range(RANGES):
             complete = not reply.ranges or self.store.matches(reply.digest, reply.collected_up_to)
--- a/otterreach/runtime/store.py
+++ b/otterreach/runtime/store.py
@@ -258,10 +258,11 @@
         return digest
 
     def matches(self, digest: int, collected_up_to: int) -> bool:
-        """Return True if another replica, with this digest, has the same items.
+        """Return True if another replica has the same items, and then drop the tombstones that it has dropped.
 
-        Equal digests prove that this replica, too, has every other item up to `collected_up_to`; it then drops the
-        tombstones that the other one has dropped.
+        The other replica has this digest and has dropped its tombstones up to `collected_up_to`. Its digest is compared
+        with the one that this replica would have without these tombstones. If both are equal, this replica has every
+        other item up to that revision, so it may drop its tombstones as well.
         """
         if self.digest_once_collected(collected_up_to) != digest:
             return False
