--- a/otterreach/cli/day_report.py
+++ b/otterreach/cli/day_report.py
@@ -58,7 +58,7 @@
 
 
 def read_reports(path: Path) -> list[DayReport]:
-    """Return the reports in a file: the report of one day, or a journal entry of `score` with a list of days.
+    """Return the reports in a file: the report of one day, or the list `days` of a journal entry that `score` wrote.
 
     :raises ReportError: if the file can't be read, or a field is missing or invalid
     """
--- a/otterreach/cli/held_command.py
+++ b/otterreach/cli/held_command.py
@@ -35,7 +35,9 @@
         self._process: asyncio.subprocess.Process | None = None
 
     async def run(self) -> int | None:
-        """Return the command's exit code, or None if it was terminated because the lease was about to expire or lost.
+        """Return the command's exit code, or None if it was terminated.
+
+        It is terminated if the lease has been lost or is about to expire.
 
         Raises OSError if the command can't be started.
         """
--- a/otterreach/cli/state.py
+++ b/otterreach/cli/state.py
@@ -133,7 +133,7 @@
 
 
 def servers(store: ReplicatedStore) -> Iterator[Row]:
-    """Yield the table of model servers."""
+    """Yield the rows of the table of model servers: a header row, then one row per server."""
     yield "id", "service", "address", "zone", "cap", "state", "versions", "ordered by"
     leases = store.records(OrderLeaseRecord)
     for server_id, server in store.records(ServerRecord).items():
